--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -3,16 +3,27 @@
 # copy of the sources at a time, and runs the unit tests: they must fail.
 # Ends with "N mutants caught, N missed".
 #   scripts/mutants.sh [NAME...]
+#   scripts/mutants.sh --stale   builds nothing: fails when the text that a row
+#                                replaces is not in its file
 set -u
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
 trap 'rm -rf "$dir"' EXIT
 caught=0
 missed=0
+stale_only=
+if [ "${1:-}" = --stale ]; then
+  stale_only=yes
+  shift
+fi
 
 # one mutant: name, what is taken out, file, python replacement old -> new
 mutant() {
   local name=$1 what=$2 file=$3 old=$4 new=$5
+  if [ -n "$stale_only" ]; then
+    printf '%s\0' "$name" "$file" "$old" "$new" >>"$dir/rows"
+    return
+  fi
   rm -rf "$dir/src"
   mkdir "$dir/src"
   cp -r include account core conf wire io daemon cli standin test makefile http router \
@@ -127,12 +138,12 @@
 m r-silent "BUDGET: silent instances keep their slack" router/retry_budget.c \
   'MIN(heard, 1.0)' '1.0'
 m r-lease "ONE: another's lease is waited for" router/lease.c \
-  'return now >= free_at(lease) ? STORE_REPLACE : STORE_READ;' \
-  'return STORE_REPLACE;'
+  'if (!lease->known || now < free_at(lease))' \
+  'if (!lease->known)'
 m r-lapse "ONE: a lease counts from before the call" router/lease.c \
   'lease->held_until = lease->sent_at' 'lease->held_until = now'
 m r-unheard "ONE: a call without an answer gives nothing" router/lease.c \
-  'if (wrote && lease->own)' 'if (lease->own)'
+  'if (wrote && reply->status == STORE_OK && lease->own)' 'if (lease->own)'
 m r-margin "ONE: nothing is ordered near the lease's end" router/stages.c \
   '!lease_held(&stages->lease, ORDER_MARGIN, now)' '0'
 m r-fence "ONE: a newer fence stops all orders" router/stages.c \
@@ -166,7 +177,8 @@
 m r-late "an overtaken digest changes nothing" router/peer_loads.c \
   'return behind < REORDER_WINDOW;' 'return 0;'
 m r-newer "CONFIG: an older revision takes no effect" router/follower.c \
-  'return known->revision < object->revision ||' 'return TRUE ||'
+  '  return store_position_is_before(known->position, object->position);' \
+  '  return TRUE;'
 m r-list "DRAIN: a list forgets what it does not name" \
   router/endpoint_table.c 'if (g_hash_table_contains(names, endpoint->record.id))' \
   'if (1)'
@@ -212,8 +224,10 @@
   router/relay_group.c 'return age_by(group, FALSE, now);' \
   'return age_by(group, TRUE, now);'
 m n-whole "relays: they name what there is to who asks from before a list" \
-  router/follower.c 'out->whole = since > 0 && since < follower->forgotten;' \
-  'out->whole = FALSE;'
+  router/follower.c \
+  'is_same || (!is_first &&
+                  store_position_is_before(query->since, follower->forgotten));' \
+  'is_same;'
 m n-noroute "router: old news say nothing of a route they lack" \
   router/router.c \
   'return router->news_bound > 0 && news_age(router, now) > router->news_bound;' \
@@ -238,12 +252,17 @@
   'if (known->history != NULL && !in_full)' 'if (FALSE)'
 m n-base "news: changes of another revision's text take no effect" \
   router/follower.c \
-  'g_array_index(object->changes, TextChange, 0).from != known->revision)' \
+  'store_position_compare(
+          g_array_index(object->changes, TextChange, 0).from,
+          known->position) != 0)' \
   'FALSE)'
 m n-digest "news: a patch proves the text that it makes" \
   router/text_patch.c 'ZSTD_c_checksumFlag, 1' 'ZSTD_c_checksumFlag, 0'
 m n-gap "news: a history has no gap" router/text_history.c \
-  'count > 0 && change_at(history->changes, count - 1)->to != from;' 'FALSE;'
+  'count > 0 &&
+         store_position_compare(change_at(history->changes, count - 1)->to,
+                                from) != 0;' \
+  'FALSE;'
 m n-full "news: texts are asked for in full when changes do not fit" \
   router/follower.c 'follower->in_full = TRUE;' 'follower->in_full = FALSE;'
 m n-pack "news: long answers are compressed" io/news_codec.c \
@@ -274,12 +293,13 @@
   router/relay_group.c 'return MIN(wait, TAKE_OVER_MOST);' \
   'return 10 * wait;'
 m n-back "news: what an older list names does not come back" \
-  router/follower.c 'known->text == NULL && at >= known->learned' \
-  'known->text == NULL'
+  router/follower.c \
+  'return !store_position_is_before(at, known->learned) ||' 'return TRUE ||'
 m n-old "news: an older list takes no effect" router/follower.c \
-  'return follower->listing && reply->at < follower->known;' 'return FALSE;'
+  'return store_position_is_before(reply->at, follower->known);' \
+  'return FALSE;'
 m n-gone "news: what is gone is told to others" router/follower.c \
-  '(since == 0 && known->text == NULL)' 'known->text == NULL'
+  'if (is_first && known->text == NULL)' 'if (known->text == NULL)'
 m n-pause "news: a store that does not answer delays no relay's" \
   router/news_source.c '(source->follower.failures == 0 ||' '(TRUE ||'
 m s-far "summaries: other data centres' loads are not summed twice" \
@@ -315,7 +335,7 @@
   'at = (gint64)beat->sent_us + clock->behind -' 'at = now -'
 m p-known "proof: changes that are not known prove nothing" \
   router/config_proof.c \
-  '(gint64)beat->changed[STORE_CONFIGURATION] > proof->known)' 'FALSE)'
+  '!knows_all_of(proof, beat->changed[STORE_CONFIGURATION]))' 'FALSE)'
 m p-stale "proof: an answer counts from its question" router/news_source.c \
   'gint64 at = source->asked_at;' 'gint64 at = now;'
 m l-cut "limits: scaled by the share heard" router/shared_totals.c \
@@ -371,7 +391,7 @@
 m v-early "lives: an earlier one changes nothing" router/endpoint_table.c \
   'return ENDPOINT_OUTDATED;' 'return ENDPOINT_SAME;'
 m v-hash "lives: told apart in digests" router/endpoint_table.c \
-  '(guint64)record->born_unix_ms);' '0);'
+  'seed = (guint64)record->born_unix_ms;' 'seed = 0;'
 m v-loads "lives: loads of an earlier one are not the later's" router/path.c \
   'return endpoint_table_get_life(router->endpoints, open->endpoint,
                                  open->life);' \
@@ -392,8 +412,7 @@
   'follower->open || follower->taking ?' 'follower->open ?'
 m n-seed "news: a seed that knows nothing is no failure of the store" \
   router/news_source.c \
-  'if (!source->at_store && !by_relay && reply->status == STORE_FAILED)' \
-  'if (FALSE)'
+  'if (!source->at_store && !by_relay && !is_answer)' 'if (FALSE)'
 m c-boot "clock: suspended time counts" io/clock.c 'CLOCK_BOOTTIME' \
   'CLOCK_MONOTONIC'
 m o-first "admission: time counts from the first try" router/admission.c \
@@ -510,7 +529,9 @@
   '    out->status = STORE_FAILED;
     return FALSE;'
 m v-revision 'lives: the store'"'"'s revision orders them' router/endpoint_table.c \
-  'if (record->revision != 0 && known->revision != 0)' \
+  'if (!store_position_is_none(record->position) &&
+      !store_position_is_none(known->position) &&
+      !endpoint_record_is_restored(record, known))' \
   'if (FALSE)'
 m v-address "entries: addresses of no machine" platform/records.c \
   'return *out != 0 && is_one_machines(*out);' \
@@ -609,5 +630,18 @@
 m s-life "suspicions: they end by themselves" router/suspicions.c \
   'return now - one->at >= SUSPICION_LIFE;' \
   'return FALSE;'
+if [ -n "$stale_only" ]; then
+  python3 - "$dir/rows" <<'P'
+import sys
+fields = open(sys.argv[1]).read().split("\0")[:-1]
+rows = list(zip(*[iter(fields)] * 4))
+stale = [r for r in rows if r[2] == r[3] or r[2] not in open(r[1]).read()]
+for name, path, _, _ in stale:
+    print(f"{name}: STALE in {path}")
+print(f"{len(rows) - len(stale)} mutants in place, {len(stale)} stale")
+sys.exit(bool(stale) or not rows)
+P
+  exit
+fi
 echo "$caught mutants caught, $missed missed"
 [ $missed = 0 ]
