--- a/core/retry.c
+++ b/core/retry.c
@@ -8,26 +8,26 @@
 #define BUDGET_MOST 20.0
 
 static void refill(mp_State *state) {
-  double secs = (double)(state->now - state->retryat) / MP_SEC;
-  state->retryat = state->now;
-  state->retrybudget =
-      MIN(BUDGET_MOST, state->retrybudget + secs * MP_RETRY_FLOOR);
+  double secs = (double)(state->now - state->retry_budget_updated_at) / MP_SEC;
+  state->retry_budget_updated_at = state->now;
+  state->retry_tokens =
+      MIN(BUDGET_MOST, state->retry_tokens + secs * MP_RETRY_FLOOR);
 }
 
 void retry_earn(mp_State *state) {
   refill(state);
-  state->retrybudget =
-      MIN(BUDGET_MOST, state->retrybudget + MP_RETRY_SHARE / 100.0);
+  state->retry_tokens =
+      MIN(BUDGET_MOST, state->retry_tokens + MP_RETRY_SHARE / 100.0);
 }
 
 int retry_spend(mp_State *state) {
   refill(state);
-  if (state->retrybudget < 1) {
-    mpcount(state, RETRIES_DENIED);
+  if (state->retry_tokens < 1) {
+    state_count(state, RETRIES_DENIED);
     return 0;
   }
-  state->retrybudget -= 1;
-  mpcount(state, RETRIES);
+  state->retry_tokens -= 1;
+  state_count(state, RETRIES);
   return 1;
 }
 
