--- a/core/catalogue.c
+++ b/core/catalogue.c
@@ -1,6 +1,6 @@
 /*
 ** catalogue.c
-** The numbered events: level and text of each
+** The level and text of each numbered log event (MP_EVENTS)
 */
 
 #include "madderpier.h"
@@ -15,7 +15,8 @@
 #undef X
 };
 
-static size_t place_of(mp_EventNo number) {
+/* asserts that the number is one of an event */
+static size_t event_index(mp_EventNo number) {
   size_t i;
   for (i = 0; i < G_N_ELEMENTS(events) && events[i].number != number; i++)
     ;
@@ -24,9 +25,9 @@
 }
 
 mp_Level mp_event_level(mp_EventNo number) {
-  return events[place_of(number)].level;
+  return events[event_index(number)].level;
 }
 
 const char *mp_event_text(mp_EventNo number) {
-  return events[place_of(number)].text;
+  return events[event_index(number)].text;
 }
--- a/core/claim.h
+++ b/core/claim.h
@@ -1,13 +1,17 @@
 /*
 ** claim.h
-** Claims on request IDs: answered once, and run at most once
-** Reads: members, config. Writes: claims.
+** Claims on request IDs: one ID is answered once, and run at most once
+**
+** An ID is the hash of a client account and the idempotency key that its
+** caller gave. A claim ties an ID to one request. Claims are granted by the
+** ID's home: IDs are divided into MP_CLAIM_SHARDS shards; a rendezvous hash
+** picks the ID's data centre among those configured, and another one the
+** instance there for the shard. The home grants an ID once. For a class that
+** must not be repeated it writes the claim to the platform first (a durable
+** claim, shard.h). When the home can't be asked, the request is refused and
+** not run.
 **
-** An ID that the caller gives has a home: the instance that rendezvous
-** picks for the ID's shard, in the data centre that rendezvous picks for
-** the shard among those configured. The home grants an ID once. For a
-** class that must not be repeated the grant is written to the platform
-** first. A home that cannot be asked means "refused, not run".
+** Reads: members, config. Writes: claims.
 */
 
 #ifndef CLAIM_H
@@ -15,26 +19,32 @@
 
 #include "state.h"
 
+/* 'ran': with MP_DENIED, what is known of the request that has the ID */
 typedef void (*ClaimCallback)(mp_State *state, void *ud, mp_Verdict v,
                               mp_Ran ran);
 
 void claim_init(mp_State *state);
 void claim_free(mp_State *state);
 
-/* the ID of an account's key */
+/* make the ID of an account and idempotency key */
 void claim_make_id(const char *account, const char *key, uint64_t id[2]);
 
 /*
-** Ask for the claim; 'fn' gets MP_GRANTED, MP_DENIED (with what is known
-** of the earlier request) or MP_UNAVAILABLE. Returns a number for
-** claim_cancel_request.
+** Ask the home for a claim that lasts 'ttl' (us) from when the home learns of
+** it. 'fn' gets MP_GRANTED, MP_DENIED or MP_UNAVAILABLE, the last at latest
+** about MP_STORE_TIMEOUT + MP_HOME_SETTLE from now. Returns a number, never
+** 0, for claim_cancel_request.
 */
 uint64_t claim_request(mp_State *state, const uint64_t id[2],
                        const mp_Token *t, mp_Time ttl, int durable,
                        ClaimCallback fn, void *ud);
+/* forget the request: 'fn' is not called. The home may have granted it */
 void claim_cancel_request(mp_State *state, uint64_t asking);
 
-/* tell the home how the claimed request ended; MP_RAN_NO frees the ID */
+/*
+** Tell the home how the claimed request ended; MP_RAN_NO frees the ID. When
+** the message is lost, the ID stays taken until its time is over.
+*/
 void claim_settle(mp_State *state, const uint64_t id[2], const mp_Token *t,
                   mp_Ran ran, int durable);
 
@@ -42,12 +52,17 @@
 void claim_on_claim(mp_State *state, mp_Addr from, const mp_Msg *m);
 void claim_on_settle(mp_State *state, mp_Addr from, const mp_Msg *m);
 
-/* the set of instances changed: holders announce to new homes at once */
+/* the set of live instances changed: announce the claims held here to homes
+** that are new, with the next run of the timers */
 void claim_on_homes_changed(mp_State *state);
 
-/* draining: hand the rows kept here to their new homes; 0 when done */
+/*
+** Draining: send the rows kept here to their new homes and drop them.
+** Returns the number of rows sent; 0: none was left that another home takes.
+*/
 unsigned claim_hand_over(mp_State *state);
 
+/* the number of rows kept here as home */
 unsigned claim_count(const mp_State *state);
 
 #endif
--- a/core/doc.c
+++ b/core/doc.c
@@ -1,13 +1,15 @@
 /*
 ** doc.c
-** The configuration and the instance list: getting the newest, everywhere
+** Distribution of the configuration and of the instance list
 **
-** A few instances per data centre (the relays) hold a watch on the
-** platform; the others hear of new versions with the probes, fetch from
-** the instance that told them, and look at the platform now and then.
-** Sections are named by the digest of their text, so only changed ones
-** travel. Blobs are kept for the configuration in force and the one being
-** fetched.
+** MP_RELAYS instances of each data centre, the relays, watch both documents
+** on the platform. Every instance also learns of new versions from probes and
+** fetches them from the instance that sent the probe; one that is no relay
+** reads the platform only every MP_DOC_POLL. A configuration is a manifest and
+*sections;
+** the manifest names each section by the digest of its text, so only the
+** changed ones are fetched. Section texts are kept for the configuration in
+** force and the one that is being fetched.
 */
 
 #include <stdio.h>
@@ -20,85 +22,96 @@
 
 #define RELAY_KEY 0x72656c6179ULL /* rendezvous key of the relays */
 
-static const char *const dockey[MP_DOC_COUNT] = {DOC_KEY_CONFIG, DOC_KEY_LIST};
+static const char *const document_keys[MP_DOC_COUNT] = {DOC_KEY_CONFIG,
+                                                        DOC_KEY_LIST};
 
-/* a newer document on its way here */
-typedef struct Coming {
+/* the fetch of one document */
+typedef struct Incoming {
   mp_DocKind kind;
-  int active;
+  int active;   /* a fetch is under way */
   mp_Addr from; /* peer to fetch from; 0: the platform */
   uint64_t version;
-  GString *buf;               /* of the part that is fetched now */
-  char digest[MP_DIGEST + 1]; /* of that section; "" for the document */
-  GBytes *text;               /* the document itself, once it is here */
-  mp_Manifest man;
-  uint32_t rpc; /* open call to the peer */
-  uint64_t bad; /* highest version that was refused as invalid */
-} Coming;
+  GString *buffer;            /* what has come of the document or section */
+  char digest[MP_DIGEST + 1]; /* of the section; "": the document itself */
+  GBytes *text;               /* the document itself; NULL: not complete yet */
+  mp_Manifest manifest;     /* of a configuration, once its text is complete */
+  uint32_t rpc;             /* open call to the peer; 0: none */
+  uint64_t highest_invalid; /* the highest version found invalid */
+} Incoming;
 
 struct Docs {
-  Coming coming[MP_DOC_COUNT];
-  GHashTable *blobs; /* digest -> GBytes */
-  Timer look[MP_DOC_COUNT];
-  int asking[MP_DOC_COUNT];    /* a platform call for the document is open */
-  uint64_t seen[MP_DOC_COUNT]; /* the platform's own version */
+  Incoming incoming[MP_DOC_COUNT];
+  GHashTable *blobs;              /* digest -> GBytes */
+  Timer poll_timer[MP_DOC_COUNT]; /* the next read or watch of the platform */
+  int is_reading[MP_DOC_COUNT];   /* a platform call for it is open */
+  /* version of the platform's object, as last read; 0: the next poll reads
+  ** instead of waiting for a change */
+  uint64_t platform_version[MP_DOC_COUNT];
 };
 
-static void next(mp_State *state, Coming *c);
-static void lookat(mp_State *state, void *ud);
+static void fetch_next_section(mp_State *state, Incoming *c);
+static void poll_platform(mp_State *state, void *ud);
 
-static int relay(const mp_State *state) {
+/* is this instance one of the relays of its data centre? */
+static int is_relay(const mp_State *state) {
   return member_is_among_first(state, RELAY_KEY, MP_RELAYS);
 }
 
-static void again(mp_State *state, mp_DocKind k, mp_Time wait) {
-  state->docs->asking[k] = 0;
-  timer_arm(&state->timers, &state->docs->look[k], state->now + wait, lookat,
-            GINT_TO_POINTER(k));
+static void poll_after(mp_State *state, mp_DocKind k, mp_Time wait) {
+  state->docs->is_reading[k] = 0;
+  timer_arm(&state->timers, &state->docs->poll_timer[k], state->now + wait,
+            poll_platform, GINT_TO_POINTER(k));
 }
 
-static void clear(mp_State *state, Coming *c) {
+/* drop a fetch with what has come; an open platform call goes on */
+static void reset_incoming(mp_State *state, Incoming *c) {
   c->active = 0;
   if (c->rpc != 0)
     effect_rpc_cancel(state, c->rpc);
   c->rpc = 0;
-  if (c->buf != NULL)
-    g_string_free(c->buf, TRUE);
-  c->buf = NULL;
+  if (c->buffer != NULL)
+    g_string_free(c->buffer, TRUE);
+  c->buffer = NULL;
   if (c->text != NULL)
     g_bytes_unref(c->text);
   c->text = NULL;
 }
 
 /*
-** The fetch is over. One from the platform that failed forgets what it
-** saw, so that the next look reads instead of waiting for a change; one
-** from a peer is begun again by the next probe.
+** The fetch is over. After one from the platform that failed, the version
+** seen there is forgotten, so that the next poll reads instead of waiting for
+** a change. One from a peer that failed is started again by the next probe
+** that offers the version.
 */
-static void finish(mp_State *state, Coming *c, int ok) {
+static void finish_fetch(mp_State *state, Incoming *c, int ok) {
   int platform = c->from == 0;
-  clear(state, c);
+  reset_incoming(state, c);
   if (!platform)
     return;
   if (!ok) {
-    state->docs->seen[c->kind] = 0;
-    again(state, c->kind, MP_STORE_RETRY);
+    state->docs->platform_version[c->kind] = 0;
+    poll_after(state, c->kind, MP_STORE_RETRY);
   } else
-    again(state, c->kind, relay(state) ? 0 : MP_DOC_POLL);
+    poll_after(state, c->kind, is_relay(state) ? 0 : MP_DOC_POLL);
 }
 
 /*
 ** {==================================================================
-** Taking a document
+** Putting a document into force
 ** ===================================================================
 */
 
-static void tellothers(mp_State *state) {
+/*
+** Offer the new versions to up to MP_FANOUT members that have older ones. The
+** loop starts at an index that depends on the own address, so that not all
+** instances notify the same members.
+*/
+static void notify_members(mp_State *state) {
   mp_Msg m = {0};
   unsigned sent = 0;
   guint i;
   m.kind = MP_MSG_PROBE;
-  /* an empty probe: the answer is not waited for */
+  /* a probe without gossip; nothing waits for its answer */
   m.u.probe.start = state->start;
   m.u.probe.incarnation = state->incarnation;
   m.u.probe.dc = state->dc_hash;
@@ -118,17 +131,17 @@
   }
 }
 
-static void inforce(mp_State *state, mp_DocKind k, uint64_t version,
-                    GBytes *text) {
-  g_assert(version > state->doc[k].version); /* never back */
+static void set_in_force(mp_State *state, mp_DocKind k, uint64_t version,
+                         GBytes *text) {
+  g_assert(version > state->doc[k].version); /* versions never go back */
   state->doc[k].version = version;
   if (state->doc[k].text != NULL)
     g_bytes_unref(state->doc[k].text);
   state->doc[k].text = g_bytes_ref(text);
 }
 
-/* forget sections that the configuration in force does not name */
-static gboolean unused(gpointer key, gpointer value, gpointer ud) {
+/* a GHRFunc: true of a section that manifest 'ud' doesn't name */
+static gboolean is_unused_section(gpointer key, gpointer value, gpointer ud) {
   const mp_Manifest *m = ud;
   unsigned i;
   (void)value;
@@ -139,45 +152,48 @@
   return TRUE;
 }
 
-static KeyTable *keys_of(const mp_Config *conf) {
+static KeyTable *make_key_table(const mp_Config *config) {
   KeyTable *keys = key_table_new();
   unsigned i;
-  for (i = 0; i < conf->accounts_count; i++)
-    key_table_add(keys, conf->accounts[i].key_sha256, i);
+  for (i = 0; i < config->accounts_count; i++)
+    key_table_add(keys, config->accounts[i].key_sha256, i);
   return keys;
 }
 
-static void takeconfig(mp_State *state, Coming *c) {
+/* all sections are here: decode the configuration, put it into force */
+static void apply_config(mp_State *state, Incoming *c) {
   GBytes *text[MP_MAXSECTIONS];
   GError *err = NULL;
-  mp_Config *conf;
+  mp_Config *config;
   unsigned i;
-  for (i = 0; i < c->man.n; i++)
+  for (i = 0; i < c->manifest.n; i++)
     text[i] =
-        g_hash_table_lookup(state->docs->blobs, c->man.section[i].digest);
-  conf = state->codec->config(&c->man, text, &err);
-  if (conf == NULL) {
+        g_hash_table_lookup(state->docs->blobs, c->manifest.section[i].digest);
+  config = state->codec->config(&c->manifest, text, &err);
+  if (config == NULL) {
     effect_log(state, MP_LOG_CONFIG_BAD,
                " version=%" G_GUINT64_FORMAT " error=\"%s\"",
-               (guint64)c->man.version, err->message);
+               (guint64)c->manifest.version, err->message);
     g_error_free(err);
-    c->bad = c->man.version;
+    c->highest_invalid = c->manifest.version;
     return;
   }
   if (state->config != NULL)
     state->codec->free_config(state->config);
-  state->config = conf;
+  state->config = config;
   key_table_free(state->keys);
-  state->keys = keys_of(conf);
-  inforce(state, MP_DOC_CONFIG, c->man.version, c->text);
-  g_hash_table_foreach_remove(state->docs->blobs, unused, &c->man);
+  state->keys = make_key_table(config);
+  set_in_force(state, MP_DOC_CONFIG, c->manifest.version, c->text);
+  g_hash_table_foreach_remove(state->docs->blobs, is_unused_section,
+                              &c->manifest);
   effect_log(state, MP_LOG_CONFIG_NEW, " version=%" G_GUINT64_FORMAT " by=%s",
-             (guint64)c->man.version, c->man.by);
+             (guint64)c->manifest.version, c->manifest.by);
   fleet_refresh(state);
-  tellothers(state);
+  notify_members(state);
 }
 
-static void takelist(mp_State *state, Coming *c) {
+/* an older list than the one in force is dropped */
+static void apply_list(mp_State *state, Incoming *c) {
   GError *err = NULL;
   gsize n;
   const char *s = g_bytes_get_data(c->text, &n);
@@ -186,7 +202,7 @@
     effect_log(state, MP_LOG_CONFIG_BAD, " document=list error=\"%s\"",
                err->message);
     g_error_free(err);
-    c->bad = c->version;
+    c->highest_invalid = c->version;
     return;
   }
   if (l->version <= state->doc[MP_DOC_LIST].version) {
@@ -196,48 +212,51 @@
   if (state->list != NULL)
     state->codec->free_list(state->list);
   state->list = l;
-  inforce(state, MP_DOC_LIST, l->version, c->text);
+  set_in_force(state, MP_DOC_LIST, l->version, c->text);
   effect_log(state, MP_LOG_LIST_NEW, " version=%" G_GUINT64_FORMAT " rows=%u",
              (guint64)l->version, l->n);
   member_apply_list(state);
   fleet_refresh(state);
-  tellothers(state);
+  notify_members(state);
 }
 
-/* the document's text is here: what else is needed? */
-static void gottext(mp_State *state, Coming *c, const char *s, size_t n) {
+/* the text of the document is complete; a configuration's sections follow */
+static void on_document_text(mp_State *state, Incoming *c, const char *s,
+                             size_t n) {
   GError *err = NULL;
   c->text = g_bytes_new(s, n);
   if (c->kind == MP_DOC_LIST) {
-    takelist(state, c);
-    finish(state, c, 1);
+    apply_list(state, c);
+    finish_fetch(state, c, 1);
     return;
   }
-  if (!state->codec->manifest(s, n, &c->man, &err)) {
+  if (!state->codec->manifest(s, n, &c->manifest, &err)) {
     effect_log(state, MP_LOG_CONFIG_BAD, " document=manifest error=\"%s\"",
                err->message);
     g_error_free(err);
-    c->bad = c->version;
-    finish(state, c, 1);
+    c->highest_invalid = c->version;
+    finish_fetch(state, c, 1);
     return;
   }
-  if (c->man.version <= state->doc[MP_DOC_CONFIG].version) {
-    finish(state, c, 1);
+  if (c->manifest.version <= state->doc[MP_DOC_CONFIG].version) {
+    finish_fetch(state, c, 1);
     return;
   }
-  c->version = c->man.version;
-  next(state, c);
+  c->version = c->manifest.version;
+  fetch_next_section(state, c);
 }
 
-static void gotsection(mp_State *state, Coming *c, const char *s, size_t n) {
+/* a section whose text doesn't match its digest ends the fetch */
+static void on_section_text(mp_State *state, Incoming *c, const char *s,
+                            size_t n) {
   char d[MP_DIGEST + 1];
   mp_digest(s, n, d);
   if (strcmp(d, c->digest) != 0) {
-    finish(state, c, 0);
+    finish_fetch(state, c, 0);
     return;
   }
   g_hash_table_insert(state->docs->blobs, g_strdup(d), g_bytes_new(s, n));
-  next(state, c);
+  fetch_next_section(state, c);
 }
 
 /* }================================================================== */
@@ -248,37 +267,39 @@
 ** ===================================================================
 */
 
-static void ask(mp_State *state, Coming *c);
+static void request_part(mp_State *state, Incoming *c);
 
-static void part(mp_State *state, void *ud, mp_Addr from, const mp_Msg *m) {
-  Coming *c = ud;
+/* reply to FETCH: append the part, then ask for the next or go on */
+static void on_part(mp_State *state, void *ud, mp_Addr from, const mp_Msg *m) {
+  Incoming *c = ud;
   const mp_Fetch *f = m != NULL ? &m->u.fetch : NULL;
   (void)from;
   c->rpc = 0;
   if (f == NULL || f->total == 0 || f->total > MP_MAXDOC ||
-      f->offset != c->buf->len) {
-    finish(state, c, 0);
+      f->offset != c->buffer->len) {
+    finish_fetch(state, c, 0);
     return;
   }
-  g_string_append_len(c->buf, f->data, f->n);
-  if (c->buf->len < f->total && f->n > 0) {
-    ask(state, c);
+  g_string_append_len(c->buffer, f->data, f->n);
+  if (c->buffer->len < f->total && f->n > 0) {
+    request_part(state, c);
     return;
   }
   if (c->digest[0] != '\0')
-    gotsection(state, c, c->buf->str, c->buf->len);
+    on_section_text(state, c, c->buffer->str, c->buffer->len);
   else
-    gottext(state, c, c->buf->str, c->buf->len);
+    on_document_text(state, c, c->buffer->str, c->buffer->len);
 }
 
-static void ask(mp_State *state, Coming *c) {
+static void request_part(mp_State *state, Incoming *c) {
   mp_Msg m = {0};
   m.kind = MP_MSG_FETCH;
   m.u.fetch.doc = (uint8_t)c->kind;
   m.u.fetch.version = c->version;
   memcpy(m.u.fetch.digest, c->digest, sizeof c->digest);
-  m.u.fetch.offset = (uint32_t)c->buf->len;
-  c->rpc = effect_rpc_call(state, c->from, &m, 4 * MP_PROBE_TIMEOUT, part, c);
+  m.u.fetch.offset = (uint32_t)c->buffer->len;
+  c->rpc =
+      effect_rpc_call(state, c->from, &m, 4 * MP_PROBE_TIMEOUT, on_part, c);
 }
 
 void document_on_fetch(mp_State *state, mp_Addr from, const mp_Msg *m) {
@@ -312,100 +333,111 @@
 ** ===================================================================
 */
 
-static void sectionread(mp_State *state, void *ud, const mp_StoreEvent *e) {
-  Coming *c = ud;
+static void on_section_read(mp_State *state, void *ud,
+                            const mp_StoreEvent *e) {
+  Incoming *c = ud;
   if (!c->active || c->from != 0)
     return;
   if (e->status != MP_STORE_OK) {
-    finish(state, c, 0);
+    finish_fetch(state, c, 0);
     return;
   }
-  gotsection(state, c, e->value, e->len);
+  on_section_text(state, c, e->value, e->len);
 }
 
-/* the next missing section, or the whole is there */
-static void next(mp_State *state, Coming *c) {
+/* fetch the next missing section, or apply the complete configuration */
+static void fetch_next_section(mp_State *state, Incoming *c) {
   unsigned i;
   char key[sizeof DOC_KEY_SECTION + MP_DIGEST];
-  for (i = 0; i < c->man.n; i++) {
-    if (!g_hash_table_contains(state->docs->blobs, c->man.section[i].digest))
+  for (i = 0; i < c->manifest.n; i++) {
+    if (!g_hash_table_contains(state->docs->blobs,
+                               c->manifest.section[i].digest))
       break;
   }
-  if (i == c->man.n) {
-    takeconfig(state, c);
-    finish(state, c, 1);
+  if (i == c->manifest.n) {
+    apply_config(state, c);
+    finish_fetch(state, c, 1);
     return;
   }
-  memcpy(c->digest, c->man.section[i].digest, sizeof c->digest);
+  memcpy(c->digest, c->manifest.section[i].digest, sizeof c->digest);
   if (c->from != 0) {
-    g_string_truncate(c->buf, 0);
-    ask(state, c);
+    g_string_truncate(c->buffer, 0);
+    request_part(state, c);
     return;
   }
   snprintf(key, sizeof key, "%s%s", DOC_KEY_SECTION, c->digest);
   effect_store_call(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
-                    sectionread, c);
+                    on_section_read, c);
 }
 
-static void begin(mp_State *state, Coming *c, mp_Addr from, uint64_t version) {
+/* 'from' 0: from the platform; 'version' 0: not known yet */
+static void start_fetch(mp_State *state, Incoming *c, mp_Addr from,
+                        uint64_t version) {
   if (c->active && c->from == 0)
-    finish(state, c, 0); /* the platform is looked at again, later */
-  clear(state, c);
+    finish_fetch(state, c, 0); /* the platform is polled again later */
+  reset_incoming(state, c);
   c->active = 1;
   c->from = from;
   c->version = version;
   c->digest[0] = '\0';
-  c->buf = g_string_new(NULL);
+  c->buffer = g_string_new(NULL);
 }
 
 void document_on_offer(mp_State *state, mp_Addr from,
                        const uint64_t *versions) {
   int k;
   for (k = 0; k < MP_DOC_COUNT; k++) {
-    Coming *c = &state->docs->coming[k];
-    if (versions[k] <= state->doc[k].version || versions[k] <= c->bad)
+    Incoming *c = &state->docs->incoming[k];
+    if (versions[k] <= state->doc[k].version ||
+        versions[k] <= c->highest_invalid)
       continue;
     if (c->active && c->version >= versions[k])
       continue;
-    begin(state, c, from, versions[k]);
-    ask(state, c);
+    start_fetch(state, c, from, versions[k]);
+    request_part(state, c);
   }
 }
 
-static void docread(mp_State *state, mp_DocKind k, const mp_StoreEvent *e) {
-  Coming *c = &state->docs->coming[k];
+/*
+** A read or watch of the platform ended. Without a document in force, or when
+** the platform has none, the next poll follows after a second.
+*/
+static void on_document_read(mp_State *state, mp_DocKind k,
+                             const mp_StoreEvent *e) {
+  Incoming *c = &state->docs->incoming[k];
   if (e->status == MP_STORE_OK) {
-    state->docs->seen[k] = e->version;
-    begin(state, c, 0, 0);
-    gottext(state, c, e->value, e->len);
+    state->docs->platform_version[k] = e->version;
+    start_fetch(state, c, 0, 0);
+    on_document_text(state, c, e->value, e->len);
   } else if (e->status == MP_STORE_ABSENT || state->doc[k].version == 0)
-    again(state, k, MP_SEC);
+    poll_after(state, k, MP_SEC);
   else
-    again(state, k, relay(state) ? MP_STORE_RETRY : MP_DOC_POLL);
+    poll_after(state, k, is_relay(state) ? MP_STORE_RETRY : MP_DOC_POLL);
 }
 
-static void configread(mp_State *state, void *ud, const mp_StoreEvent *e) {
+static void on_config_read(mp_State *state, void *ud, const mp_StoreEvent *e) {
   (void)ud;
-  docread(state, MP_DOC_CONFIG, e);
+  on_document_read(state, MP_DOC_CONFIG, e);
 }
 
-static void listread(mp_State *state, void *ud, const mp_StoreEvent *e) {
+static void on_list_read(mp_State *state, void *ud, const mp_StoreEvent *e) {
   (void)ud;
-  docread(state, MP_DOC_LIST, e);
+  on_document_read(state, MP_DOC_LIST, e);
 }
 
-static void lookat(mp_State *state, void *ud) {
+/* timer function: a relay that knows a version watches, others read */
+static void poll_platform(mp_State *state, void *ud) {
   mp_DocKind k = (mp_DocKind)GPOINTER_TO_INT(ud);
-  StoreCallback fn = k == MP_DOC_CONFIG ? configread : listread;
-  uint64_t seen = state->docs->seen[k];
-  if (state->docs->asking[k])
+  StoreCallback fn = k == MP_DOC_CONFIG ? on_config_read : on_list_read;
+  uint64_t platform_version = state->docs->platform_version[k];
+  if (state->docs->is_reading[k])
     return;
-  state->docs->asking[k] = 1;
-  if (seen != 0 && relay(state))
-    effect_store_call(state, MP_ST_WATCH, dockey[k], seen, NULL, 0,
-                      MP_WATCH_TIME + MP_STORE_TIMEOUT, fn, NULL);
+  state->docs->is_reading[k] = 1;
+  if (platform_version != 0 && is_relay(state))
+    effect_store_call(state, MP_ST_WATCH, document_keys[k], platform_version,
+                      NULL, 0, MP_WATCH_TIME + MP_STORE_TIMEOUT, fn, NULL);
   else
-    effect_store_call(state, MP_ST_GET, dockey[k], 0, NULL, 0,
+    effect_store_call(state, MP_ST_GET, document_keys[k], 0, NULL, 0,
                       MP_STORE_TIMEOUT, fn, NULL);
 }
 
@@ -417,16 +449,16 @@
   state->docs->blobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify)g_bytes_unref);
   for (k = 0; k < MP_DOC_COUNT; k++) {
-    state->docs->coming[k].kind = (mp_DocKind)k;
-    timer_arm(&state->timers, &state->docs->look[k], state->now, lookat,
-              GINT_TO_POINTER(k));
+    state->docs->incoming[k].kind = (mp_DocKind)k;
+    timer_arm(&state->timers, &state->docs->poll_timer[k], state->now,
+              poll_platform, GINT_TO_POINTER(k));
   }
 }
 
 void document_free(mp_State *state) {
   int k;
   for (k = 0; k < MP_DOC_COUNT; k++) {
-    clear(state, &state->docs->coming[k]);
+    reset_incoming(state, &state->docs->incoming[k]);
     if (state->doc[k].text != NULL)
       g_bytes_unref(state->doc[k].text);
   }
--- a/core/err.c
+++ b/core/err.c
@@ -1,6 +1,7 @@
 /*
 ** err.c
-** Error kinds and their words
+** The names, HTTP statuses and texts of errors (MP_ERRORS), and the words
+** for mp_Ran
 */
 
 #include "madderpier.h"
@@ -10,7 +11,7 @@
   int status;
   int retry;
   const char *text;
-} kinds[MP_ERR_COUNT] = {
+} error_kinds[MP_ERR_COUNT] = {
 #define X(sym, name, status, retry, text) {name, status, retry, text},
     MP_ERRORS(X)
 #undef X
@@ -22,22 +23,22 @@
 
 const char *mp_error_name(mp_Error e) {
   g_assert(e < MP_ERR_COUNT);
-  return kinds[e].name;
+  return error_kinds[e].name;
 }
 
 const char *mp_error_text(mp_Error e) {
   g_assert(e < MP_ERR_COUNT);
-  return kinds[e].text;
+  return error_kinds[e].text;
 }
 
 int mp_error_status(mp_Error e) {
   g_assert(e < MP_ERR_COUNT);
-  return kinds[e].status;
+  return error_kinds[e].status;
 }
 
 int mp_error_retry(mp_Error e) {
   g_assert(e < MP_ERR_COUNT);
-  return kinds[e].retry;
+  return error_kinds[e].retry;
 }
 
 const char *mp_ran_name(mp_Ran r) {
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -1,12 +1,16 @@
 /*
 ** fleet.c
-** The table of endpoints, made from the instance list and configuration
+** The table of endpoints, built from the instance list and configuration
 **
-** A row whose endpoint left the list stays, as leaving, while this
-** instance has work there. Ejection: MP_EJECT_FAILS failures in a row
-** close an endpoint for a while that doubles; it never closes more than
-** the share of the pool that MP_EJECT_FLOOR leaves open. When the time is
-** over the next request is the probe: its failure ejects again at once.
+** A row whose endpoint is not in the list any more stays, as leaving, while
+** this instance has attempts there.
+**
+** Ejection: after MP_EJECT_FAILS failures in a row an endpoint gets no new
+** work for MP_EJECT_TIME; this time doubles with each ejection since the last
+** success, up to MP_EJECT_MAX. An endpoint is ejected only if at least
+*MP_EJECT_FLOOR percent
+** of its pool, and at least one endpoint, stay open. After the time the next
+** request is the test: if it fails, the endpoint is ejected again at once.
 */
 
 #include <string.h>
@@ -20,10 +24,11 @@
 }
 
 int fleet_is_open(const mp_State *state, const Endpoint *e) {
-  return !e->leaving && !e->drained && !e->down && e->ejected <= state->now;
+  return !e->leaving && !e->drained && !e->down &&
+         e->ejected_until <= state->now;
 }
 
-static Endpoint *add(mp_State *state, const mp_Instance *in) {
+static Endpoint *add_endpoint(mp_State *state, const mp_Instance *in) {
   Endpoint *e = g_new0(Endpoint, 1);
   e->addr = in->addr;
   e->role = in->role;
@@ -37,7 +42,9 @@
   return e;
 }
 
-static const mp_Instance *inlist(const mp_State *state, const Endpoint *e) {
+/* the list's entry of an endpoint, or NULL */
+static const mp_Instance *find_in_list(const mp_State *state,
+                                       const Endpoint *e) {
   unsigned i;
   for (i = 0; i < state->list->n; i++) {
     const mp_Instance *in = &state->list->inst[i];
@@ -47,22 +54,23 @@
   return NULL;
 }
 
-static void leaving(mp_State *state, Endpoint *e) {
+static void mark_leaving(mp_State *state, Endpoint *e) {
   if (e->leaving)
     return;
   e->leaving = 1;
   effect_log(state, MP_LOG_EP_LEAVING, " endpoint=%s", e->name);
 }
 
-static void dropgone(mp_State *state) {
+/* free the rows that are not in the list, once they have no attempts */
+static void drop_unlisted(mp_State *state) {
   guint i = 0;
   while (i < state->endpoints->len) {
     Endpoint *e = state->endpoints->pdata[i];
-    if (inlist(state, e) != NULL) {
+    if (find_in_list(state, e) != NULL) {
       i++;
       continue;
     }
-    leaving(state, e);
+    mark_leaving(state, e);
     if (e->mine > 0) {
       i++;
       continue;
@@ -83,25 +91,25 @@
       continue;
     e = fleet_get(state, in->addr);
     if (e == NULL)
-      e = add(state, in);
+      e = add_endpoint(state, in);
     if (in->leaving)
-      leaving(state, e);
+      mark_leaving(state, e);
     e->drained = place_is_drained(state->config, e->name) ||
                  place_is_drained(state->config, e->dc);
   }
-  dropgone(state);
+  drop_unlisted(state);
 }
 
 void fleet_call_succeeded(mp_State *state, mp_Addr a) {
   Endpoint *e = fleet_get(state, a);
   if (e == NULL)
     return;
-  e->fails = 0;
-  e->ejections = 0;
+  e->consecutive_failures = 0;
+  e->ejection_count = 0;
 }
 
-/* would closing 'e' leave enough of its pool open? */
-static int spare(const mp_State *state, const Endpoint *e) {
+/* would ejecting 'e' leave enough of its pool (service and role) open? */
+static int may_eject(const mp_State *state, const Endpoint *e) {
   unsigned all = 0;
   unsigned open = 0;
   guint i;
@@ -121,15 +129,15 @@
   mp_Time t;
   if (e == NULL)
     return;
-  e->fails++;
-  if (e->fails < MP_EJECT_FAILS && e->ejections == 0)
+  e->consecutive_failures++;
+  if (e->consecutive_failures < MP_EJECT_FAILS && e->ejection_count == 0)
     return;
-  if (e->ejected > state->now || !spare(state, e))
+  if (e->ejected_until > state->now || !may_eject(state, e))
     return;
-  t = MP_EJECT_TIME << MIN(e->ejections, 4);
-  e->ejected = state->now + MIN(t, MP_EJECT_MAX);
-  e->ejections++;
+  t = MP_EJECT_TIME << MIN(e->ejection_count, 4);
+  e->ejected_until = state->now + MIN(t, MP_EJECT_MAX);
+  e->ejection_count++;
   state_count(state, EJECTIONS);
   effect_log(state, MP_LOG_EJECT, " endpoint=%s seconds=%d", e->name,
-             (int)((e->ejected - state->now) / MP_SEC));
+             (int)((e->ejected_until - state->now) / MP_SEC));
 }
--- a/core/fx.c
+++ b/core/fx.c
@@ -1,6 +1,6 @@
 /*
 ** fx.c
-** How controllers ask for effects, and get the answers
+** The queue of effects, and the calls that wait for an answer
 */
 
 #include <stdio.h>
@@ -8,31 +8,34 @@
 
 #include "fx.h"
 
-typedef struct Rpc {
+/* an open call to an instance */
+typedef struct RpcCall {
   mp_State *state;
   uint32_t seq;
   mp_Addr to;
   mp_Msg msg;
-  mp_Time wait;
-  mp_Time until;
+  mp_Time resend_wait; /* until the message is sent again */
+  mp_Time deadline;    /* the call ends without a reply then */
   Timer timer;
   RpcCallback fn;
   void *ud;
-} Rpc;
+} RpcCall;
 
-typedef struct Xopen {
+/* an open call to an endpoint */
+typedef struct EndpointCall {
   EndpointCallback fn;
   void *ud;
-} Xopen;
+} EndpointCall;
 
-typedef struct Stopen {
+/* an open call to the platform */
+typedef struct StoreCall {
   mp_State *state;
   uint64_t op;
-  int write;
+  int is_write;
   Timer timer;
   StoreCallback fn;
   void *ud;
-} Stopen;
+} StoreCall;
 
 /*
 ** {==================================================================
@@ -40,14 +43,14 @@
 ** ===================================================================
 */
 
-static QueuedEffect *push(mp_State *state, mp_EffectKind kind) {
+static QueuedEffect *push_effect(mp_State *state, mp_EffectKind kind) {
   QueuedEffect *f = g_new0(QueuedEffect, 1);
   f->e.kind = kind;
-  g_queue_push_tail(&state->fx, f);
+  g_queue_push_tail(&state->effects, f);
   return f;
 }
 
-static void freefx(QueuedEffect *f) {
+static void free_effect(QueuedEffect *f) {
   if (f == NULL)
     return;
   g_free(f->own[0]);
@@ -55,8 +58,11 @@
   g_free(f);
 }
 
-/* a copy of 'n' bytes with a zero behind them, owned by the effect */
-static const char *keep(QueuedEffect *f, int i, const char *s, size_t n) {
+/*
+** A copy of 'n' bytes with a zero byte appended, owned by the effect as
+** own[i]; NULL for NULL.
+*/
+static const char *copy_text(QueuedEffect *f, int i, const char *s, size_t n) {
   char *d;
   if (s == NULL)
     return NULL;
@@ -67,16 +73,16 @@
   return d;
 }
 
-static const char *keepz(QueuedEffect *f, int i, const char *s) {
-  return keep(f, i, s, s == NULL ? 0 : strlen(s));
+static const char *copy_string(QueuedEffect *f, int i, const char *s) {
+  return copy_text(f, i, s, s == NULL ? 0 : strlen(s));
 }
 
 int mp_take(mp_State *state, mp_Effect *out) {
-  freefx(state->taken);
-  state->taken = g_queue_pop_head(&state->fx);
-  if (state->taken == NULL)
+  free_effect(state->taken_effect);
+  state->taken_effect = g_queue_pop_head(&state->effects);
+  if (state->taken_effect == NULL)
     return 0;
-  *out = state->taken->e;
+  *out = state->taken_effect->e;
   return 1;
 }
 
@@ -90,11 +96,11 @@
 
 void effect_send(mp_State *state, mp_Addr to, const mp_Msg *m) {
   if (to == state->self) {
-    g_queue_push_tail(&state->loop, g_memdup2(m, sizeof *m));
+    g_queue_push_tail(&state->loopback, g_memdup2(m, sizeof *m));
     return;
   }
   {
-    QueuedEffect *f = push(state, MP_FX_SEND);
+    QueuedEffect *f = push_effect(state, MP_FX_SEND);
     f->e.u.send.to = to;
     f->e.u.send.msg = *m;
     state_count(state, MSG_OUT);
@@ -102,7 +108,7 @@
 }
 
 int effect_take_loopback(mp_State *state, mp_Msg *m) {
-  mp_Msg *first = g_queue_pop_head(&state->loop);
+  mp_Msg *first = g_queue_pop_head(&state->loopback);
   if (first == NULL)
     return 0;
   *m = *first;
@@ -118,25 +124,26 @@
   effect_send(state, to, m);
 }
 
-static void rpcagain(mp_State *state, void *ud) {
-  Rpc *c = ud;
-  if (state->now >= c->until) {
+/* timer function: send the message again, or end the call */
+static void resend_rpc(mp_State *state, void *ud) {
+  RpcCall *c = ud;
+  if (state->now >= c->deadline) {
     RpcCallback fn = c->fn;
-    void *fud = c->ud;
+    void *callback_ud = c->ud;
     mp_Addr to = c->to;
     effect_rpc_cancel(state, c->seq);
-    fn(state, fud, to, NULL);
+    fn(state, callback_ud, to, NULL);
     return;
   }
   effect_send(state, c->to, &c->msg);
-  c->wait *= 2;
-  timer_arm(&state->timers, &c->timer, MIN(state->now + c->wait, c->until),
-            rpcagain, c);
+  c->resend_wait *= 2;
+  timer_arm(&state->timers, &c->timer,
+            MIN(state->now + c->resend_wait, c->deadline), resend_rpc, c);
 }
 
 uint32_t effect_rpc_call(mp_State *state, mp_Addr to, const mp_Msg *m,
                          mp_Time patience, RpcCallback fn, void *ud) {
-  Rpc *c = g_new0(Rpc, 1);
+  RpcCall *c = g_new0(RpcCall, 1);
   c->state = state;
   if (++state->last_rpc_seq == 0) /* 0 means "no call" */
     state->last_rpc_seq = 1;
@@ -145,14 +152,14 @@
   c->msg = *m;
   c->msg.seq = c->seq;
   c->msg.reply = 0;
-  c->wait = MP_RPC_WAIT;
-  c->until = state->now + patience;
+  c->resend_wait = MP_RPC_WAIT;
+  c->deadline = state->now + patience;
   c->fn = fn;
   c->ud = ud;
   state_table_set(state->rpcs, c->seq, c);
   effect_send(state, to, &c->msg);
-  timer_arm(&state->timers, &c->timer, MIN(state->now + c->wait, c->until),
-            rpcagain, c);
+  timer_arm(&state->timers, &c->timer,
+            MIN(state->now + c->resend_wait, c->deadline), resend_rpc, c);
   return c->seq;
 }
 
@@ -161,21 +168,21 @@
 }
 
 mp_MsgKind mp_pending(const mp_State *state, uint32_t seq) {
-  const Rpc *c = state_table_get(state->rpcs, seq);
+  const RpcCall *c = state_table_get(state->rpcs, seq);
   return c != NULL ? c->msg.kind : (mp_MsgKind)0;
 }
 
-static void freerpc(void *p) {
-  Rpc *c = p;
+static void free_rpc_call(void *p) {
+  RpcCall *c = p;
   timer_stop(&c->state->timers, &c->timer);
   g_free(c);
 }
 
 void effect_on_rpc_reply(mp_State *state, mp_Addr from, const mp_Msg *m) {
-  Rpc *c = state_table_get(state->rpcs, m->seq);
+  RpcCall *c = state_table_get(state->rpcs, m->seq);
   RpcCallback fn;
   void *ud;
-  /* an answer counts only from the instance that was asked */
+  /* only a reply of the instance that was called counts */
   if (c == NULL || c->to != from || c->msg.kind != m->kind)
     return;
   fn = c->fn;
@@ -188,33 +195,33 @@
 
 /*
 ** {==================================================================
-** Endpoints
+** Calls to endpoints
 ** ===================================================================
 */
 
 uint64_t effect_endpoint_call(mp_State *state, mp_Xcall *x,
                               EndpointCallback fn, void *ud) {
-  Xopen *o = g_new0(Xopen, 1);
-  QueuedEffect *f = push(state, MP_FX_XCALL);
+  EndpointCall *o = g_new0(EndpointCall, 1);
+  QueuedEffect *f = push_effect(state, MP_FX_XCALL);
   x->xcall = ++state->last_call_number;
   o->fn = fn;
   o->ud = ud;
-  state_table_set(state->xcalls, x->xcall, o);
+  state_table_set(state->endpoint_calls, x->xcall, o);
   f->e.u.xcall = *x;
-  f->e.u.xcall.kv = keepz(f, 0, x->kv);
-  f->e.u.xcall.partial = keepz(f, 1, x->partial);
+  f->e.u.xcall.kv = copy_string(f, 0, x->kv);
+  f->e.u.xcall.partial = copy_string(f, 1, x->partial);
   return x->xcall;
 }
 
 void effect_endpoint_abort(mp_State *state, uint64_t xcall) {
-  if (state_table_get(state->xcalls, xcall) == NULL)
+  if (state_table_get(state->endpoint_calls, xcall) == NULL)
     return;
-  state_table_remove(state->xcalls, xcall);
-  push(state, MP_FX_XABORT)->e.u.xabort = xcall;
+  state_table_remove(state->endpoint_calls, xcall);
+  push_effect(state, MP_FX_XABORT)->e.u.xabort = xcall;
 }
 
 int effect_on_endpoint_event(mp_State *state, const mp_EndpointEvent *e) {
-  Xopen *o = state_table_get(state->xcalls, e->xcall);
+  EndpointCall *o = state_table_get(state->endpoint_calls, e->xcall);
   EndpointCallback fn;
   void *ud;
   if (o == NULL)
@@ -222,7 +229,7 @@
   fn = o->fn;
   ud = o->ud;
   if (e->what == MP_EP_DONE || e->what == MP_EP_FAIL)
-    state_table_remove(state->xcalls, e->xcall);
+    state_table_remove(state->endpoint_calls, e->xcall);
   fn(state, ud, e);
   return 1;
 }
@@ -231,52 +238,54 @@
 
 /*
 ** {==================================================================
-** The platform
+** Calls to the platform
 ** ===================================================================
 */
 
-static void storelate(mp_State *state, void *ud) {
-  Stopen *o = ud;
+/* timer function: end a call that the platform left unanswered */
+static void on_store_timeout(mp_State *state, void *ud) {
+  StoreCall *o = ud;
   mp_StoreEvent e = {0};
   e.op = o->op;
-  /* a read has no effect; a write may still have had its own */
-  e.status = o->write ? MP_STORE_UNKNOWN : MP_STORE_DOWN;
+  /* a read changes nothing; a write may have been carried out */
+  e.status = o->is_write ? MP_STORE_UNKNOWN : MP_STORE_DOWN;
   effect_on_store_event(state, &e);
 }
 
 uint64_t effect_store_call(mp_State *state, mp_StoreOp what, const char *key,
                            uint64_t version, const char *value, size_t len,
                            mp_Time patience, StoreCallback fn, void *ud) {
-  Stopen *o = g_new0(Stopen, 1);
-  QueuedEffect *f = push(state, MP_FX_STORE);
+  StoreCall *o = g_new0(StoreCall, 1);
+  QueuedEffect *f = push_effect(state, MP_FX_STORE);
   mp_StoreCall *s = &f->e.u.store;
   o->state = state;
   o->op = ++state->last_call_number;
-  o->write = what == MP_ST_PUT;
+  o->is_write = what == MP_ST_PUT;
   o->fn = fn;
   o->ud = ud;
-  state_table_set(state->stores, o->op, o);
-  timer_arm(&state->timers, &o->timer, state->now + patience, storelate, o);
+  state_table_set(state->store_calls, o->op, o);
+  timer_arm(&state->timers, &o->timer, state->now + patience, on_store_timeout,
+            o);
   s->op = o->op;
   s->what = what;
-  s->key = keepz(f, 0, key);
+  s->key = copy_string(f, 0, key);
   s->version = version;
-  s->value = keep(f, 1, value, len);
+  s->value = copy_text(f, 1, value, len);
   s->len = len;
   state_count(state, STORE_CALLS);
-  if (o->write)
+  if (o->is_write)
     state_count(state, STORE_WRITES);
   return o->op;
 }
 
-static void freestore(void *p) {
-  Stopen *o = p;
+static void free_store_call(void *p) {
+  StoreCall *o = p;
   timer_stop(&o->state->timers, &o->timer);
   g_free(o);
 }
 
 int effect_on_store_event(mp_State *state, const mp_StoreEvent *e) {
-  Stopen *o = state_table_get(state->stores, e->op);
+  StoreCall *o = state_table_get(state->store_calls, e->op);
   StoreCallback fn;
   void *ud;
   int down = e->status == MP_STORE_DOWN || e->status == MP_STORE_UNKNOWN;
@@ -284,7 +293,7 @@
     return 0;
   fn = o->fn;
   ud = o->ud;
-  state_table_remove(state->stores, e->op);
+  state_table_remove(state->store_calls, e->op);
   if (down != state->is_store_down) {
     state->is_store_down = down;
     effect_log(state, down ? MP_LOG_STORE_DOWN : MP_LOG_STORE_UP, "%s", "");
@@ -297,18 +306,18 @@
 
 /*
 ** {==================================================================
-** Answers, logs
+** Answers to callers, log events, drain
 ** ===================================================================
 */
 
 void effect_caller_reply(mp_State *state, const mp_Reply *r) {
-  QueuedEffect *f = push(state, MP_FX_REPLY);
+  QueuedEffect *f = push_effect(state, MP_FX_REPLY);
   f->e.u.reply = *r;
-  f->e.u.reply.text = keep(f, 0, r->text, r->len);
+  f->e.u.reply.text = copy_text(f, 0, r->text, r->len);
 }
 
 void effect_log(mp_State *state, mp_EventNo no, const char *fmt, ...) {
-  QueuedEffect *f = push(state, MP_FX_LOG);
+  QueuedEffect *f = push_effect(state, MP_FX_LOG);
   mp_Log *l = &f->e.u.log;
   va_list ap;
   l->no = no;
@@ -321,26 +330,26 @@
 }
 
 void effect_drained(mp_State *state) {
-  push(state, MP_FX_DRAINED);
+  push_effect(state, MP_FX_DRAINED);
 }
 
 /* }================================================================== */
 
 void effect_init(mp_State *state) {
-  g_queue_init(&state->fx);
-  g_queue_init(&state->loop);
-  state->rpcs = state_table_new(freerpc);
-  state->xcalls = state_table_new(g_free);
-  state->stores = state_table_new(freestore);
+  g_queue_init(&state->effects);
+  g_queue_init(&state->loopback);
+  state->rpcs = state_table_new(free_rpc_call);
+  state->endpoint_calls = state_table_new(g_free);
+  state->store_calls = state_table_new(free_store_call);
 }
 
 void effect_free(mp_State *state) {
   QueuedEffect *f;
   g_hash_table_destroy(state->rpcs);
-  g_hash_table_destroy(state->xcalls);
-  g_hash_table_destroy(state->stores);
-  while ((f = g_queue_pop_head(&state->fx)) != NULL)
-    freefx(f);
-  freefx(state->taken);
-  g_queue_clear_full(&state->loop, g_free);
+  g_hash_table_destroy(state->endpoint_calls);
+  g_hash_table_destroy(state->store_calls);
+  while ((f = g_queue_pop_head(&state->effects)) != NULL)
+    free_effect(f);
+  free_effect(state->taken_effect);
+  g_queue_clear_full(&state->loopback, g_free);
 }
--- a/core/holder.c
+++ b/core/holder.c
@@ -1,6 +1,6 @@
 /*
 ** holder.c
-** The holder's side of reservations: asking, renewing, giving back
+** Reservations as their holder sees them: asking, renewing, releasing
 */
 
 #include "fleet.h"
@@ -10,8 +10,13 @@
 #include "keep.h"
 #include "member.h"
 
-static void answered(mp_State *state, void *ud, mp_Addr from,
-                     const mp_Msg *m) {
+/*
+** The keeper's reply to RESERVE, or NULL when none came. Unless the instance
+** asked is not the keeper, the reply carries the endpoint's slots and those in
+** use; unless it grants, also the estimated wait.
+*/
+static void on_reserve_reply(mp_State *state, void *ud, mp_Addr from,
+                             const mp_Msg *m) {
   Request *r = ud;
   Attempt *a;
   Endpoint *e;
@@ -40,8 +45,8 @@
   mp_Msg m = {0};
   mp_Reserve *v = &m.u.reserve;
   if (keeper != 0 && (k = member_get(state, keeper)) != NULL &&
-      k->avoid > state->now)
-    keeper = 0; /* it did not answer just now */
+      k->avoid_until > state->now)
+    keeper = 0; /* it left a call unanswered shortly before */
   if (keeper == 0) {
     flow_reserved(state, r, a, MP_WRONG_HOME, 0);
     return;
@@ -57,7 +62,8 @@
   v->weight = r->weight;
   e->mine++;
   e->sent_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
-  r->rpc = effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, answered, r);
+  r->rpc =
+      effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, on_reserve_reply, r);
 }
 
 void holder_release(mp_State *state, Request *r, Attempt *a, int kept) {
@@ -77,7 +83,7 @@
     m.u.release.endpoint = a->endpoint;
     m.u.release.kept = (uint8_t)(kept != 0);
     m.u.release.took_ms = (uint32_t)((state->now - a->begun) / MP_MS);
-    effect_send(state, keeper, &m); /* when it is lost, the lease ends it */
+    effect_send(state, keeper, &m); /* if it is lost, the lease runs out */
   }
   if (!kept)
     a->no = 0;
@@ -89,7 +95,8 @@
   r->rpc = 0;
 }
 
-static Attempt *attempt(Request *r, uint32_t no) {
+/* the attempt of the request with this number, or NULL */
+static Attempt *find_attempt(Request *r, uint32_t no) {
   if (no != 0 && r->prefill.no == no)
     return &r->prefill;
   if (no != 0 && r->decode.no == no)
@@ -105,13 +112,14 @@
   if (v->token.owner == state->self && v->token.start == state->start)
     r = state_table_get(state->request_by_seq, v->token.seq);
   if (r != NULL)
-    a = attempt(r, v->attempt);
+    a = find_attempt(r, v->attempt);
   ans.u.reserve = *v;
   ans.u.reserve.verdict = a != NULL ? MP_GRANTED : MP_DENIED;
   effect_rpc_reply(state, from, m, &ans);
   if (a == NULL || !a->waiting)
     return;
-  holder_cancel_call(state, r); /* the answer to the call itself is late */
+  /* a reply to the RESERVE call itself would be out of date */
+  holder_cancel_call(state, r);
   flow_reserved(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
 }
 
@@ -121,9 +129,12 @@
 ** ===================================================================
 */
 
-/* one datagram for each keeper, sent when it is full */
-static void renew(mp_State *state, GHashTable *batches, const Request *r,
-                  const Attempt *a, mp_HoldState hold) {
+/*
+** Add an attempt to the message for its keeper. 'batches' holds one message
+** for each keeper, by address; a full one is sent and emptied.
+*/
+static void add_renewal(mp_State *state, GHashTable *batches, const Request *r,
+                        const Attempt *a, mp_HoldState hold) {
   const Endpoint *e = a->no != 0 ? fleet_get(state, a->endpoint) : NULL;
   mp_Addr keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
   mp_Msg *m;
@@ -151,7 +162,8 @@
   }
 }
 
-static mp_HoldState holdstate(const Request *r, const Attempt *a) {
+/* what the attempt's reservation holds at the endpoint now */
+static mp_HoldState hold_state(const Request *r, const Attempt *a) {
   if (!a->granted)
     return MP_HOLD_WAIT;
   if (a == &r->prefill && r->kv != NULL)
@@ -159,7 +171,8 @@
   return MP_HOLD_BUSY;
 }
 
-static void renewall(mp_State *state, void *ud) {
+/* timer function: renew all reservations of this instance */
+static void send_renewals(mp_State *state, void *ud) {
   GHashTable *batches = state_table_new(g_free);
   GHashTableIter it;
   gpointer k;
@@ -168,8 +181,8 @@
   (void)ud;
   for (i = 0; i < state->requests->len; i++) {
     const Request *r = state->requests->pdata[i];
-    renew(state, batches, r, &r->prefill, holdstate(r, &r->prefill));
-    renew(state, batches, r, &r->decode, holdstate(r, &r->decode));
+    add_renewal(state, batches, r, &r->prefill, hold_state(r, &r->prefill));
+    add_renewal(state, batches, r, &r->decode, hold_state(r, &r->decode));
   }
   g_hash_table_iter_init(&it, batches);
   while (g_hash_table_iter_next(&it, &k, &v)) {
@@ -178,12 +191,12 @@
   }
   g_hash_table_destroy(batches);
   timer_arm(&state->timers, &state->renew_timer, state->now + MP_RENEW_PERIOD,
-            renewall, NULL);
+            send_renewals, NULL);
 }
 
 /* }================================================================== */
 
 void holder_init(mp_State *state) {
   timer_arm(&state->timers, &state->renew_timer, state->now + MP_RENEW_PERIOD,
-            renewall, NULL);
+            send_renewals, NULL);
 }
--- a/core/keep.c
+++ b/core/keep.c
@@ -1,13 +1,15 @@
 /*
 ** keep.c
-** The keeper: reservations at the endpoints of this data centre
+** The keeper of an endpoint: grants reservations and polls the load
 **
-** Decode: a slot is promised while the holds in use are fewer than the
-** slots, or when enough of them should end before the slot is needed.
-** Prefill: work is granted a little ahead (MP_PREFILL_AHEAD) of what the
-** engine computes, so that the order of the waiting is decided here.
-** Waiting work goes by the latest moment at which it can start and still
-** meet its target, which ages by itself.
+** Decode: a slot is granted while fewer holds are granted than the engine has
+** slots, or when enough of them are expected to end before the slot is
+** needed. Prefill: more work is granted while the granted work, without long
+** prompts, takes the engine less than MP_PREFILL_AHEAD; it is this little so
+** that the order of waiting work is decided here and not by the engine. Under
+** slack_order, waiting work is ordered by the last moment at which it can
+** start and still meet its target; since that moment is absolute, work that
+** waits long moves up by itself.
 */
 
 #include <string.h>
@@ -22,20 +24,23 @@
   return member_home(state, e->dc_hash, e->addr);
 }
 
-static int minetokeep(const mp_State *state, const Endpoint *e) {
+/* is this instance the endpoint's keeper? */
+static int is_kept_here(const mp_State *state, const Endpoint *e) {
   return e->dc_hash == state->dc_hash &&
          keeper_of_endpoint(state, e) == state->self;
 }
 
+/* the policy in force, or NULL */
 static const mp_Policy *policy(const mp_State *state) {
   return state->config != NULL ? state->config->policy : NULL;
 }
 
-/* share of the slots promised ahead of their being free, at the most */
-#define OVERBOOK 0.06
+/* most slots granted before they are free, as a share of all slots */
+#define OVERBOOK_SHARE_MAX 0.06
 
-/* long prompts granted at once on one engine when long_cap is off */
-#define LONGS_AHEAD 4
+/* with long_cap off, another long prompt is granted on an engine while at most
+** this many are granted there */
+#define LONG_PROMPTS_AHEAD_MAX 4
 
 /*
 ** {==================================================================
@@ -43,8 +48,9 @@
 ** ===================================================================
 */
 
-static Hold *find(const mp_State *state, const mp_Token *t, uint32_t attempt,
-                  mp_Addr ep) {
+/* the hold of an attempt at an endpoint, or NULL */
+static Hold *find_hold(const mp_State *state, const mp_Token *t,
+                       uint32_t attempt, mp_Addr ep) {
   guint i;
   for (i = 0; i < state->holds->len; i++) {
     Hold *h = state->holds->pdata[i];
@@ -55,82 +61,93 @@
   return NULL;
 }
 
-static void drop(mp_State *state, Hold *h) {
+static void drop_hold(mp_State *state, Hold *h) {
   g_ptr_array_remove_fast(state->holds, h); /* frees the row */
 }
 
-/* what is in use or promised at an endpoint */
-typedef struct Use {
-  unsigned busy;
-  uint32_t tokens; /* of granted work, without long prompts */
-  int longs;       /* prefill: long prompts among it */
-  double ending;   /* decode: share of the busy that should end in time */
-} Use;
+/* what the granted holds at an endpoint use */
+typedef struct EndpointUse {
+  unsigned busy;         /* granted holds */
+  uint32_t tokens;       /* their tokens, without long prompts */
+  int long_prompts;      /* prefill: long prompts among them */
+  double ending_decodes; /* decode: how many are expected to end in time */
+} EndpointUse;
 
-static mp_Time tokentime(const Endpoint *e) {
+/* decode: us per token, measured or estimated */
+static mp_Time token_time(const Endpoint *e) {
   return e->rate > 0 ? (mp_Time)e->rate : MP_TOKEN_TIME;
 }
 
-static uint32_t prefillrate(const Endpoint *e) {
+/* prefill: tokens a second, measured or estimated */
+static uint32_t prefill_rate(const Endpoint *e) {
   return e->rate > 0 ? e->rate : MP_PREFILL_RATE;
 }
 
-/* chance that a running decode ends within 'soon' */
-static double ends(const mp_State *state, const Endpoint *e, const Hold *h,
-                   mp_Time soon) {
-  mp_Time all = (mp_Time)h->tokens * tokentime(e);
-  mp_Time gone = state->now - h->since;
-  mp_Time left = all > gone ? all - gone : tokentime(e);
-  return soon >= left ? 1.0 : (double)soon / (double)(left + all);
+/* the probability that a running decode ends within 'within' (us) */
+static double end_probability(const mp_State *state, const Endpoint *e,
+                              const Hold *h, mp_Time within) {
+  mp_Time all = (mp_Time)h->tokens * token_time(e);
+  mp_Time elapsed = state->now - h->since;
+  mp_Time left = all > elapsed ? all - elapsed : token_time(e);
+  return within >= left ? 1.0 : (double)within / (double)(left + all);
 }
 
 /*
-** Engines honour priorities, so a long prompt yields to shorter ones and
-** is no work ahead of them; long ones wait for each other.
+** Engines run by priority, so a long prompt lets shorter ones pass and doesn't
+** count as work ahead of them; long prompts wait for each other.
 */
-static int islong(const Hold *h) {
+static int is_long_prompt(const Hold *h) {
   return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT;
 }
 
-static Use use(const mp_State *state, const Endpoint *e, mp_Time soon) {
-  Use u = {0};
+/* 'within': time (us) by which decodes are to have ended; 0: none counted */
+static EndpointUse endpoint_use(const mp_State *state, const Endpoint *e,
+                                mp_Time within) {
+  EndpointUse u = {0};
   guint i;
   for (i = 0; i < state->holds->len; i++) {
     const Hold *h = state->holds->pdata[i];
     if (h->endpoint != e->addr || h->state != MP_HOLD_BUSY)
       continue;
     u.busy++;
-    if (islong(h))
-      u.longs++;
+    if (is_long_prompt(h))
+      u.long_prompts++;
     else
       u.tokens += h->tokens;
-    if (e->role == MP_ROLE_DECODE && soon > 0)
-      u.ending += ends(state, e, h, soon);
+    if (e->role == MP_ROLE_DECODE && within > 0)
+      u.ending_decodes += end_probability(state, e, h, within);
   }
   return u;
 }
 
-/* a new keeper does not yet know every hold: it trusts the engine more */
-static int rebuilding(const mp_State *state, const Endpoint *e) {
+/* is this instance so new as keeper that it may not know all holds yet? It
+** does after one renewal period and half a second */
+static int is_rebuilding(const mp_State *state, const Endpoint *e) {
   const mp_Time *since = state_table_get(state->kept, e->addr);
   return since == NULL || state->now - *since < MP_RENEW_PERIOD + MP_SEC / 2;
 }
 
-/* may 'tokens' more start now? */
-static int fits(const mp_State *state, const Endpoint *e, uint32_t tokens,
-                mp_Time soon) {
-  Use u = use(state, e, soon);
+/*
+** May work of so many tokens be granted now? 'within': decode: time (us) until
+** the slot is needed. While a keeper rebuilds its holds it takes the engine's
+** own count of used slots when that is higher.
+*/
+static int may_start(const mp_State *state, const Endpoint *e, uint32_t tokens,
+                     mp_Time within) {
+  EndpointUse u = endpoint_use(state, e, within);
   if (e->role == MP_ROLE_DECODE) {
     double n = u.busy;
-    if (rebuilding(state, e) && e->used > u.busy)
+    if (is_rebuilding(state, e) && e->used > u.busy)
       n = e->used;
-    return n - MIN(u.ending, e->slots * OVERBOOK) < (double)e->slots;
+    return n - MIN(u.ending_decodes, e->slots * OVERBOOK_SHARE_MAX) <
+           (double)e->slots;
   }
   if (tokens >= MP_LONG_PROMPT)
-    return policy(state)->long_cap ? u.longs == 0 : u.longs <= LONGS_AHEAD;
+    return policy(state)->long_cap ? u.long_prompts == 0
+                                   : u.long_prompts <= LONG_PROMPTS_AHEAD_MAX;
   if (u.tokens == 0)
     return 1;
-  return (mp_Time)u.tokens * MP_SEC / prefillrate(e) < MP_PREFILL_AHEAD;
+  return (mp_Time)u.tokens * MP_SEC / prefill_rate(e) < MP_PREFILL_AHEAD;
 }
 
 /* }================================================================== */
@@ -141,10 +158,14 @@
 ** ===================================================================
 */
 
-/* milliseconds until a newcomer that must start by 'latest' would start */
-static uint32_t waitfor(const mp_State *state, const Endpoint *e,
-                        mp_Time latest) {
-  Use u = use(state, e, 0);
+/*
+** Milliseconds until new work that must start by 'start_by' would start, after
+** the granted holds and the waiting ones that go first. Long prompts don't
+** count as work ahead.
+*/
+static uint32_t estimated_wait_ms(const mp_State *state, const Endpoint *e,
+                                  mp_Time start_by) {
+  EndpointUse u = endpoint_use(state, e, 0);
   uint64_t tokens = u.tokens;
   unsigned ahead = 0;
   guint i;
@@ -152,57 +173,59 @@
     const Hold *h = state->holds->pdata[i];
     if (h->endpoint != e->addr || h->state != MP_HOLD_WAIT)
       continue;
-    if (policy(state)->slack_order && h->latest > latest)
+    if (policy(state)->slack_order && h->start_by > start_by)
       continue;
-    if (islong(h))
+    if (is_long_prompt(h))
       continue;
     ahead++;
     tokens += h->tokens;
   }
   if (e->role == MP_ROLE_PREFILL)
-    return (uint32_t)(tokens * 1000 / prefillrate(e));
+    return (uint32_t)(tokens * 1000 / prefill_rate(e));
   if (u.busy == 0 || u.busy + ahead < e->slots)
     return 0;
-  /* busy decodes end one after the other, evenly spread */
+  /* assumes that the granted decodes end evenly spread over their time */
   {
-    uint64_t each = (uint64_t)u.tokens / u.busy * (uint64_t)tokentime(e);
+    uint64_t each = (uint64_t)u.tokens / u.busy * (uint64_t)token_time(e);
     return (uint32_t)(each * (ahead + 1) / MAX(e->slots, 1) / 1000);
   }
 }
 
 /* long prompts at a prefill engine, granted or waiting */
-static uint32_t longs(const mp_State *state, const Endpoint *e) {
+static uint32_t count_long_prompts(const mp_State *state, const Endpoint *e) {
   uint32_t n = 0;
   guint i;
   for (i = 0; i < state->holds->len; i++) {
     const Hold *h = state->holds->pdata[i];
-    n += h->endpoint == e->addr && h->state != MP_HOLD_KEPT && islong(h);
+    n += h->endpoint == e->addr && h->state != MP_HOLD_KEPT &&
+         is_long_prompt(h);
   }
   return n;
 }
 
-/* is the load worth telling the others? */
-static int changed(const Endpoint *e, const Endpoint *was) {
-  uint32_t d = e->wait > was->wait ? e->wait - was->wait : was->wait - e->wait;
-  return e->used != was->used || e->slots != was->slots || d > 20 ||
-         e->role != was->role || e->leaving != was->leaving ||
-         e->down != was->down || e->stamp == 0;
+/* did the load change enough to be gossiped? The wait by more than 20 ms,
+** anything else at all */
+static int is_load_changed(const Endpoint *e, const Endpoint *old) {
+  uint32_t d = e->wait > old->wait ? e->wait - old->wait : old->wait - e->wait;
+  return e->used != old->used || e->slots != old->slots || d > 20 ||
+         e->role != old->role || e->leaving != old->leaving ||
+         e->down != old->down || e->stamp == 0;
 }
 
 /*
-** Bring the endpoint's row up to date; 'was' is the row before the event.
-** A new stamp goes out with the next probes, an unchanged row does not.
+** Update the load in the endpoint's row; 'old' is the row before the event. A
+** load that changed gets a new stamp and goes out with the next probes.
 */
-static void observe(mp_State *state, Endpoint *e, const Endpoint *was) {
-  e->wait = waitfor(state, e, INT64_MAX);
-  e->used =
-      e->role == MP_ROLE_DECODE ? use(state, e, 0).busy : longs(state, e);
-  e->seen = state->now;
+static void update_load(mp_State *state, Endpoint *e, const Endpoint *old) {
+  e->wait = estimated_wait_ms(state, e, INT64_MAX);
+  e->used = e->role == MP_ROLE_DECODE ? endpoint_use(state, e, 0).busy
+                                      : count_long_prompts(state, e);
+  e->load_received_at = state->now;
   e->sent_since_load = 0;
-  if (!changed(e, was))
+  if (!is_load_changed(e, old))
     return;
   e->stamp++;
-  e->told = 0;
+  e->gossip_count = 0;
 }
 
 /* }================================================================== */
@@ -213,21 +236,23 @@
 ** ===================================================================
 */
 
-static void heard(mp_State *state, void *ud, mp_Addr from, const mp_Msg *m) {
+/* reply to GRANT, or NULL; a holder that denies it doesn't want it any more */
+static void on_grant_reply(mp_State *state, void *ud, mp_Addr from,
+                           const mp_Msg *m) {
   Hold *h;
   (void)ud;
   (void)from;
   if (m == NULL || m->u.reserve.verdict == MP_GRANTED)
     return;
-  /* the holder does not want it any more */
-  h = find(state, &m->u.reserve.token, m->u.reserve.attempt,
-           m->u.reserve.endpoint);
+  h = find_hold(state, &m->u.reserve.token, m->u.reserve.attempt,
+                m->u.reserve.endpoint);
   if (h != NULL)
-    drop(state, h);
+    drop_hold(state, h);
 }
 
-static void tell(mp_State *state, const Endpoint *e, const Hold *h,
-                 mp_Verdict v) {
+/* send the holder a later verdict on its queued reservation */
+static void send_verdict(mp_State *state, const Endpoint *e, const Hold *h,
+                         mp_Verdict v) {
   mp_Msg m = {0};
   mp_Reserve *r = &m.u.reserve;
   m.kind = MP_MSG_GRANT;
@@ -238,12 +263,18 @@
   r->verdict = (uint8_t)v;
   r->slots = e->slots;
   r->used = e->used;
-  r->wait_ms = waitfor(state, e, INT64_MAX);
-  effect_rpc_call(state, h->token.owner, &m, MP_LEASE / 2, heard, NULL);
+  r->wait_ms = estimated_wait_ms(state, e, INT64_MAX);
+  effect_rpc_call(state, h->token.owner, &m, MP_LEASE / 2, on_grant_reply,
+                  NULL);
 }
 
-/* the waiting hold that goes next: by slack, or first come */
-static Hold *nextup(const mp_State *state, const Endpoint *e) {
+/*
+** The waiting hold to grant next, or NULL. Under slack_order the one with the
+** earliest start_by among those that may start now, so shorter prompts pass a
+** long one that can't start; else the one queued first. Of equals, the one
+** with the larger weight.
+*/
+static Hold *next_waiting(const mp_State *state, const Endpoint *e) {
   int slack = policy(state)->slack_order;
   Hold *win = NULL;
   guint i;
@@ -253,53 +284,56 @@
     mp_Time b;
     if (h->endpoint != e->addr || h->state != MP_HOLD_WAIT)
       continue;
-    if (slack && !fits(state, e, h->tokens, h->needed - state->now))
-      continue; /* a long one waits; shorter ones may pass */
+    if (slack &&
+        !may_start(state, e, h->tokens, h->slot_needed_at - state->now))
+      continue;
     if (win == NULL) {
       win = h;
       continue;
     }
-    a = slack ? h->latest : h->since;
-    b = slack ? win->latest : win->since;
+    a = slack ? h->start_by : h->since;
+    b = slack ? win->start_by : win->since;
     if (a < b || (a == b && h->weight > win->weight))
       win = h;
   }
   return win;
 }
 
-/* those that can no longer start in time are told so at once */
-static void denylate(mp_State *state, Endpoint *e) {
+/* deny the waiting holds that can't start in time any more */
+static void deny_late(mp_State *state, Endpoint *e) {
   guint i = 0;
   while (i < state->holds->len) {
     Hold *h = state->holds->pdata[i];
     if (h->endpoint == e->addr && h->state == MP_HOLD_WAIT &&
-        state->now > h->latest) {
-      tell(state, e, h, MP_DENIED);
-      drop(state, h);
+        state->now > h->start_by) {
+      send_verdict(state, e, h, MP_DENIED);
+      drop_hold(state, h);
     } else
       i++;
   }
 }
 
-static void grant(mp_State *state, Hold *h) {
+static void grant_hold(mp_State *state, Hold *h) {
   h->state = MP_HOLD_BUSY;
   h->since = state->now;
-  h->lease = state->now + MP_LEASE;
+  h->lease_end = state->now + MP_LEASE;
 }
 
-static void pump(mp_State *state, Endpoint *e, const Endpoint *was) {
+/* grant what may start, then update the load; 'old': the row before */
+static void grant_waiting(mp_State *state, Endpoint *e, const Endpoint *old) {
   if (policy(state) == NULL)
     return;
   if (policy(state)->refuse_early)
-    denylate(state, e);
+    deny_late(state, e);
   for (;;) {
-    Hold *h = nextup(state, e);
-    if (h == NULL || !fits(state, e, h->tokens, h->needed - state->now))
+    Hold *h = next_waiting(state, e);
+    if (h == NULL ||
+        !may_start(state, e, h->tokens, h->slot_needed_at - state->now))
       break;
-    grant(state, h);
-    tell(state, e, h, MP_GRANTED);
+    grant_hold(state, h);
+    send_verdict(state, e, h, MP_GRANTED);
   }
-  observe(state, e, was);
+  update_load(state, e, old);
 }
 
 /* }================================================================== */
@@ -310,8 +344,9 @@
 ** ===================================================================
 */
 
-static Hold *addhold(mp_State *state, const mp_Token *t, uint32_t attempt,
-                     const Endpoint *e, uint32_t tokens) {
+/* a new hold, waiting, with MP_QUEUE_LEASE until it is dropped */
+static Hold *add_hold(mp_State *state, const mp_Token *t, uint32_t attempt,
+                      const Endpoint *e, uint32_t tokens) {
   Hold *h = g_new0(Hold, 1);
   h->token = *t;
   h->attempt = attempt;
@@ -319,35 +354,37 @@
   h->role = e->role;
   h->tokens = tokens;
   h->since = state->now;
-  h->latest = INT64_MAX;
-  h->needed = state->now;
-  h->lease = state->now + MP_QUEUE_LEASE;
+  h->start_by = INT64_MAX;
+  h->slot_needed_at = state->now;
+  h->lease_end = state->now + MP_QUEUE_LEASE;
   g_ptr_array_add(state->holds, h);
   return h;
 }
 
-static mp_Verdict consider(mp_State *state, Endpoint *e, mp_Reserve *r) {
-  Hold *h = find(state, &r->token, r->attempt, r->endpoint);
-  mp_Time latest = state->now + (mp_Time)r->slack_ms * MP_MS;
-  if (h != NULL) /* sent again */
+/* decide a RESERVE call; fills in r->wait_ms, the estimated wait */
+static mp_Verdict decide_reservation(mp_State *state, Endpoint *e,
+                                     mp_Reserve *r) {
+  Hold *h = find_hold(state, &r->token, r->attempt, r->endpoint);
+  mp_Time start_by = state->now + (mp_Time)r->slack_ms * MP_MS;
+  if (h != NULL) /* the call was sent again */
     return h->state == MP_HOLD_WAIT ? MP_QUEUED : MP_GRANTED;
-  r->wait_ms = waitfor(state, e, latest);
+  r->wait_ms = estimated_wait_ms(state, e, start_by);
   if (e->role == MP_ROLE_PREFILL && r->tokens >= MP_LONG_PROMPT)
-    r->wait_ms += (uint32_t)((uint64_t)longs(state, e) * r->tokens * 1000 /
-                             prefillrate(e));
+    r->wait_ms += (uint32_t)((uint64_t)count_long_prompts(state, e) *
+                             r->tokens * 1000 / prefill_rate(e));
   if (!fleet_is_open(state, e) || e->role != (mp_Role)r->role)
     return MP_DENIED;
-  h = addhold(state, &r->token, r->attempt, e, r->tokens);
+  h = add_hold(state, &r->token, r->attempt, e, r->tokens);
   h->weight = r->weight;
-  h->latest = latest;
-  h->needed = state->now + (mp_Time)r->start_ms * MP_MS;
-  if (nextup(state, e) == h &&
-      fits(state, e, r->tokens, (mp_Time)r->start_ms * MP_MS)) {
-    grant(state, h);
+  h->start_by = start_by;
+  h->slot_needed_at = state->now + (mp_Time)r->start_ms * MP_MS;
+  if (next_waiting(state, e) == h &&
+      may_start(state, e, r->tokens, (mp_Time)r->start_ms * MP_MS)) {
+    grant_hold(state, h);
     return MP_GRANTED;
   }
   if (policy(state)->refuse_early && r->wait_ms > r->slack_ms) {
-    drop(state, h);
+    drop_hold(state, h);
     return MP_DENIED;
   }
   return MP_QUEUED;
@@ -358,12 +395,12 @@
   mp_Msg a = {0};
   mp_Reserve *r = &a.u.reserve;
   *r = m->u.reserve;
-  if (e == NULL || policy(state) == NULL || !minetokeep(state, e))
+  if (e == NULL || policy(state) == NULL || !is_kept_here(state, e))
     r->verdict = MP_WRONG_HOME;
   else {
-    Endpoint was = *e;
-    r->verdict = (uint8_t)consider(state, e, r);
-    observe(state, e, &was);
+    Endpoint old = *e;
+    r->verdict = (uint8_t)decide_reservation(state, e, r);
+    update_load(state, e, &old);
     r->slots = e->slots;
     r->used = e->used;
     effect_log(state, r->verdict == MP_DENIED ? MP_LOG_DENY : MP_LOG_GRANT,
@@ -383,30 +420,31 @@
     Endpoint *e = fleet_get(state, w->endpoint);
     mp_Token t = {n->owner, n->start, w->seq};
     Hold *h;
-    if (e == NULL || !minetokeep(state, e))
+    if (e == NULL || !is_kept_here(state, e))
       continue;
-    h = find(state, &t, w->attempt, w->endpoint);
+    h = find_hold(state, &t, w->attempt, w->endpoint);
     if (h == NULL)
-      h = addhold(state, &t, w->attempt, e, w->tokens); /* rebuilt */
+      /* an earlier keeper knew it */
+      h = add_hold(state, &t, w->attempt, e, w->tokens);
     if (w->state != MP_HOLD_WAIT)
       h->state = (mp_HoldState)w->state;
-    h->lease = state->now + MP_LEASE;
+    h->lease_end = state->now + MP_LEASE;
   }
 }
 
 void keeper_on_release(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Release *r = &m->u.release;
   Endpoint *e = fleet_get(state, r->endpoint);
-  Hold *h = find(state, &r->token, r->attempt, r->endpoint);
+  Hold *h = find_hold(state, &r->token, r->attempt, r->endpoint);
   if (from != r->token.owner)
     return;
   if (h != NULL && r->kept)
     h->state = MP_HOLD_KEPT;
   else if (h != NULL)
-    drop(state, h);
-  if (e != NULL && minetokeep(state, e)) {
-    Endpoint was = *e;
-    pump(state, e, &was);
+    drop_hold(state, h);
+  if (e != NULL && is_kept_here(state, e)) {
+    Endpoint old = *e;
+    grant_waiting(state, e, &old);
   }
 }
 
@@ -414,37 +452,39 @@
 
 /*
 ** {==================================================================
-** Looking after the endpoints: load, leases, orphans
+** Polling the endpoints: load, leases, orphans
 ** ===================================================================
 */
 
-static void expire(mp_State *state) {
+/* drop the holds that were not renewed in time */
+static void drop_expired(mp_State *state) {
   guint i = 0;
   while (i < state->holds->len) {
     Hold *h = state->holds->pdata[i];
-    if (state->now > h->lease) {
+    if (state->now > h->lease_end) {
       effect_log(state, MP_LOG_EXPIRE, " seq=%08x attempt=%u", h->token.seq,
                  h->attempt);
-      drop(state, h);
+      drop_hold(state, h);
     } else
       i++;
   }
 }
 
 /*
-** Work at the endpoint that no reservation covers is cancelled after
-** MP_ORPHAN_GRACE, counted from when this keeper first saw it: a live
-** holder has renewed by then, whoever kept before.
+** Orphans are work that the endpoint reports and no hold covers. They are
+** cancelled MP_ORPHAN_GRACE after this keeper first saw them: a live holder
+** has renewed its reservation here by then, whichever instance was the keeper
+** before.
 */
-static void orphans(mp_State *state, const Endpoint *e,
-                    const mp_LoadAnswer *l) {
+static void cancel_orphans(mp_State *state, const Endpoint *e,
+                           const mp_LoadAnswer *l) {
   unsigned i;
   for (i = 0; i < l->nhold; i++) {
     const mp_HoldNews *w = &l->hold[i];
     char key[64];
     mp_Time *first;
     mp_token_text(&w->token, w->attempt, key);
-    if (find(state, &w->token, w->attempt, e->addr) != NULL) {
+    if (find_hold(state, &w->token, w->attempt, e->addr) != NULL) {
       g_hash_table_remove(state->orphans, key);
       continue;
     }
@@ -463,8 +503,9 @@
   }
 }
 
-/* a hold that ended by itself is not reported again */
-static gboolean stale(gpointer key, gpointer value, gpointer ud) {
+/* a GHRFunc: true of an orphan recorded so long ago that it must have ended by
+** itself: while an endpoint reports one, it stays MP_ORPHAN_GRACE at most */
+static gboolean is_stale_orphan(gpointer key, gpointer value, gpointer ud) {
   const mp_State *state = ud;
   (void)key;
   return state->now - *(mp_Time *)value > 2 * MP_ORPHAN_GRACE;
@@ -478,37 +519,40 @@
              e->name);
 }
 
-/* an open load call; the endpoint's row may be gone when it ends */
-typedef struct Loading {
+/* an open load call; the endpoint's row may be freed before it ends */
+typedef struct LoadCall {
   mp_State *state;
   mp_Addr ep;
   uint64_t xcall;
   Timer timer;
-} Loading;
+} LoadCall;
 
-static void loadlate(mp_State *state, void *ud) {
-  Loading *g = ud;
+/* timer function: the endpoint left a load call unanswered */
+static void on_load_timeout(mp_State *state, void *ud) {
+  LoadCall *g = ud;
   Endpoint *e = fleet_get(state, g->ep);
   effect_endpoint_abort(state, g->xcall);
   if (e != NULL) {
-    Endpoint was = *e;
+    Endpoint old = *e;
     keeper_set_down(state, e, 1);
-    observe(state, e, &was);
+    update_load(state, e, &old);
   }
   state_table_remove(state->open_load_calls, g->ep);
 }
 
-static void loaded(mp_State *state, void *ud, const mp_EndpointEvent *ev) {
-  Loading *g = ud;
+/* the reply to a load call: update the row, cancel orphans, grant */
+static void on_load_event(mp_State *state, void *ud,
+                          const mp_EndpointEvent *ev) {
+  LoadCall *g = ud;
   Endpoint *e = fleet_get(state, g->ep);
   const mp_LoadAnswer *l = ev->what == MP_EP_DONE ? ev->load : NULL;
-  Endpoint was;
+  Endpoint old;
   if (ev->what != MP_EP_DONE && ev->what != MP_EP_FAIL)
     return;
   state_table_remove(state->open_load_calls, g->ep);
   if (e == NULL)
     return;
-  was = *e;
+  old = *e;
   keeper_set_down(state, e, l == NULL);
   if (l != NULL) {
     e->role = l->role;
@@ -521,41 +565,43 @@
       e->leaving = 1;
       effect_log(state, MP_LOG_EP_LEAVING, " endpoint=%s", e->name);
     }
-    orphans(state, e, l);
+    cancel_orphans(state, e, l);
   }
-  pump(state, e, &was);
+  grant_waiting(state, e, &old);
 }
 
-static void freeloading(void *p) {
-  Loading *g = p;
+static void free_load_call(void *p) {
+  LoadCall *g = p;
   timer_stop(&g->state->timers, &g->timer);
   g_free(g);
 }
 
-static void askload(mp_State *state, Endpoint *e) {
-  Loading *g;
+/* call the endpoint for its load unless such a call is open */
+static void request_load(mp_State *state, Endpoint *e) {
+  LoadCall *g;
   mp_Xcall x = {0};
   if (state_table_get(state->open_load_calls, e->addr) != NULL)
     return;
-  g = g_new0(Loading, 1);
+  g = g_new0(LoadCall, 1);
   g->state = state;
   g->ep = e->addr;
   state_table_set(state->open_load_calls, e->addr, g);
   x.op = MP_X_LOAD;
   x.endpoint = e->addr;
-  timer_arm(&state->timers, &g->timer, state->now + MP_LOAD_TIMEOUT, loadlate,
-            g);
-  g->xcall = effect_endpoint_call(state, &x, loaded, g);
+  timer_arm(&state->timers, &g->timer, state->now + MP_LOAD_TIMEOUT,
+            on_load_timeout, g);
+  g->xcall = effect_endpoint_call(state, &x, on_load_event, g);
 }
 
-static void lookafter(mp_State *state, void *ud) {
+/* timer function: runs each MP_LOAD_PERIOD */
+static void poll_endpoints(mp_State *state, void *ud) {
   guint i;
   (void)ud;
-  expire(state);
-  g_hash_table_foreach_remove(state->orphans, stale, state);
+  drop_expired(state);
+  g_hash_table_foreach_remove(state->orphans, is_stale_orphan, state);
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
-    if (!minetokeep(state, e)) {
+    if (!is_kept_here(state, e)) {
       state_table_remove(state->kept, e->addr);
       continue;
     }
@@ -563,24 +609,24 @@
       state_table_set(state->kept, e->addr,
                       g_memdup2(&state->now, sizeof state->now));
     {
-      Endpoint was = *e;
-      pump(state, e, &was);
+      Endpoint old = *e;
+      grant_waiting(state, e, &old);
     }
-    askload(state, e);
+    request_load(state, e);
   }
   timer_arm(&state->timers, &state->load_poll_timer,
-            state->now + MP_LOAD_PERIOD, lookafter, NULL);
+            state->now + MP_LOAD_PERIOD, poll_endpoints, NULL);
 }
 
 /* }================================================================== */
 
 void keeper_init(mp_State *state) {
   state->kept = state_table_new(g_free);
-  state->open_load_calls = state_table_new(freeloading);
+  state->open_load_calls = state_table_new(free_load_call);
   state->orphans =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   timer_arm(&state->timers, &state->load_poll_timer,
-            state->now + MP_LOAD_PERIOD, lookafter, NULL);
+            state->now + MP_LOAD_PERIOD, poll_endpoints, NULL);
 }
 
 void keeper_free(mp_State *state) {
--- a/core/keep.h
+++ b/core/keep.h
@@ -1,12 +1,15 @@
 /*
 ** keep.h
-** The keeper: reservations at the endpoints of this data centre
-** Reads: members, config. Writes: holds, and the load of endpoints.
+** The keeper of an endpoint: it grants reservations and polls the load
+**
+** Each endpoint has one keeper, the instance of its data centre with the
+** highest rendezvous hash for the endpoint's address. The reservations
+** (Hold) are soft state: holders renew them each MP_RENEW_PERIOD, so a new
+** keeper knows them all after one period. While two instances both take
+** themselves for the keeper they can at worst promise too much, and then the
+** endpoint itself refuses.
 **
-** Each endpoint has one keeper, an instance of its data centre chosen by
-** rendezvous hash. Its state is soft: holders renew what they hold, so a
-** new keeper knows all after one renewal period. Two keepers at once can
-** only promise too much, and then the endpoint itself refuses.
+** Reads: members, config. Writes: holds, and the load of endpoints.
 */
 
 #ifndef KEEP_H
@@ -22,14 +25,18 @@
 void keeper_on_renew(mp_State *state, mp_Addr from, const mp_Msg *m);
 void keeper_on_release(mp_State *state, mp_Addr from, const mp_Msg *m);
 
-/* the endpoint's keeper, or 0 when none is in reach */
+/* the endpoint's keeper; 0 when no instance of its data centre is live */
 mp_Addr keeper_of_endpoint(const mp_State *state, const Endpoint *e);
 
-/* loads that travel with probes; 'to' may be NULL */
+/*
+** Gossip of loads (keep_loads.c): add up to MP_GOSSIP_LOADS loads to a probe
+** that goes to 'to', which may be NULL and has no influence; and merge a
+** load that came with a probe, when it is newer than the known one.
+*/
 void keeper_fill_loads(mp_State *state, mp_Probe *p, const Member *to);
 void keeper_merge_load(mp_State *state, const mp_LoadNews *n);
 
-/* the endpoint does not answer, or answers again */
+/* record and log whether the endpoint is down; logs only a change */
 void keeper_set_down(mp_State *state, Endpoint *e, int down);
 
 #endif
--- a/core/keep_loads.c
+++ b/core/keep_loads.c
@@ -1,14 +1,14 @@
 /*
 ** keep_loads.c
-** Loads of endpoints that travel with probes: what keepers observed is told
-** to the other instances, least told first
+** Gossip of endpoint loads: what keepers observed travels with probes to the
+** other instances, the least gossiped first
 */
 
 #include "fleet.h"
 #include "keep.h"
 #include "member.h"
 
-static void putload(mp_Probe *p, const Endpoint *e) {
+static void add_load(mp_Probe *p, const Endpoint *e) {
   mp_LoadNews *n = &p->load[p->nload++];
   n->addr = e->addr;
   n->stamp = e->stamp;
@@ -22,22 +22,25 @@
                        (e->down ? MP_LOAD_DOWN : 0));
 }
 
-/* those told the fewest times; of this data centre first */
-static Endpoint *leasttold(mp_State *state, const mp_Probe *p) {
+/*
+** The endpoint whose load was gossiped least and is not in 'p' yet; of equals
+** one of this data centre. NULL when all known loads have reached the limit.
+*/
+static Endpoint *least_gossiped(mp_State *state, const mp_Probe *p) {
   Endpoint *win = NULL;
   guint i;
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
     unsigned k;
-    if (e->stamp == 0 || e->told >= member_gossip_limit(state))
+    if (e->stamp == 0 || e->gossip_count >= member_gossip_limit(state))
       continue;
     for (k = 0; k < p->nload && p->load[k].addr != e->addr; k++)
       ;
     if (k < p->nload)
       continue;
-    if (win == NULL || e->told < win->told ||
-        (e->told == win->told && e->dc_hash == state->dc_hash &&
-         win->dc_hash != state->dc_hash))
+    if (win == NULL || e->gossip_count < win->gossip_count ||
+        (e->gossip_count == win->gossip_count &&
+         e->dc_hash == state->dc_hash && win->dc_hash != state->dc_hash))
       win = e;
   }
   return win;
@@ -46,11 +49,11 @@
 void keeper_fill_loads(mp_State *state, mp_Probe *p, const Member *to) {
   (void)to;
   while (p->nload < MP_GOSSIP_LOADS) {
-    Endpoint *e = leasttold(state, p);
+    Endpoint *e = least_gossiped(state, p);
     if (e == NULL)
       break;
-    putload(p, e);
-    e->told++;
+    add_load(p, e);
+    e->gossip_count++;
   }
 }
 
@@ -65,8 +68,8 @@
   e->wait = n->wait;
   e->rate = n->rate;
   e->role = (mp_Role)n->role;
-  e->seen = state->now;
-  e->told = 0;
+  e->load_received_at = state->now;
+  e->gossip_count = 0;
   e->sent_since_load = 0;
   if (n->flags & MP_LOAD_LEAVING)
     e->leaving = 1;
--- a/core/member_home.c
+++ b/core/member_home.c
@@ -1,6 +1,6 @@
 /*
 ** member_home.c
-** Which instance answers for a key: rendezvous hash over the live ones
+** The home of a key: rendezvous hash over the live instances
 */
 
 #define XXH_INLINE_ALL
@@ -15,7 +15,9 @@
   return XXH3_64bits(both, sizeof both);
 }
 
-static mp_Addr best(const mp_Addr *a, guint n, uint64_t key) {
+/* the address with the highest weight; of equal ones the lowest address.
+** 0 when there is none */
+static mp_Addr highest_weight(const mp_Addr *a, guint n, uint64_t key) {
   mp_Addr win = 0;
   uint64_t top = 0;
   guint i;
@@ -53,18 +55,18 @@
 
 mp_Addr member_previous_home(const mp_State *state, uint64_t key) {
   const GArray *b = state->previous_live_set;
-  return best((const mp_Addr *)(const void *)b->data, b->len, key);
+  return highest_weight((const mp_Addr *)(const void *)b->data, b->len, key);
 }
 
 int member_is_among_first(const mp_State *state, uint64_t key, unsigned n) {
   uint64_t own = member_hash_weight(state->self, key);
-  unsigned before = 0;
+  unsigned higher = 0;
   guint i;
   for (i = 0; i < state->members->len; i++) {
     const Member *m = state->members->pdata[i];
-    if (!m->remote && member_is_serving(m) &&
+    if (!m->is_remote && member_is_serving(m) &&
         member_hash_weight(m->addr, key) > own)
-      before++;
+      higher++;
   }
-  return before < n;
+  return higher < n;
 }
--- a/core/place.c
+++ b/core/place.c
@@ -1,8 +1,9 @@
 /*
 ** place.c
-** Where a request may run, and where its KV may go
-** Unknown means forbidden: no configuration, no rule, or a data centre
-** that is not configured.
+** Placement rules: where a request may run, and where its KV may go
+**
+** Unknown means forbidden: no configuration, no rule, or a data centre that
+** is not configured.
 */
 
 #include <string.h>
@@ -11,7 +12,7 @@
 
 const mp_Rule *place_find_rule(const mp_Config *c, const char *class_name,
                                const char *account) {
-  const mp_Rule *general = NULL;
+  const mp_Rule *general_rule = NULL;
   unsigned i;
   if (c == NULL)
     return NULL;
@@ -20,11 +21,11 @@
     if (strcmp(r->class_name, class_name) != 0)
       continue;
     if (r->account == NULL)
-      general = r;
+      general_rule = r;
     else if (account != NULL && strcmp(r->account, account) == 0)
-      return r; /* the account's own rule goes first */
+      return r; /* the account's own rule takes precedence */
   }
-  return general;
+  return general_rule;
 }
 
 const mp_Dc *place_find_dc(const mp_Config *c, const char *name) {
--- a/core/place.h
+++ b/core/place.h
@@ -1,9 +1,11 @@
 /*
 ** place.h
-** Where a request may run, and where its KV may go
-** Reads: the configuration. Writes nothing. These are the only functions
-** that decide about place; they are asked at admission, at every choice,
-** and again at the instant of dispatch or transfer.
+** Placement rules: where a request may run, and where its KV may go
+**
+** Pure functions over a configuration. No other function decides about
+** place; these are called at admission, at every choice of an endpoint, and
+** again at the instant of dispatch or transfer. What is unknown is
+** forbidden. 'c' may be NULL: no configuration is in force.
 */
 
 #ifndef PLACE_H
@@ -11,20 +13,25 @@
 
 #include "madderpier.h"
 
-/* the rule for a class and account, or NULL: then nothing is allowed */
+/*
+** The rule for a class and account, or NULL: then nothing is allowed. With
+** 'account' NULL only the general rules count.
+*/
 const mp_Rule *place_find_rule(const mp_Config *c, const char *class_name,
                                const char *account);
 
-/* may work under this rule run in data centre 'dc'? */
+/* may work under rule 'r' run in data centre 'dc'? */
 int place_may_run(const mp_Config *c, const mp_Rule *r, const char *dc);
 
-/* may KV made under this rule move between these data centres? */
+/* may KV made under rule 'r' move from one of these data centres to the
+** other? Both must be ones where the work may run */
 int place_may_move_kv(const mp_Config *c, const mp_Rule *r, const char *from,
                       const char *to);
 
-/* is the data centre or endpoint named as drained? */
+/* does the configuration name this data centre or endpoint as drained? */
 int place_is_drained(const mp_Config *c, const char *name);
 
+/* the configured data centre of this name, or NULL */
 const mp_Dc *place_find_dc(const mp_Config *c, const char *name);
 
 #endif
--- a/core/shard.c
+++ b/core/shard.c
@@ -2,11 +2,12 @@
 ** shard.c
 ** Durable claims: one object in the platform for each shard
 **
-** The object holds all live claims of its shard and is written only by
-** conditional update on the version that was read, so a claim in it is
-** unique whoever else believes to be the home. All claims that come within
-** MP_CLAIM_WINDOW go in one write (group commit). A lost reply is settled
-** by reading back whose claims stand there.
+** The object holds all claims of its shard that have not expired. It is
+** written only by a conditional update on the version that was read, so a
+** claim in it is unique even while several instances take themselves for the
+** home. All claims that come within MP_CLAIM_WINDOW go into one write (group
+** commit). When the reply to a write is lost, the object is read back: it
+** shows whose claims it holds.
 */
 
 #include <stdio.h>
@@ -16,53 +17,55 @@
 #include "fx.h"
 #include "shard.h"
 
-/* a claim under way to the platform */
-typedef struct Pending {
+/* a claim that is not in the platform's object yet */
+typedef struct PendingClaim {
   ClaimRow row;
-  mp_Addr from; /* to answer */
-  mp_Msg call;
-} Pending;
+  mp_Addr from; /* instance to answer */
+  mp_Msg call;  /* its newest CLAIM */
+} PendingClaim;
 
 typedef enum ShardState {
-  SH_COLD,
-  SH_READING,
-  SH_WARM,
-  SH_WRITING
+  SHARD_UNREAD,  /* the object was not read, or its last call failed */
+  SHARD_READING, /* a read is under way */
+  SHARD_CURRENT, /* the rows are the object's, but for rows freed since */
+  SHARD_WRITING  /* a write is under way */
 } ShardState;
 
-/* durable side of a shard; 'version' is of the object as last read */
+/* the durable claims of one shard */
 typedef struct Shard {
   mp_State *owner;
   unsigned no;
-  char dc[MP_MAXNAME + 1]; /* the home data centre when it was read */
+  char dc[MP_MAXNAME + 1]; /* the home data centre, part of the object's key */
   ShardState state;
-  uint64_t version;
-  GPtrArray *pending; /* Pending, not yet in a write */
-  GPtrArray *writing; /* Pending, in the write that is under way */
-  int dirty;          /* rows were freed since the last write */
-  Timer timer;
+  uint64_t version;    /* of the object as last read or written; 0: none */
+  GPtrArray *pending;  /* PendingClaim, not yet in a write */
+  GPtrArray *in_write; /* PendingClaim, in the write that is under way */
+  int has_freed_rows;  /* rows were freed since the last write */
+  Timer timer;         /* the end of MP_CLAIM_WINDOW */
 } Shard;
 
 struct Shards {
   Shard shard[MP_CLAIM_SHARDS];
 };
 
-static void answerall(mp_State *state, GPtrArray *ps, mp_Verdict v) {
+/* answer all claims of the array and empty it */
+static void answer_all(mp_State *state, GPtrArray *ps, mp_Verdict v) {
   guint i;
   for (i = 0; i < ps->len; i++) {
-    Pending *p = ps->pdata[i];
+    PendingClaim *p = ps->pdata[i];
     claim_answer(state, p->from, &p->call, v, MP_RAN_UNKNOWN);
   }
   g_ptr_array_set_size(ps, 0);
 }
 
-static void work(mp_State *state, void *ud);
+static void process_pending(mp_State *state, void *ud);
 
-static void shardkey(const Shard *s, char out[96]) {
+static void format_key(const Shard *s, char out[96]) {
   snprintf(out, 96, "claims/%s/%u", s->dc, s->no);
 }
 
-static void rowtext(GString *g, const ClaimRow *r) {
+/* append a row as one line: ID, token, ttl_ms */
+static void append_row(GString *g, const ClaimRow *r) {
   char t[64];
   mp_token_text(&r->token, 0, t);
   g_string_append_printf(g,
@@ -71,8 +74,8 @@
                          (guint64)r->id[0], (guint64)r->id[1], t, r->ttl_ms);
 }
 
-/* one line of the object; 0 when it is malformed */
-static int parserow(const char *s, mp_Claim *c) {
+/* parse one line of the object; 0 when it is malformed */
+static int parse_row(const char *s, mp_Claim *c) {
   guint64 a;
   guint64 b;
   char token[64];
@@ -85,8 +88,12 @@
   return mp_token_parse(token, &c->token, &no);
 }
 
-/* take the object's rows over; an unknown line spoils the whole */
-static int absorb(mp_State *state, const char *value, size_t len) {
+/*
+** Merge the object's rows into those of claim.c; where they differ, the object
+** decides which request has the ID. Returns 0 when a line is malformed: the
+** whole object is then unusable.
+*/
+static int merge_object(mp_State *state, const char *value, size_t len) {
   gchar *text = g_strndup(value, len);
   gchar **lines = g_strsplit(text, "\n", -1);
   int ok = 1;
@@ -96,13 +103,13 @@
     ClaimRow *r;
     if (lines[i][0] == '\0')
       continue;
-    ok = parserow(lines[i], &c);
+    ok = parse_row(lines[i], &c);
     if (!ok)
       break;
     r = claim_find_row(state, c.id);
     if (r == NULL)
       r = claim_add_row(state, &c, MP_RAN_UNKNOWN);
-    r->token = c.token; /* the object decides who has it */
+    r->token = c.token;
     r->durable = 1;
   }
   g_strfreev(lines);
@@ -110,7 +117,8 @@
   return ok;
 }
 
-static void forgetdurable(mp_State *state, const Shard *s) {
+/* drop the shard's durable rows, before those of the object are merged */
+static void drop_durable_rows(mp_State *state, const Shard *s) {
   GHashTableIter it;
   gpointer v;
   g_hash_table_iter_init(&it, claim_rows(state));
@@ -121,93 +129,95 @@
   }
 }
 
-static void cold(mp_State *state, Shard *s, mp_Verdict v) {
-  s->state = SH_COLD;
-  answerall(state, s->writing, v);
-  answerall(state, s->pending, v);
+/* the object can't be read or written: answer all claims of the shard */
+static void fail_shard(mp_State *state, Shard *s, mp_Verdict v) {
+  s->state = SHARD_UNREAD;
+  answer_all(state, s->in_write, v);
+  answer_all(state, s->pending, v);
 }
 
-static void shardread(mp_State *state, void *ud, const mp_StoreEvent *e) {
+static void on_object_read(mp_State *state, void *ud, const mp_StoreEvent *e) {
   Shard *s = ud;
-  s->state = SH_COLD;
+  s->state = SHARD_UNREAD;
   if (e->status == MP_STORE_ABSENT)
     s->version = 0;
   else if (e->status == MP_STORE_OK) {
     s->version = e->version;
-    forgetdurable(state, s); /* what was freed elsewhere is free */
-    if (!absorb(state, e->value, e->len)) {
-      cold(state, s, MP_UNAVAILABLE);
+    drop_durable_rows(state, s); /* another home may have freed some */
+    if (!merge_object(state, e->value, e->len)) {
+      fail_shard(state, s, MP_UNAVAILABLE);
       return;
     }
   } else {
-    cold(state, s, MP_UNAVAILABLE);
+    fail_shard(state, s, MP_UNAVAILABLE);
     return;
   }
-  s->state = SH_WARM;
-  work(state, s);
+  s->state = SHARD_CURRENT;
+  process_pending(state, s);
 }
 
-static void readshard(mp_State *state, Shard *s) {
+static void read_object(mp_State *state, Shard *s) {
   char key[96];
-  s->state = SH_READING;
-  shardkey(s, key);
+  s->state = SHARD_READING;
+  format_key(s, key);
   effect_store_call(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
-                    shardread, s);
+                    on_object_read, s);
 }
 
-/* the claims of a write are in force */
-static void written(mp_State *state, Shard *s) {
+/* the write was carried out: grant its claims */
+static void grant_written(mp_State *state, Shard *s) {
   guint i;
-  for (i = 0; i < s->writing->len; i++) {
-    Pending *p = s->writing->pdata[i];
+  for (i = 0; i < s->in_write->len; i++) {
+    PendingClaim *p = s->in_write->pdata[i];
     ClaimRow *r = claim_add_row(state, &p->call.u.claim, MP_RAN_UNKNOWN);
     r->durable = 1;
     claim_answer(state, p->from, &p->call, MP_GRANTED, MP_RAN_NO);
   }
   effect_log(state, MP_LOG_CLAIM_WRITE, " shard=%s/%u claims=%u", s->dc, s->no,
-             s->writing->len);
-  g_ptr_array_set_size(s->writing, 0);
+             s->in_write->len);
+  g_ptr_array_set_size(s->in_write, 0);
 }
 
-/* put the claims of a write that did not count back in the queue */
-static void unwrite(Shard *s) {
-  while (s->writing->len > 0)
+/* put the claims of a failed write back to the front of the queue */
+static void requeue_write(Shard *s) {
+  while (s->in_write->len > 0)
     g_ptr_array_insert(
         s->pending, 0,
-        g_ptr_array_steal_index(s->writing, s->writing->len - 1));
+        g_ptr_array_steal_index(s->in_write, s->in_write->len - 1));
 }
 
-static void shardwritten(mp_State *state, void *ud, const mp_StoreEvent *e) {
+static void on_object_written(mp_State *state, void *ud,
+                              const mp_StoreEvent *e) {
   Shard *s = ud;
   switch (e->status) {
   case MP_STORE_OK:
     s->version = e->version;
-    s->state = SH_WARM;
-    written(state, s);
-    work(state, s);
+    s->state = SHARD_CURRENT;
+    grant_written(state, s);
+    process_pending(state, s);
     break;
   case MP_STORE_CONFLICT:
     effect_log(state, MP_LOG_CLAIM_FENCED, " shard=%s/%u", s->dc, s->no);
-    unwrite(s);
-    readshard(state, s);
+    requeue_write(s);
+    read_object(state, s);
     break;
   case MP_STORE_UNKNOWN:
-    /* the reply was lost: reading back shows whose claims stand there */
-    unwrite(s);
-    readshard(state, s);
+    /* the reply was lost: reading back shows whether the write counted */
+    requeue_write(s);
+    read_object(state, s);
     break;
   default:
-    unwrite(s);
-    cold(state, s, MP_UNAVAILABLE);
+    requeue_write(s);
+    fail_shard(state, s, MP_UNAVAILABLE);
     break;
   }
 }
 
-/* answer what the rows decide already; the rest stays pending */
-static void sift(mp_State *state, Shard *s) {
+/* answer the pending claims whose ID has a row; the rest stays pending */
+static void answer_decided(mp_State *state, Shard *s) {
   guint i = 0;
   while (i < s->pending->len) {
-    Pending *p = s->pending->pdata[i];
+    PendingClaim *p = s->pending->pdata[i];
     const ClaimRow *r = claim_find_row(state, p->row.id);
     if (r == NULL) {
       i++;
@@ -221,82 +231,88 @@
   }
 }
 
-/* two claims on one ID in one write: the second waits for the next */
-static int inwrite(const Shard *s, const Pending *p) {
+/* is another claim on the same ID in the write? The later one then waits for
+** the next write */
+static int is_in_write(const Shard *s, const PendingClaim *p) {
   guint i;
-  for (i = 0; i < s->writing->len; i++) {
-    const Pending *o = s->writing->pdata[i];
+  for (i = 0; i < s->in_write->len; i++) {
+    const PendingClaim *o = s->in_write->pdata[i];
     if (claim_id_equal(o->row.id, p->row.id))
       return 1;
   }
   return 0;
 }
 
-static void pickbatch(Shard *s) {
+/* move up to MP_CLAIM_BATCH pending claims into the write */
+static void pick_batch(Shard *s) {
   guint i = 0;
-  while (i < s->pending->len && s->writing->len < MP_CLAIM_BATCH) {
-    Pending *p = s->pending->pdata[i];
-    if (inwrite(s, p)) {
+  while (i < s->pending->len && s->in_write->len < MP_CLAIM_BATCH) {
+    PendingClaim *p = s->pending->pdata[i];
+    if (is_in_write(s, p)) {
       i++;
       continue;
     }
     g_ptr_array_steal_index(s->pending, i);
-    g_ptr_array_add(s->writing, p);
+    g_ptr_array_add(s->in_write, p);
   }
 }
 
-static void writeshard(mp_State *state, Shard *s) {
+/* write the shard's durable rows and a batch of pending claims */
+static void write_object(mp_State *state, Shard *s) {
   GString *g = g_string_new(NULL);
   GHashTableIter it;
   gpointer v;
   char key[96];
   guint i;
-  pickbatch(s);
+  pick_batch(s);
   g_hash_table_iter_init(&it, claim_rows(state));
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const ClaimRow *r = v;
     if (r->durable && claim_shard_of(r->id) == s->no)
-      rowtext(g, r);
+      append_row(g, r);
   }
-  for (i = 0; i < s->writing->len; i++)
-    rowtext(g, &((Pending *)s->writing->pdata[i])->row);
-  s->state = SH_WRITING;
-  s->dirty = 0;
-  shardkey(s, key);
+  for (i = 0; i < s->in_write->len; i++)
+    append_row(g, &((PendingClaim *)s->in_write->pdata[i])->row);
+  s->state = SHARD_WRITING;
+  s->has_freed_rows = 0;
+  format_key(s, key);
   effect_store_call(state, MP_ST_PUT, key, s->version, g->str, g->len,
-                    MP_STORE_TIMEOUT, shardwritten, s);
+                    MP_STORE_TIMEOUT, on_object_written, s);
   g_string_free(g, TRUE);
 }
 
-/* the group commit: all that came in one window goes in one write */
-static void commit(mp_State *state, void *ud) {
+/* timer function, the group commit: write all that came in one window */
+static void commit_pending(mp_State *state, void *ud) {
   Shard *s = ud;
-  if (s->state != SH_WARM)
-    return; /* the end of that read or write comes back here */
-  sift(state, s);
+  if (s->state != SHARD_CURRENT)
+    return; /* when the read or write ends, process_pending is called */
+  answer_decided(state, s);
   if (s->pending->len > 0)
-    writeshard(state, s);
+    write_object(state, s);
 }
 
-static void work(mp_State *state, void *ud) {
+/* bring pending claims one step on: read the object, or arm the commit */
+static void process_pending(mp_State *state, void *ud) {
   Shard *s = ud;
   if (s->pending->len == 0)
     return;
-  if (s->state == SH_COLD)
-    readshard(state, s);
-  else if (s->state == SH_WARM && s->timer.pos == 0)
-    timer_arm(&state->timers, &s->timer, state->now + MP_CLAIM_WINDOW, commit,
-              s);
+  if (s->state == SHARD_UNREAD)
+    read_object(state, s);
+  else if (s->state == SHARD_CURRENT && s->timer.pos == 0)
+    timer_arm(&state->timers, &s->timer, state->now + MP_CLAIM_WINDOW,
+              commit_pending, s);
 }
 
-static int sentagain(const GPtrArray *ps, mp_Addr from, const mp_Msg *m) {
+/* if the claim is in the array already, its call was sent again: the newest
+** call is the one to answer */
+static int replace_resent(const GPtrArray *ps, mp_Addr from, const mp_Msg *m) {
   guint i;
   for (i = 0; i < ps->len; i++) {
-    Pending *p = ps->pdata[i];
+    PendingClaim *p = ps->pdata[i];
     if (claim_id_equal(p->row.id, m->u.claim.id) &&
         state_token_equal(&p->row.token, &m->u.claim.token)) {
       p->from = from;
-      p->call = *m; /* answer the newest call */
+      p->call = *m;
       return 1;
     }
   }
@@ -306,39 +322,40 @@
 void shard_claim(mp_State *state, mp_Addr from, const mp_Msg *m,
                  const char *dc) {
   Shard *s = &state->shards->shard[claim_shard_of(m->u.claim.id)];
-  Pending *p;
-  if (strcmp(s->dc, dc) != 0 && s->pending->len + s->writing->len == 0 &&
-      (s->state == SH_COLD || s->state == SH_WARM)) {
+  PendingClaim *p;
+  if (strcmp(s->dc, dc) != 0 && s->pending->len + s->in_write->len == 0 &&
+      (s->state == SHARD_UNREAD || s->state == SHARD_CURRENT)) {
     g_strlcpy(s->dc, dc, sizeof s->dc);
-    s->state = SH_COLD; /* another object */
+    s->state = SHARD_UNREAD; /* the shard has another object now */
   }
   if (strcmp(s->dc, dc) != 0) {
     claim_answer(state, from, m, MP_UNAVAILABLE, MP_RAN_NO);
     return;
   }
-  if (sentagain(s->pending, from, m) || sentagain(s->writing, from, m))
+  if (replace_resent(s->pending, from, m) ||
+      replace_resent(s->in_write, from, m))
     return;
-  p = g_new0(Pending, 1);
+  p = g_new0(PendingClaim, 1);
   memcpy(p->row.id, m->u.claim.id, sizeof p->row.id);
   p->row.token = m->u.claim.token;
   p->row.ttl_ms = m->u.claim.ttl_ms;
   p->from = from;
   p->call = *m;
   g_ptr_array_add(s->pending, p);
-  work(state, s);
+  process_pending(state, s);
 }
 
 void shard_mark_freed(mp_State *state, const ClaimRow *r) {
   if (r->durable)
-    state->shards->shard[claim_shard_of(r->id)].dirty = 1;
+    state->shards->shard[claim_shard_of(r->id)].has_freed_rows = 1;
 }
 
 void shard_write_freed(mp_State *state) {
   unsigned i;
   for (i = 0; i < MP_CLAIM_SHARDS; i++) {
     Shard *s = &state->shards->shard[i];
-    if (s->dirty && s->state == SH_WARM && s->pending->len == 0)
-      writeshard(state, s);
+    if (s->has_freed_rows && s->state == SHARD_CURRENT && s->pending->len == 0)
+      write_object(state, s);
   }
 }
 
@@ -350,7 +367,7 @@
     s->owner = state;
     s->no = i;
     s->pending = g_ptr_array_new_with_free_func(g_free);
-    s->writing = g_ptr_array_new_with_free_func(g_free);
+    s->in_write = g_ptr_array_new_with_free_func(g_free);
   }
 }
 
@@ -358,7 +375,7 @@
   unsigned i;
   for (i = 0; i < MP_CLAIM_SHARDS; i++) {
     g_ptr_array_unref(state->shards->shard[i].pending);
-    g_ptr_array_unref(state->shards->shard[i].writing);
+    g_ptr_array_unref(state->shards->shard[i].in_write);
   }
   g_free(state->shards);
 }
--- a/core/shard.h
+++ b/core/shard.h
@@ -1,7 +1,9 @@
 /*
 ** shard.h
-** Durable claims, between claim.c and the platform
-** Reads and writes: claims. Writes: the platform's "claims/DC/SHARD".
+** Durable claims: the platform's object of each shard (see claim.h)
+**
+** Reads and writes: claims. Writes the platform's objects
+** "claims/DC/SHARD".
 */
 
 #ifndef SHARD_H
@@ -12,26 +14,35 @@
 void shard_init(mp_State *state);
 void shard_free(mp_State *state);
 
-/* a CLAIM that must last; 'dc' is the home data centre of its ID */
+/*
+** Handle a CLAIM that must be durable; 'dc' is the home data centre of its
+** ID. It is answered when the platform has written it, or with MP_DENIED when
+** the object gives the ID to another request, or MP_UNAVAILABLE when the
+** platform can't be asked.
+*/
 void shard_claim(mp_State *state, mp_Addr from, const mp_Msg *m,
                  const char *dc);
 
-/* a row is about to go: its object follows with the next write */
+/* row 'r' is about to be freed: the next write of its object leaves it out */
 void shard_mark_freed(mp_State *state, const ClaimRow *r);
 
-/* write objects from which rows were freed, and nothing else was written */
+/* write the objects from which rows were freed and that no claim is about to
+** write */
 void shard_write_freed(mp_State *state);
 
 /*
 ** {==================================================================
-** What claim.c lends
+** Functions of claim.c that only shard.c shares
 ** ===================================================================
 */
 
-/* rows by ID */
+/* the rows kept here as home: id -> ClaimRow, owned by the table */
 GHashTable *claim_rows(const mp_State *state);
+/* the row of an ID, or NULL */
 ClaimRow *claim_find_row(const mp_State *state, const uint64_t id[2]);
+/* add a row, in place of one with the same ID; it is not durable yet */
 ClaimRow *claim_add_row(mp_State *state, const mp_Claim *c, mp_Ran ran);
+/* a GEqualFunc for IDs */
 gboolean claim_id_equal(gconstpointer a, gconstpointer b);
 unsigned claim_shard_of(const uint64_t id[2]);
 
--- a/core/slots.c
+++ b/core/slots.c
@@ -1,9 +1,11 @@
 /*
 ** slots.c
-** Reserving: which slot a request asks for, and what the keeper says
+** The reservation steps: which endpoint a request asks for, and what follows
+** from the keeper's verdict
 **
-** The decode slot comes before the prefill; a result that is there queues
-** for a slot again, for as long as it lives.
+** With the policy decode_first the decode slot is reserved before the
+** prefill. A request whose KV result exists queues for a decode slot again
+** until the result expires.
 */
 
 #include "fleet.h"
@@ -27,11 +29,19 @@
   a->tokens = tokens;
 }
 
-/* milliseconds left until the work must start to meet its target */
-static uint32_t slack(const mp_State *state, const Request *r, uint32_t need) {
+/*
+** Milliseconds left until the work must start to meet its target; 0 when that
+** time is past. 'need': milliseconds of work still to come before the target.
+** A request with a KV result may start as late as the result lives, since to
+** use it late is better than to lose it. Else, under refuse_early and before
+** the first token, the target is refuse_at percent of the time to the first
+** token. The deadline bounds both.
+*/
+static uint32_t slack_ms(const mp_State *state, const Request *r,
+                         uint32_t need) {
   mp_Time by = r->deadline;
   mp_Time left;
-  if (r->kv != NULL) /* a result that is there is used late rather than lost */
+  if (r->kv != NULL)
     by = MIN(by, r->kv_expires_at);
   else if (flow_policy(state)->refuse_early && r->got == 0)
     by = MIN(by, r->arrived + (mp_Time)r->first_ms * MP_MS *
@@ -40,8 +50,12 @@
   return left > 0 ? (uint32_t)(left / MP_MS) : 0;
 }
 
-/* the estimate said no everywhere: refuse at once */
-static void full(mp_State *state, Request *r) {
+/*
+** Keepers denied because the estimated wait is too long: refuse as overloaded
+** when nothing may have run, with a time to come back that covers the longest
+** estimate, at most 30 s; else give up. Ends.
+*/
+static void refuse_overloaded(mp_State *state, Request *r) {
   int s = MAX(mp_error_retry(MP_ERR_OVERLOAD), (int)(r->wait_ms / 1000) + 1);
   if (r->ran != MP_RAN_NO)
     flow_give_up(state, r);
@@ -51,7 +65,7 @@
 
 void flow_no_endpoint(mp_State *state, Request *r) {
   if (r->wait_ms > 0)
-    full(state, r);
+    refuse_overloaded(state, r);
   else if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
                 mp_error_retry(MP_ERR_PLACE_AWAY));
@@ -59,10 +73,11 @@
     flow_give_up(state, r);
 }
 
-static void slotlate(mp_State *state, void *ud) {
+/* timer function: the keeper neither granted nor denied in time */
+static void on_queue_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   Attempt *a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
-  flow_reserved(state, r, a, MP_DENIED, slack(state, r, 0));
+  flow_reserved(state, r, a, MP_DENIED, slack_ms(state, r, 0));
 }
 
 void flow_reserve_decode(mp_State *state, Request *r) {
@@ -77,7 +92,7 @@
     need = p != NULL ? choice_prefilltime(p, r->prompt_tokens) : 0;
   }
   flow_init_attempt(r, &r->decode, e, MP_ROLE_DECODE, r->max_tokens - r->got);
-  holder_reserve(state, r, &r->decode, slack(state, r, need), need);
+  holder_reserve(state, r, &r->decode, slack_ms(state, r, need), need);
 }
 
 void flow_reserve_prefill(mp_State *state, Request *r) {
@@ -93,10 +108,11 @@
                     MAX(e->rate > 0 ? e->rate : MP_PREFILL_RATE, 1));
   flow_init_attempt(r, &r->prefill, e, MP_ROLE_PREFILL,
                     r->prompt_tokens + r->got);
-  holder_reserve(state, r, &r->prefill, slack(state, r, need), 0);
+  holder_reserve(state, r, &r->prefill, slack_ms(state, r, need), 0);
 }
 
-static void granted(mp_State *state, Request *r, Attempt *a) {
+/* go on to the step that the reservation was for; may end */
+static void on_granted(mp_State *state, Request *r, Attempt *a) {
   a->granted = 1;
   a->waiting = 0;
   a->begun = state->now;
@@ -119,14 +135,15 @@
   if (a->granted)
     return;
   if (v == MP_GRANTED) {
-    granted(state, r, a);
+    on_granted(state, r, a);
     return;
   }
   if (v == MP_QUEUED) {
     a->waiting = 1;
     timer_arm(&state->timers, &r->timer,
-              state->now + (mp_Time)slack(state, r, 0) * MP_MS + MP_RPC_WAIT,
-              slotlate, r);
+              state->now + (mp_Time)slack_ms(state, r, 0) * MP_MS +
+                  MP_RPC_WAIT,
+              on_queue_timeout, r);
     return;
   }
   timer_stop(&state->timers, &r->timer);
@@ -136,12 +153,12 @@
   if (v == MP_DENIED) {
     r->wait_ms = MAX(r->wait_ms, MAX(wait_ms, 1));
     if (r->avoid_count >= MP_MAXTRIES)
-      full(state, r);
+      refuse_overloaded(state, r);
     else
       flow_enter_step(state, r, s);
     return;
   }
-  flow_retry_step(state, r, s, 1); /* no keeper answered: nothing was run */
+  flow_retry_step(state, r, s, 1); /* no keeper answered: certainly not run */
 }
 
 /* }================================================================== */
--- a/core/state.c
+++ b/core/state.c
@@ -1,6 +1,6 @@
 /*
 ** state.c
-** The state of one decision core: making it, feeding it, looking in
+** The state of one decision core: creating, feeding and inspecting it
 */
 
 #include <string.h>
@@ -22,18 +22,22 @@
 #include "plan.h"
 #include "quota.h"
 
-/* a core that was not run this long was paused: others moved on */
-#define PAUSED (MP_PROBE_PERIOD + MP_SUSPECT_TIME / 2)
+/*
+** A core that was fed no event for longer than this (us) counts as paused:
+*what
+** it knows about the other instances may be out of date.
+*/
+#define PAUSE_MIN (MP_PROBE_PERIOD + MP_SUSPECT_TIME / 2)
 
 /*
 ** {==================================================================
-** Small helpers for all controllers
+** Helpers for all controllers
 ** ===================================================================
 */
 
 uint32_t state_name_hash(const char *s) {
   uint32_t h = XXH32(s, strlen(s), 0);
-  return h != 0 ? h : 1; /* 0 is "none" */
+  return h != 0 ? h : 1; /* 0 means "none" */
 }
 
 GHashTable *state_table_new(GDestroyNotify freerow) {
@@ -60,26 +64,27 @@
 
 /*
 ** {==================================================================
-** Making and freeing
+** Creating and freeing
 ** ===================================================================
 */
 
-static void freerequest(void *p) {
-  g_free(p); /* what it owns was freed when its path ended */
+static void free_request(void *p) {
+  g_free(p); /* ending.c has freed what it owns */
 }
 
-static void tables(mp_State *state) {
+static void create_tables(mp_State *state) {
   state->members = g_ptr_array_new_with_free_func(g_free);
   state->member_by_addr = state_table_new(NULL);
   state->endpoints = g_ptr_array_new_with_free_func(g_free);
   state->endpoint_by_addr = state_table_new(NULL);
-  state->requests = g_ptr_array_new_with_free_func(freerequest);
+  state->requests = g_ptr_array_new_with_free_func(free_request);
   state->request_by_call = state_table_new(NULL);
   state->request_by_seq = state_table_new(NULL);
   state->holds = g_ptr_array_new_with_free_func(g_free);
 }
 
-static void seed(mp_State *state, const mp_Options *o) {
+/* probe the instances that the settings name, except this one */
+static void probe_seeds(mp_State *state, const mp_Options *o) {
   unsigned i;
   for (i = 0; i < o->nseed; i++) {
     mp_Msg m = {0};
@@ -108,7 +113,7 @@
   state->rand = g_rand_new_with_seed((guint32)(o->seed ^ (o->seed >> 32)));
   state->retry_budget_updated_at = now;
   effect_init(state);
-  tables(state);
+  create_tables(state);
   member_init(state);
   document_init(state);
   keeper_init(state);
@@ -118,7 +123,7 @@
   link_init(state);
   holder_init(state);
   order_init(state);
-  seed(state, o);
+  probe_seeds(state, o);
   return state;
 }
 
@@ -165,10 +170,12 @@
 */
 
 /*
-** Empty means: no caller, no cancel unconfirmed, the time for lagging
-** balancers over, and the rows of claims told to their new homes.
+** Timer function: ends the drain when no request and no unconfirmed cancel
+** is left, MP_DRAIN_LINGER has passed since the drain began, because load
+** balancers that lag still send calls during it, and the claim rows were
+** sent to their new homes. Else it checks again after half a second.
 */
-static void drained(mp_State *state, void *ud) {
+static void check_drained(mp_State *state, void *ud) {
   (void)ud;
   if (state->requests->len == 0 && cancel_open(state) == 0 &&
       state->now - state->drain_started_at >= MP_DRAIN_LINGER &&
@@ -178,10 +185,11 @@
     return;
   }
   timer_arm(&state->timers, &state->drain_check_timer, state->now + MP_SEC / 2,
-            drained, NULL);
+            check_drained, NULL);
 }
 
-static void drain(mp_State *state) {
+/* does nothing when the drain has begun already */
+static void start_drain(mp_State *state) {
   if (state->draining)
     return;
   state->drain_started_at = state->now;
@@ -189,7 +197,7 @@
   member_announce_leave(state);
   order_release(state);
   timer_arm(&state->timers, &state->drain_check_timer, state->now + MP_SEC / 2,
-            drained, NULL);
+            check_drained, NULL);
 }
 
 /* }================================================================== */
@@ -200,14 +208,15 @@
 ** ===================================================================
 */
 
-static void stranger(mp_State *state, mp_Addr from) {
+/* a message from outside the set of instances is logged and dropped */
+static void drop_untrusted(mp_State *state, mp_Addr from) {
   char a[24];
   mp_addr_text(from, a);
   state_count(state, STRANGERS);
   effect_log(state, MP_LOG_STRANGER, " from=%s", a);
 }
 
-static void message(mp_State *state, mp_Addr from, const mp_Msg *m) {
+static void handle_message(mp_State *state, mp_Addr from, const mp_Msg *m) {
   if (m->reply) {
     member_mark_responsive(state, from);
     effect_on_rpc_reply(state, from, m);
@@ -244,7 +253,7 @@
   case MP_MSG_FETCH:
     document_on_fetch(state, from, m);
     break;
-  case MP_MSG_LOAD_DIGEST: /* between routers of another dialect */
+  case MP_MSG_LOAD_DIGEST: /* the rest go between routers (router/) */
   case MP_MSG_LOAD_NOTE:
   case MP_MSG_RELAY_BEAT:
   case MP_MSG_RELAY_ASK:
@@ -256,13 +265,13 @@
   }
 }
 
-static void hangup(mp_State *state, uint64_t call) {
+static void handle_hangup(mp_State *state, uint64_t call) {
   Request *r = state_table_get(state->request_by_call, call);
   if (r != NULL)
     flow_hangup(state, r);
 }
 
-static void dispatch(mp_State *state, const mp_Event *e) {
+static void handle_event(mp_State *state, const mp_Event *e) {
   switch (e->kind) {
   case MP_EV_TICK:
     break;
@@ -270,47 +279,48 @@
     admit_call(state, &e->u.call);
     break;
   case MP_EV_HANGUP:
-    hangup(state, e->u.hangup);
+    handle_hangup(state, e->u.hangup);
     break;
   case MP_EV_MSG:
     state_count(state, MSG_IN);
     if (member_is_trusted(state, e->u.msg.from))
-      message(state, e->u.msg.from, e->u.msg.msg);
+      handle_message(state, e->u.msg.from, e->u.msg.msg);
     else
-      stranger(state, e->u.msg.from);
+      drop_untrusted(state, e->u.msg.from);
     break;
   case MP_EV_ENDPOINT:
     if (!effect_on_endpoint_event(state, &e->u.endpoint))
-      state_count(state, STALE); /* of an attempt that is over */
+      state_count(state, STALE); /* the attempt of this call is over */
     break;
   case MP_EV_STORE:
     effect_on_store_event(state, &e->u.store);
     break;
   case MP_EV_DRAIN:
-    drain(state);
+    start_drain(state);
     break;
   }
 }
 
-/* what this instance sent to itself is handled before it waits again */
-static void loop(mp_State *state) {
+/* handle the messages that this instance sent to itself, also new ones */
+static void deliver_loopback(mp_State *state) {
   mp_Msg m;
   while (effect_take_loopback(state, &m))
-    message(state, state->self, &m);
+    handle_message(state, state->self, &m);
 }
 
 void mp_feed(mp_State *state, mp_Time now, const mp_Event *e) {
   g_assert(now >= state->now);
-  if (now - state->now > PAUSED) {
+  if (now - state->now > PAUSE_MIN) {
     state->now = now;
+    /* before a timer or message acts on what is out of date */
     member_on_pause(state);
     order_paused(state);
   }
   state->now = now;
   timer_run(state, &state->timers, now);
-  loop(state);
-  dispatch(state, e);
-  loop(state);
+  deliver_loopback(state);
+  handle_event(state, e);
+  deliver_loopback(state);
 }
 
 mp_Time mp_wake(const mp_State *state) {
@@ -321,11 +331,11 @@
 
 /*
 ** {==================================================================
-** Looking in
+** Status and counters
 ** ===================================================================
 */
 
-static const char *const counternames[MP_C_COUNT] = {
+static const char *const counter_names[MP_C_COUNT] = {
 #define X(sym, name) name,
     MP_COUNTERS(X)
 #undef X
@@ -338,7 +348,7 @@
 
 const char *mp_counter_name(mp_Counter c) {
   g_assert(c < MP_C_COUNT);
-  return counternames[c];
+  return counter_names[c];
 }
 
 void mp_status(const mp_State *state, mp_Status *out) {
@@ -370,7 +380,7 @@
   out->wait_ms = e->wait;
   out->leaving = e->leaving || e->drained;
   out->down = e->down;
-  out->ejected = e->ejected > state->now;
+  out->ejected = e->ejected_until > state->now;
   out->keeper = keeper_of_endpoint(state, e);
   return 1;
 }
--- a/core/state.h
+++ b/core/state.h
@@ -1,6 +1,10 @@
 /*
 ** state.h
-** The state of one decision core, and how controllers ask for effects
+** The state of one decision core: its tables, timers and open calls
+**
+** One mp_State belongs to one instance. It does no input or output: events
+** come in through mp_feed, and controllers queue effects (fx.h) that the
+** host takes out. state.c creates, feeds and frees it.
 */
 
 #ifndef STATE_H
@@ -9,6 +13,7 @@
 #include "board.h"
 #include "key_table.h"
 
+/* private data of one controller, defined in the file named */
 typedef struct Claims Claims;   /* claim.c */
 typedef struct Shards Shards;   /* shard.c */
 typedef struct Quotas Quotas;   /* quota.c */
@@ -17,39 +22,44 @@
 typedef struct Cancels Cancels; /* cancel.c */
 typedef struct Links Links;     /* plan.c */
 
-/* one effect waiting to be taken, with the texts that it owns */
+/* an effect that the host has not taken yet, with the texts it owns */
 typedef struct QueuedEffect {
   mp_Effect e;
   char *own[2];
 } QueuedEffect;
 
-/* tables of the blackboard that are searched by number keep their rows in
-** a GPtrArray too, so that walks are in a fixed order */
+/*
+** Tables that are searched by number keep their rows in a GPtrArray too,
+** which owns them, so that loops visit them in a fixed order.
+*/
 struct mp_State {
-  mp_Time now;
+  mp_Time now; /* time of the event that is being handled */
   mp_Addr self;
   char dc[MP_MAXNAME + 1];
   uint32_t dc_hash;
-  uint32_t start;
-  uint32_t net, mask;
+  uint32_t start;     /* start number: grows with every restart */
+  uint32_t net, mask; /* network of the instances; mask 0: messages
+                      ** count only from members */
   const mp_Codec *codec;
   GRand *rand;
   TimerHeap timers;
-  GQueue fx;           /* Fx, to be taken */
-  QueuedEffect *taken; /* the last one taken */
-  GQueue loop;         /* Loop: messages to this instance itself */
+  GQueue effects;             /* QueuedEffect, not taken yet */
+  QueuedEffect *taken_effect; /* the last one taken: its texts must last until
+                              ** the next mp_take */
+  GQueue loopback;            /* mp_Msg from this instance to itself */
   uint64_t count[MP_C_COUNT];
-  /* calls that wait for an answer, by number */
+  /* open calls, by number; freed together with their timers */
   GHashTable *rpcs;
-  GHashTable *xcalls;
-  GHashTable *stores;
-  uint64_t last_call_number;
+  GHashTable *endpoint_calls;
+  GHashTable *store_calls;
+  uint64_t last_call_number; /* last number of a call to an endpoint, call to
+                             ** the platform, or claim */
   uint32_t last_rpc_seq;
-  int is_store_down; /* the platform's last answer was none */
-  /* the blackboard */
-  mp_Config *config;
-  KeyTable *keys; /* of 'config' */
-  mp_List *list;
+  int is_store_down; /* the platform left its last call unanswered */
+  /* tables shared by the controllers */
+  mp_Config *config; /* NULL: none is in force */
+  KeyTable *keys;    /* hashes of the bearer keys of 'config' */
+  mp_List *list;     /* NULL: none is in force */
   Document doc[MP_DOC_COUNT];
   GPtrArray *members; /* Member, without this instance itself */
   GHashTable *member_by_addr;
@@ -60,27 +70,34 @@
   GHashTable *request_by_seq;  /* by token.seq */
   GPtrArray *holds;            /* Hold */
   uint32_t last_request_seq;
-  /* what controllers keep for themselves */
-  uint32_t incarnation;
-  int draining;
+  /* what single controllers keep for themselves */
+  uint32_t incarnation; /* of this instance, as in Member */
+  int draining;         /* this instance takes no more work as keeper or
+                        ** home and exits when its requests have ended */
   mp_Time drain_started_at;
-  mp_Time settled;           /* when the set of instances here last changed */
-  GArray *previous_live_set; /* mp_Addr: the set before that change */
-  unsigned changes;          /* changes within MP_HOME_SETTLE */
-  unsigned next_local_probe, next_remote_probe, periods;
+  /* when the live set of this data centre last changed, or this instance
+  ** started, took its first list or was paused */
+  mp_Time set_changed_at;
+  GArray *previous_live_set; /* mp_Addr: the live set before those changes */
+  unsigned set_change_count; /* changes that followed each other within
+                             ** MP_HOME_SETTLE; 2 or more: unknown history */
+  unsigned next_local_probe, next_remote_probe; /* index into 'members' */
+  unsigned probe_periods;
   struct {
     uint32_t dc;
-    mp_Time heard;
-  } centre[MP_MAXDCS]; /* when each data centre was last heard from */
+    mp_Time last_heard; /* last probe or reply from one of its members */
+  } dc_contact[MP_MAXDCS];
   unsigned dc_contact_count;
-  GHashTable *probe_contexts; /* memory of probes under way */
-  int has_announced_start;    /* all members of the first list were told */
+  GHashTable *probe_contexts; /* owned contexts of open probes */
+  int has_announced_start;    /* the members of the first list were probed */
   Timer announce_timer, probe_timer, renew_timer, load_poll_timer,
       drain_check_timer;
-  GHashTable *kept;    /* endpoints kept here: address -> mp_Time since */
-  GHashTable *orphans; /* text of token -> mp_Time first seen */
-  GHashTable *open_load_calls; /* endpoints with a load call open */
-  double retry_tokens;
+  GHashTable *kept;            /* endpoints whose keeper this instance is:
+                               ** address -> mp_Time since when */
+  GHashTable *orphans;         /* text of token and attempt -> mp_Time when the
+                               ** uncovered work was first seen */
+  GHashTable *open_load_calls; /* address of endpoint -> LoadCall (keep.c) */
+  double retry_tokens;         /* retries that may be made now (retry.c) */
   mp_Time retry_budget_updated_at;
   unsigned round_robin_next;
   Claims *claims;
@@ -92,13 +109,22 @@
   Links *links;
 };
 
+/* adds one to the counter MP_C_<c> */
 #define state_count(state, c) ((state)->count[MP_C_##c]++)
 
-/* hash of a name, as sent between instances */
+/*
+** The hash of a name by which messages between instances refer to it; never
+** 0, which stands for "none".
+*/
 uint32_t state_name_hash(const char *s);
 
-/* GHashTable of 64-bit numbers */
+/*
+** A hash table with 64-bit keys. 'freerow' frees a value when it is removed
+** or replaced; NULL: the table does not own its values. The caller frees
+** the table by g_hash_table_destroy.
+*/
 GHashTable *state_table_new(GDestroyNotify freerow);
+/* the value, or NULL */
 void *state_table_get(GHashTable *t, uint64_t key);
 void state_table_set(GHashTable *t, uint64_t key, void *row);
 void state_table_remove(GHashTable *t, uint64_t key);
--- a/core/text.c
+++ b/core/text.c
@@ -1,6 +1,6 @@
 /*
 ** text.c
-** Addresses, tokens and digests as text
+** Addresses, request tokens and digests as text, and back
 */
 
 #include <stdio.h>
@@ -8,19 +8,21 @@
 
 #include "madderpier.h"
 
+/* writes "a.b.c.d:port" */
 void mp_addr_text(mp_Addr a, char out[24]) {
   unsigned ip = (unsigned)(a >> 16);
   snprintf(out, 24, "%u.%u.%u.%u:%u", ip >> 24, (ip >> 16) & 255,
            (ip >> 8) & 255, ip & 255, (unsigned)(a & 0xffff));
 }
 
+/* 0 when the text is not exactly an address with a port above 0 */
 mp_Addr mp_addr_parse(const char *s) {
   unsigned b[4];
   unsigned port;
   int used = 0;
   int i;
   mp_Addr a = 0;
-  /* sscanf alone takes blanks and signs before each number */
+  /* sscanf alone would accept blanks and signs before each number */
   if (s == NULL || s[strspn(s, "0123456789.:")] != '\0' ||
       sscanf(s, "%3u.%3u.%3u.%3u:%5u%n", &b[0], &b[1], &b[2], &b[3], &port,
              &used) != 5)
@@ -35,11 +37,13 @@
   return (a << 16) | port;
 }
 
+/* writes "owner-start-seq.attempt": the first three in hexadecimal */
 void mp_token_text(const mp_Token *t, uint32_t attempt, char out[64]) {
   snprintf(out, 64, "%012" G_GINT64_MODIFIER "x-%08x-%08x.%u",
            (guint64)t->owner, t->start, t->seq, attempt);
 }
 
+/* 0 when the text is none of mp_token_text; the results stay unset then */
 int mp_token_parse(const char *s, mp_Token *t, uint32_t *attempt) {
   guint64 owner;
   unsigned start;
@@ -58,6 +62,7 @@
   return 1;
 }
 
+/* the SHA-256 of 'n' bytes in hexadecimal */
 void mp_digest(const char *s, size_t n, char out[MP_DIGEST + 1]) {
   gchar *d =
       g_compute_checksum_for_data(G_CHECKSUM_SHA256, (const guchar *)s, n);
--- a/core/timer.c
+++ b/core/timer.c
@@ -1,28 +1,31 @@
 /*
 ** timer.c
-** Timers in the core's own time
+** The binary heap of timers
 */
 
 #include "timer.h"
 
-static void put(TimerHeap *T, unsigned i, Timer *t) {
+/* store 't' at index 'i' */
+static void set_entry(TimerHeap *T, unsigned i, Timer *t) {
   T->heap[i] = t;
   t->pos = i + 1;
 }
 
-static void up(TimerHeap *T, unsigned i) {
+/* move the entry at 'i' towards the root while it is earlier */
+static void sift_up(TimerHeap *T, unsigned i) {
   Timer *t = T->heap[i];
   while (i > 0) {
     unsigned p = (i - 1) / 2;
     if (T->heap[p]->when <= t->when)
       break;
-    put(T, i, T->heap[p]);
+    set_entry(T, i, T->heap[p]);
     i = p;
   }
-  put(T, i, t);
+  set_entry(T, i, t);
 }
 
-static void down(TimerHeap *T, unsigned i) {
+/* move the entry at 'i' towards the leaves while it is later */
+static void sift_down(TimerHeap *T, unsigned i) {
   Timer *t = T->heap[i];
   for (;;) {
     unsigned c = 2 * i + 1;
@@ -32,10 +35,10 @@
       c++;
     if (t->when <= T->heap[c]->when)
       break;
-    put(T, i, T->heap[c]);
+    set_entry(T, i, T->heap[c]);
     i = c;
   }
-  put(T, i, t);
+  set_entry(T, i, t);
 }
 
 void timer_arm(TimerHeap *T, Timer *t, mp_Time when, TimerCallback fn,
@@ -48,9 +51,9 @@
   t->when = when;
   t->fn = fn;
   t->ud = ud;
-  put(T, T->n, t);
+  set_entry(T, T->n, t);
   T->n++;
-  up(T, T->n - 1);
+  sift_up(T, T->n - 1);
 }
 
 void timer_stop(TimerHeap *T, Timer *t) {
@@ -65,9 +68,9 @@
   if (i == T->n)
     return;
   last = T->heap[T->n];
-  put(T, i, last);
-  down(T, i);
-  up(T, last->pos - 1);
+  set_entry(T, i, last);
+  sift_down(T, i);
+  sift_up(T, last->pos - 1);
 }
 
 void timer_run(mp_State *state, TimerHeap *T, mp_Time now) {
@@ -85,7 +88,7 @@
 void timer_free(TimerHeap *T) {
   unsigned i;
   for (i = 0; i < T->n; i++)
-    T->heap[i]->pos = 0; /* their rows are freed later */
+    T->heap[i]->pos = 0; /* their owners free them later */
   g_free(T->heap);
   T->heap = NULL;
   T->n = T->size = 0;
