--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -81,9 +81,9 @@
 m home "2: the home's memory of IDs" core/claim.c \
   'if (r != NULL && !state_token_equal(&r->token, &c->token)) {' 'if (0) {'
 m settle "2: a new home waits for the holders" core/claim.c \
-  'if (!settled(state, c->id)) {' 'if (0) {'
+  'if (!is_home_settled(state, c->id)) {' 'if (0) {'
 m announce "2: holders announce to a new home" core/claim.c \
-  'if (home == 0 || home == mine->home)' 'if (1)'
+  'if (home == 0 || home == held->home)' 'if (1)'
 m index "3: pieces are checked by their number" core/answer.c \
   'if (e->index < r->got) {' 'if (0) {'
 m whole "3: an end is checked against the count" core/answer.c \
@@ -100,14 +100,14 @@
 m repeat "5: no retry of what may have run" core/ending.c \
   '(!clean && !r->repeatable) ||' ''
 m readback "5: a conflict reads the claims back" core/shard.c \
-  'sift(state, s);
+  'answer_decided(state, s);
   if (s->pending->len > 0)' 'if (s->pending->len > 0)'
 m leaving "6: an endpoint says that it is leaving" core/keep.c \
   'if (l->leaving && !e->leaving) {' 'if (0) {'
 m drain "7: a drain waits for what is in flight" core/state.c \
   'if (state->requests->len == 0 && cancel_open(state) == 0 &&' 'if ('
 m version "8: only a higher version is taken" core/doc.c \
-  'if (c->man.version <= state->doc[MP_DOC_CONFIG].version) {' 'if (0) {'
+  'if (c->manifest.version <= state->doc[MP_DOC_CONFIG].version) {' 'if (0) {'
 m kvgone "3: a prefill of no more use is ended before the next" \
   core/ending.c '  flow_end_attempt(state, r, &r->prefill);
   if (!flow_policy(state)->decode_first' '  if (!flow_policy(state)->decode_first'
