--- a/core/answer.c
+++ b/core/answer.c
@@ -200,7 +200,7 @@
     return;
   }
   flow_init_attempt(r, a, e, MP_ROLE_PLAIN, 0);
-  e->mine++;
+  e->own_attempts++;
   a->granted = 1;
   a->begun = state->now;
   x = flow_make_endpoint_call(r, a, MP_X_PLAIN);
--- a/core/board.h
+++ b/core/board.h
@@ -75,7 +75,7 @@
   uint32_t rate;    /* prefill: tokens a second; decode: us per token;
                     ** 0: unknown */
   unsigned gossip_count; /* probes that carried this load */
-  unsigned mine;         /* attempts of this instance there now */
+  unsigned own_attempts; /* attempts of this instance there now */
   /* work that this instance reserved there since it last learned the load;
   ** prefill: tokens; decode: slots */
   uint32_t sent_since_load;
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -71,7 +71,7 @@
       continue;
     }
     mark_leaving(state, e);
-    if (e->mine > 0) {
+    if (e->own_attempts > 0) {
       i++;
       continue;
     }
--- a/core/holder.c
+++ b/core/holder.c
@@ -60,7 +60,7 @@
   v->slack_ms = slack_ms;
   v->start_ms = start_ms;
   v->weight = r->weight;
-  e->mine++;
+  e->own_attempts++;
   e->sent_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
   r->rpc =
       effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, on_reserve_reply, r);
@@ -74,8 +74,8 @@
     return;
   e = fleet_get(state, a->endpoint);
   keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
-  if (e != NULL && !kept && e->mine > 0)
-    e->mine--;
+  if (e != NULL && !kept && e->own_attempts > 0)
+    e->own_attempts--;
   if (keeper != 0 && a->role != MP_ROLE_PLAIN) {
     m.kind = MP_MSG_RELEASE;
     m.u.release.token = r->token;
--- a/core/holder.h
+++ b/core/holder.h
@@ -4,7 +4,7 @@
 **
 ** The holder is the instance whose request needs the endpoint; the keeper
 ** (keep.h) is the one that grants. Reads: requests, members. Writes: the
-** attempts of requests, and the mine, sent_since_load and load of
+** attempts of requests, and the own_attempts, sent_since_load and load of
 ** endpoints.
 */
 
--- a/core/route.c
+++ b/core/route.c
@@ -219,7 +219,7 @@
   case MP_ROLE_PREFILL:
     return choice_prefilltime(e, 0);
   default:
-    return e->mine + away;
+    return e->own_attempts + away;
   }
 }
 
