--- a/core/answer.c
+++ b/core/answer.c
@@ -88,8 +88,8 @@
 /* the first token is there: the prefill's copy has done its work */
 static void firsttoken(mp_State *state, Request *r) {
   r->ran = MP_RAN_YES;
-  r->kv_used = 1;
-  r->prefill_at = r->prefill.endpoint;
+  r->is_kv_used = 1;
+  r->prefill_engine = r->prefill.endpoint;
   fleet_call_succeeded(state, r->decode.endpoint);
   flow_end_attempt(state, r, &r->prefill);
 }
@@ -196,7 +196,7 @@
   Attempt *a = &r->decode;
   mp_Xcall x;
   if (e == NULL) {
-    flow_no_endpoint(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
   flow_init_attempt(r, a, e, MP_ROLE_PLAIN, 0);
--- a/core/board.h
+++ b/core/board.h
@@ -76,9 +76,10 @@
                     ** 0: unknown */
   unsigned gossip_count; /* probes that carried this load */
   unsigned own_attempts; /* attempts of this instance there now */
-  /* work that this instance reserved there since it last learned the load;
+  /* work that this instance asked to reserve there since it last learned the
+  *load;
   ** prefill: tokens; decode: slots */
-  uint32_t sent_since_load;
+  uint32_t reserved_since_load;
   unsigned consecutive_failures;
   unsigned ejection_count; /* ejections since the last success */
   mp_Time ejected_until;   /* new work goes there from this time on; 0 or
@@ -154,20 +155,20 @@
   Step step;
   Step next; /* entered when FLOW_STEP_RETRY_WAIT is over */
   mp_Ran ran;
-  uint32_t attempts;  /* number of the newest attempt */
-  unsigned tries;     /* failures since the last success */
-  uint32_t wait_ms;   /* longest wait that a keeper estimated; 0: none */
-  mp_Addr prefill_at; /* the engine whose prefill was used */
-  uint32_t rpc;       /* sequence number of the open call to a keeper; 0:
-                      ** none */
-  uint64_t asking;    /* number of the open claim (claim_request); 0: none */
-  mp_Ran before;      /* 'ran' before the newest dispatch */
-  int resumed;        /* the decode stream was resumed once already */
+  uint32_t attempts;      /* number of the newest attempt */
+  unsigned tries;         /* failures since the last success */
+  uint32_t wait_ms;       /* longest wait that a keeper estimated; 0: none */
+  mp_Addr prefill_engine; /* the engine whose prefill was used */
+  uint32_t keeper_rpc;    /* sequence number of the open call to a keeper; 0:
+                           ** none */
+  uint64_t asking; /* number of the open claim (claim_request); 0: none */
+  mp_Ran before;   /* 'ran' before the newest dispatch */
+  int resumed;     /* the decode stream was resumed once already */
   Attempt prefill, decode;
   char *kv;              /* name of the KV result, owned; NULL: none */
   mp_Addr kv_source;     /* the prefill engine that holds the KV result */
   mp_Time kv_expires_at; /* the engine frees the KV result then */
-  int kv_used;           /* the decode engine produced a token from it */
+  int is_kv_used;        /* the decode engine produced a token from it */
   uint32_t kv_tokens;    /* prompt tokens computed for it, without cached */
   int head;              /* the answer's head went to the caller */
   uint32_t got;          /* tokens passed to the caller */
--- a/core/claim.c
+++ b/core/claim.c
@@ -30,7 +30,7 @@
 /* an open request for a claim */
 typedef struct ClaimRequest {
   mp_State *state;
-  uint64_t no;
+  uint64_t number;
   mp_Claim claim;
   mp_Time expires_at; /* no retry after this: the claim is unavailable */
   uint32_t rpc;       /* open call to the home; 0: none */
@@ -90,19 +90,19 @@
 ** is unreachable, so that an ID never has two. NULL without a configuration.
 */
 static const char *home_dc(const mp_State *state, const uint64_t id[2]) {
-  const char *win = NULL;
-  uint64_t top = 0;
+  const char *best = NULL;
+  uint64_t best_weight = 0;
   unsigned i;
   for (i = 0; state->config != NULL && i < state->config->data_centres_count;
        i++) {
     const char *name = state->config->data_centres[i].name;
     uint64_t w = member_hash_weight(state_name_hash(name), id[0]);
-    if (win == NULL || w > top) {
-      win = name;
-      top = w;
+    if (best == NULL || w > best_weight) {
+      best = name;
+      best_weight = w;
     }
   }
-  return win;
+  return best;
 }
 
 /* the ID's home; 0 when there is none now */
@@ -268,7 +268,7 @@
   } else if (v == MP_UNAVAILABLE)
     claim_settle(state, a->claim.id, &a->claim.token, MP_RAN_NO,
                  a->claim.durable);
-  state_table_remove(state->claims->requests, a->no);
+  state_table_remove(state->claims->requests, a->number);
   fn(state, ud, v, ran);
 }
 
@@ -317,7 +317,7 @@
                        ClaimCallback fn, void *ud) {
   ClaimRequest *a = g_new0(ClaimRequest, 1);
   a->state = state;
-  a->no = ++state->last_call_number;
+  a->number = ++state->last_call_number;
   memcpy(a->claim.id, id, sizeof a->claim.id);
   a->claim.token = *t;
   a->claim.ttl_ms = (uint32_t)(ttl / MP_MS);
@@ -325,9 +325,9 @@
   a->expires_at = state->now + MP_STORE_TIMEOUT + MP_HOME_SETTLE;
   a->fn = fn;
   a->ud = ud;
-  state_table_set(state->claims->requests, a->no, a);
+  state_table_set(state->claims->requests, a->number, a);
   ask_home(state, a);
-  return a->no;
+  return a->number;
 }
 
 void claim_cancel_request(mp_State *state, uint64_t asking) {
@@ -431,7 +431,7 @@
 unsigned claim_hand_over(mp_State *state) {
   GHashTableIter it;
   gpointer v;
-  unsigned left = 0;
+  unsigned sent = 0;
   g_hash_table_iter_init(&it, state->claims->rows);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const ClaimRow *r = v;
@@ -444,9 +444,9 @@
     c.ttl_ms = r->ttl_ms;
     send_announcement(state, home, &c, r->ran);
     g_hash_table_iter_remove(&it);
-    left++;
+    sent++;
   }
-  return left;
+  return sent;
 }
 
 GHashTable *claim_rows(const mp_State *state) {
--- a/core/claim.h
+++ b/core/claim.h
@@ -48,7 +48,13 @@
 void claim_settle(mp_State *state, const uint64_t id[2], const mp_Token *t,
                   mp_Ran ran, int durable);
 
-/* handle CLAIM and SETTLE */
+/*
+** Handle CLAIM and SETTLE as home. A CLAIM is answered MP_GRANTED, MP_DENIED,
+** MP_WRONG_HOME when this instance is not the home, MP_QUEUED when it became
+** the home so lately that the caller has to ask again, or as shard_claim
+** says. An announcement, a CLAIM that another home granted, is always
+** accepted.
+*/
 void claim_on_claim(mp_State *state, mp_Addr from, const mp_Msg *m);
 void claim_on_settle(mp_State *state, mp_Addr from, const mp_Msg *m);
 
--- a/core/doc.c
+++ b/core/doc.c
@@ -41,7 +41,7 @@
 
 struct Docs {
   Incoming incoming[MP_DOC_COUNT];
-  GHashTable *blobs;              /* digest -> GBytes */
+  GHashTable *section_texts;      /* digest -> GBytes */
   Timer poll_timer[MP_DOC_COUNT]; /* the next read or watch of the platform */
   int is_reading[MP_DOC_COUNT];   /* a platform call for it is open */
   /* version of the platform's object, as last read; 0: the next poll reads
@@ -167,8 +167,8 @@
   mp_Config *config;
   unsigned i;
   for (i = 0; i < c->manifest.n; i++)
-    text[i] =
-        g_hash_table_lookup(state->docs->blobs, c->manifest.section[i].digest);
+    text[i] = g_hash_table_lookup(state->docs->section_texts,
+                                  c->manifest.section[i].digest);
   config = state->codec->config(&c->manifest, text, &err);
   if (config == NULL) {
     effect_log(state, MP_LOG_CONFIG_BAD,
@@ -184,7 +184,7 @@
   key_table_free(state->keys);
   state->keys = make_key_table(config);
   set_in_force(state, MP_DOC_CONFIG, c->manifest.version, c->text);
-  g_hash_table_foreach_remove(state->docs->blobs, is_unused_section,
+  g_hash_table_foreach_remove(state->docs->section_texts, is_unused_section,
                               &c->manifest);
   effect_log(state, MP_LOG_CONFIG_NEW, " version=%" G_GUINT64_FORMAT " by=%s",
              (guint64)c->manifest.version, c->manifest.by);
@@ -255,7 +255,8 @@
     finish_fetch(state, c, 0);
     return;
   }
-  g_hash_table_insert(state->docs->blobs, g_strdup(d), g_bytes_new(s, n));
+  g_hash_table_insert(state->docs->section_texts, g_strdup(d),
+                      g_bytes_new(s, n));
   fetch_next_section(state, c);
 }
 
@@ -310,7 +311,7 @@
   *f = *q;
   f->total = f->n = 0;
   if (q->digest[0] != '\0')
-    b = g_hash_table_lookup(state->docs->blobs, q->digest);
+    b = g_hash_table_lookup(state->docs->section_texts, q->digest);
   else if (q->doc < MP_DOC_COUNT && state->doc[q->doc].version >= q->version)
     b = state->doc[q->doc].text;
   if (b != NULL) {
@@ -350,7 +351,7 @@
   unsigned i;
   char key[sizeof DOC_KEY_SECTION + MP_DIGEST];
   for (i = 0; i < c->manifest.n; i++) {
-    if (!g_hash_table_contains(state->docs->blobs,
+    if (!g_hash_table_contains(state->docs->section_texts,
                                c->manifest.section[i].digest))
       break;
   }
@@ -446,8 +447,8 @@
 void document_init(mp_State *state) {
   int k;
   state->docs = g_new0(Docs, 1);
-  state->docs->blobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
-                                             (GDestroyNotify)g_bytes_unref);
+  state->docs->section_texts = g_hash_table_new_full(
+      g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_bytes_unref);
   for (k = 0; k < MP_DOC_COUNT; k++) {
     state->docs->incoming[k].kind = (mp_DocKind)k;
     timer_arm(&state->timers, &state->docs->poll_timer[k], state->now,
@@ -462,6 +463,6 @@
     if (state->doc[k].text != NULL)
       g_bytes_unref(state->doc[k].text);
   }
-  g_hash_table_destroy(state->docs->blobs);
+  g_hash_table_destroy(state->docs->section_texts);
   g_free(state->docs);
 }
--- a/core/doc.h
+++ b/core/doc.h
@@ -20,6 +20,7 @@
 #define DOC_KEY_LIST "instances"
 #define DOC_KEY_SECTION "config/section/"
 
+/* reads both documents from the platform at once, then polls it */
 void document_init(mp_State *state);
 void document_free(mp_State *state);
 
@@ -30,7 +31,8 @@
 void document_on_offer(mp_State *state, mp_Addr from,
                        const uint64_t *versions);
 
-/* handle FETCH: answer with one part of a document or section */
+/* handle FETCH: answer with one part of a document or section, at most
+** MP_CHUNK bytes; its 'total' is 0 when this instance doesn't have it */
 void document_on_fetch(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 #endif
--- a/core/ending.c
+++ b/core/ending.c
@@ -30,7 +30,7 @@
 
 /* forget the KV result; the engine is told by the attempt's cancel */
 static void dropkv(mp_State *state, Request *r) {
-  if (r->kv != NULL && !r->kv_used)
+  if (r->kv != NULL && !r->is_kv_used)
     waste(state, r->kv_tokens);
   g_free(r->kv);
   r->kv = NULL;
@@ -116,7 +116,7 @@
   p.call = r->call;
   p.what = MP_REPLY_END;
   p.tokens = r->got;
-  p.prefill = r->prefill_at;
+  p.prefill = r->prefill_engine;
   p.decode = r->decode.endpoint;
   p.ran = MP_RAN_YES;
   mp_token_text(&r->token, 0, p.id);
--- a/core/holder.c
+++ b/core/holder.c
@@ -22,7 +22,7 @@
   Endpoint *e;
   const mp_Reserve *v = m != NULL ? &m->u.reserve : NULL;
   a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
-  r->rpc = 0;
+  r->keeper_rpc = 0;
   e = fleet_get(state, a->endpoint);
   if (v == NULL)
     member_mark_unresponsive(state, from);
@@ -61,8 +61,8 @@
   v->start_ms = start_ms;
   v->weight = r->weight;
   e->own_attempts++;
-  e->sent_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
-  r->rpc =
+  e->reserved_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
+  r->keeper_rpc =
       effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, on_reserve_reply, r);
 }
 
@@ -90,9 +90,9 @@
 }
 
 void holder_cancel_call(mp_State *state, Request *r) {
-  if (r->rpc != 0)
-    effect_rpc_cancel(state, r->rpc);
-  r->rpc = 0;
+  if (r->keeper_rpc != 0)
+    effect_rpc_cancel(state, r->keeper_rpc);
+  r->keeper_rpc = 0;
 }
 
 /* the attempt of the request with this number, or NULL */
--- a/core/holder.h
+++ b/core/holder.h
@@ -4,7 +4,7 @@
 **
 ** The holder is the instance whose request needs the endpoint; the keeper
 ** (keep.h) is the one that grants. Reads: requests, members. Writes: the
-** attempts of requests, and the own_attempts, sent_since_load and load of
+** attempts of requests, and the own_attempts, reserved_since_load and load of
 ** endpoints.
 */
 
@@ -29,7 +29,8 @@
 */
 void holder_release(mp_State *state, Request *r, Attempt *a, int kept);
 
-/* handle GRANT: a keeper's later verdict on a queued reservation */
+/* handle GRANT: a keeper's later verdict on a queued reservation. The answer
+** tells the keeper whether the attempt still exists */
 void holder_on_grant(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 /* starts the timer that renews reservations */
--- a/core/keep.c
+++ b/core/keep.c
@@ -221,7 +221,7 @@
   e->used = e->role == MP_ROLE_DECODE ? endpoint_use(state, e, 0).busy
                                       : count_long_prompts(state, e);
   e->load_received_at = state->now;
-  e->sent_since_load = 0;
+  e->reserved_since_load = 0;
   if (!is_load_changed(e, old))
     return;
   e->stamp++;
@@ -276,7 +276,7 @@
 */
 static Hold *next_waiting(const mp_State *state, const Endpoint *e) {
   int slack = policy(state)->slack_order;
-  Hold *win = NULL;
+  Hold *best = NULL;
   guint i;
   for (i = 0; i < state->holds->len; i++) {
     Hold *h = state->holds->pdata[i];
@@ -287,16 +287,16 @@
     if (slack &&
         !may_start(state, e, h->tokens, h->slot_needed_at - state->now))
       continue;
-    if (win == NULL) {
-      win = h;
+    if (best == NULL) {
+      best = h;
       continue;
     }
     a = slack ? h->start_by : h->since;
-    b = slack ? win->start_by : win->since;
-    if (a < b || (a == b && h->weight > win->weight))
-      win = h;
+    b = slack ? best->start_by : best->since;
+    if (a < b || (a == b && h->weight > best->weight))
+      best = h;
   }
-  return win;
+  return best;
 }
 
 /* deny the waiting holds that can't start in time any more */
--- a/core/keep.h
+++ b/core/keep.h
@@ -17,10 +17,16 @@
 
 #include "state.h"
 
+/* arms the timer that polls the endpoints each MP_LOAD_PERIOD */
 void keeper_init(mp_State *state);
 void keeper_free(mp_State *state);
 
-/* handle RESERVE, RENEW and RELEASE */
+/*
+** Handle RESERVE, RENEW and RELEASE. A RESERVE is answered MP_GRANTED,
+** MP_QUEUED (a GRANT message with the verdict follows), MP_DENIED, or
+** MP_WRONG_HOME when this instance is not the keeper or has no configuration.
+** The other two get no answer, and count only from the holder itself.
+*/
 void keeper_on_reserve(mp_State *state, mp_Addr from, const mp_Msg *m);
 void keeper_on_renew(mp_State *state, mp_Addr from, const mp_Msg *m);
 void keeper_on_release(mp_State *state, mp_Addr from, const mp_Msg *m);
--- a/core/keep_loads.c
+++ b/core/keep_loads.c
@@ -27,7 +27,7 @@
 ** one of this data centre. NULL when all known loads have reached the limit.
 */
 static Endpoint *least_gossiped(mp_State *state, const mp_Probe *p) {
-  Endpoint *win = NULL;
+  Endpoint *best = NULL;
   guint i;
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
@@ -38,12 +38,12 @@
       ;
     if (k < p->nload)
       continue;
-    if (win == NULL || e->gossip_count < win->gossip_count ||
-        (e->gossip_count == win->gossip_count &&
-         e->dc_hash == state->dc_hash && win->dc_hash != state->dc_hash))
-      win = e;
+    if (best == NULL || e->gossip_count < best->gossip_count ||
+        (e->gossip_count == best->gossip_count &&
+         e->dc_hash == state->dc_hash && best->dc_hash != state->dc_hash))
+      best = e;
   }
-  return win;
+  return best;
 }
 
 void keeper_fill_loads(mp_State *state, mp_Probe *p, const Member *to) {
@@ -70,7 +70,7 @@
   e->role = (mp_Role)n->role;
   e->load_received_at = state->now;
   e->gossip_count = 0;
-  e->sent_since_load = 0;
+  e->reserved_since_load = 0;
   if (n->flags & MP_LOAD_LEAVING)
     e->leaving = 1;
   keeper_set_down(state, e, (n->flags & MP_LOAD_DOWN) != 0);
--- a/core/member.c
+++ b/core/member.c
@@ -262,20 +262,20 @@
 /* the member whose state was gossiped least and is not in 'p' yet; NULL: all
 ** have reached the limit. The receiver 'to' is left out */
 static Member *least_gossiped(mp_State *state, const mp_Probe *p, mp_Addr to) {
-  Member *win = NULL;
+  Member *best = NULL;
   guint i;
   for (i = 0; i < state->members->len; i++) {
     Member *m = state->members->pdata[i];
     unsigned k;
     if (m->addr == to || m->gossip_count >= member_gossip_limit(state) ||
-        (win != NULL && m->gossip_count >= win->gossip_count))
+        (best != NULL && m->gossip_count >= best->gossip_count))
       continue;
     for (k = 0; k < p->nmember && p->member[k].addr != m->addr; k++)
       ;
     if (k == p->nmember)
-      win = m;
+      best = m;
   }
-  return win;
+  return best;
 }
 
 static void fill_members(mp_State *state, mp_Probe *p, mp_Addr to) {
--- a/core/member.h
+++ b/core/member.h
@@ -18,6 +18,7 @@
 
 #include "state.h"
 
+/* arms the timer of the probe periods */
 void member_init(mp_State *state);
 void member_free(mp_State *state);
 
@@ -36,14 +37,16 @@
 /* 'a' left a call unanswered: avoid it for one MP_PROBE_PERIOD */
 void member_mark_unresponsive(mp_State *state, mp_Addr a);
 
-/* handle PROBE and PROBE_VIA */
+/* handle PROBE and PROBE_VIA; a PROBE_VIA whose target is untrusted, or is
+** this instance, is not answered */
 void member_on_probe(mp_State *state, mp_Addr from, const mp_Msg *m);
 void member_on_probe_via(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 /* add the members that a new instance list names */
 void member_apply_list(mp_State *state);
 
-/* this instance starts to drain: tell all live members at once */
+/* this instance starts to drain: set 'draining', so that it is no home any
+** more, and tell all live members at once */
 void member_announce_leave(mp_State *state);
 
 /* may messages from this address be acted on? It may when it is a member,
--- a/core/member_home.c
+++ b/core/member_home.c
@@ -18,39 +18,41 @@
 /* the address with the highest weight; of equal ones the lowest address.
 ** 0 when there is none */
 static mp_Addr highest_weight(const mp_Addr *a, guint n, uint64_t key) {
-  mp_Addr win = 0;
-  uint64_t top = 0;
+  mp_Addr best = 0;
+  uint64_t best_weight = 0;
   guint i;
   for (i = 0; i < n; i++) {
-    uint64_t w = member_hash_weight(a[i], key);
-    if (win == 0 || w > top || (w == top && a[i] < win)) {
-      win = a[i];
-      top = w;
+    uint64_t weight = member_hash_weight(a[i], key);
+    if (best == 0 || weight > best_weight ||
+        (weight == best_weight && a[i] < best)) {
+      best = a[i];
+      best_weight = weight;
     }
   }
-  return win;
+  return best;
 }
 
 mp_Addr member_home(const mp_State *state, uint32_t dc, uint64_t key) {
-  mp_Addr win = 0;
-  uint64_t top = 0;
+  mp_Addr best = 0;
+  uint64_t best_weight = 0;
   guint i;
   if (dc == state->dc_hash && !state->draining) {
-    win = state->self;
-    top = member_hash_weight(win, key);
+    best = state->self;
+    best_weight = member_hash_weight(best, key);
   }
   for (i = 0; i < state->members->len; i++) {
     const Member *m = state->members->pdata[i];
-    uint64_t w;
+    uint64_t weight;
     if (m->dc != dc || !member_is_serving(m))
       continue;
-    w = member_hash_weight(m->addr, key);
-    if (win == 0 || w > top || (w == top && m->addr < win)) {
-      win = m->addr;
-      top = w;
+    weight = member_hash_weight(m->addr, key);
+    if (best == 0 || weight > best_weight ||
+        (weight == best_weight && m->addr < best)) {
+      best = m->addr;
+      best_weight = weight;
     }
   }
-  return win;
+  return best;
 }
 
 mp_Addr member_previous_home(const mp_State *state, uint64_t key) {
--- a/core/route.c
+++ b/core/route.c
@@ -204,7 +204,7 @@
 }
 
 uint32_t choice_prefilltime(const Endpoint *e, uint32_t tokens) {
-  uint64_t sum = (uint64_t)tokens + e->sent_since_load;
+  uint64_t sum = (uint64_t)tokens + e->reserved_since_load;
   return e->wait + (uint32_t)(sum * 1000 / prefillrate(e));
 }
 
@@ -215,7 +215,8 @@
   case MP_ROLE_DECODE:
     if (state_table_get(state->kept, e->addr) != NULL)
       away -= KEPT_GAIN;
-    return ((double)e->used + e->sent_since_load) / MAX(e->slots, 1) + away;
+    return ((double)e->used + e->reserved_since_load) / MAX(e->slots, 1) +
+           away;
   case MP_ROLE_PREFILL:
     return choice_prefilltime(e, 0);
   default:
--- a/core/shard.c
+++ b/core/shard.c
@@ -34,7 +34,7 @@
 /* the durable claims of one shard */
 typedef struct Shard {
   mp_State *owner;
-  unsigned no;
+  unsigned number;
   char dc[MP_MAXNAME + 1]; /* the home data centre, part of the object's key */
   ShardState state;
   uint64_t version;    /* of the object as last read or written; 0: none */
@@ -61,7 +61,7 @@
 static void process_pending(mp_State *state, void *ud);
 
 static void format_key(const Shard *s, char out[96]) {
-  snprintf(out, 96, "claims/%s/%u", s->dc, s->no);
+  snprintf(out, 96, "claims/%s/%u", s->dc, s->number);
 }
 
 /* append a row as one line: ID, token, ttl_ms */
@@ -124,7 +124,7 @@
   g_hash_table_iter_init(&it, claim_rows(state));
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     ClaimRow *r = v;
-    if (r->durable && claim_shard_of(r->id) == s->no)
+    if (r->durable && claim_shard_of(r->id) == s->number)
       g_hash_table_iter_remove(&it);
   }
 }
@@ -173,8 +173,8 @@
     r->durable = 1;
     claim_answer(state, p->from, &p->call, MP_GRANTED, MP_RAN_NO);
   }
-  effect_log(state, MP_LOG_CLAIM_WRITE, " shard=%s/%u claims=%u", s->dc, s->no,
-             s->in_write->len);
+  effect_log(state, MP_LOG_CLAIM_WRITE, " shard=%s/%u claims=%u", s->dc,
+             s->number, s->in_write->len);
   g_ptr_array_set_size(s->in_write, 0);
 }
 
@@ -197,7 +197,7 @@
     process_pending(state, s);
     break;
   case MP_STORE_CONFLICT:
-    effect_log(state, MP_LOG_CLAIM_FENCED, " shard=%s/%u", s->dc, s->no);
+    effect_log(state, MP_LOG_CLAIM_FENCED, " shard=%s/%u", s->dc, s->number);
     requeue_write(s);
     read_object(state, s);
     break;
@@ -268,7 +268,7 @@
   g_hash_table_iter_init(&it, claim_rows(state));
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const ClaimRow *r = v;
-    if (r->durable && claim_shard_of(r->id) == s->no)
+    if (r->durable && claim_shard_of(r->id) == s->number)
       append_row(g, r);
   }
   for (i = 0; i < s->in_write->len; i++)
@@ -365,7 +365,7 @@
   for (i = 0; i < MP_CLAIM_SHARDS; i++) {
     Shard *s = &state->shards->shard[i];
     s->owner = state;
-    s->no = i;
+    s->number = i;
     s->pending = g_ptr_array_new_with_free_func(g_free);
     s->in_write = g_ptr_array_new_with_free_func(g_free);
   }
--- a/core/shard.h
+++ b/core/shard.h
@@ -17,8 +17,9 @@
 /*
 ** Handle a CLAIM that must be durable; 'dc' is the home data centre of its
 ** ID. It is answered when the platform has written it, or with MP_DENIED when
-** the object gives the ID to another request, or MP_UNAVAILABLE when the
-** platform can't be asked.
+** the object gives the ID to another request, or with MP_UNAVAILABLE when the
+** platform can't be asked, the object is malformed, or claims of another data
+** centre are still open in the shard.
 */
 void shard_claim(mp_State *state, mp_Addr from, const mp_Msg *m,
                  const char *dc);
--- a/core/slots.c
+++ b/core/slots.c
@@ -63,7 +63,7 @@
     flow_refuse(state, r, MP_ERR_OVERLOAD, MIN(s, 30));
 }
 
-void flow_no_endpoint(mp_State *state, Request *r) {
+void flow_refuse_no_endpoint(mp_State *state, Request *r) {
   if (r->wait_ms > 0)
     refuse_overloaded(state, r);
   else if (r->ran == MP_RAN_NO)
@@ -84,7 +84,7 @@
   Endpoint *e = choice_decode(state, r);
   uint32_t need = 0;
   if (e == NULL) {
-    flow_no_endpoint(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
   if (r->kv == NULL) {
@@ -101,7 +101,7 @@
   Endpoint *e = choice_prefill(state, r, d != NULL ? d->dc : NULL);
   uint32_t need;
   if (e == NULL) {
-    flow_no_endpoint(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
   need = (uint32_t)((uint64_t)r->prompt_tokens * 1000 /
--- a/core/step.h
+++ b/core/step.h
@@ -87,7 +87,7 @@
                        uint32_t tokens);
 
 /* no endpoint can be chosen: refuse or give up; ends */
-void flow_no_endpoint(mp_State *state, Request *r);
+void flow_refuse_no_endpoint(mp_State *state, Request *r);
 
 /* FLOW_STEP_RESERVE_DECODE and FLOW_STEP_RESERVE_PREFILL; may end */
 void flow_reserve_decode(mp_State *state, Request *r);
--- a/core/work.c
+++ b/core/work.c
@@ -130,7 +130,7 @@
   r->kv = g_strndup(e->text, e->len);
   r->kv_source = a->endpoint;
   r->kv_expires_at = state->now + (mp_Time)e->life_ms * MP_MS;
-  r->kv_used = 0;
+  r->is_kv_used = 0;
   r->kv_tokens = a->tokens - MIN(e->cached, a->tokens);
   r->tries = 0;
   r->avoid_count = 0;
