--- a/core/answer.c
+++ b/core/answer.c
@@ -202,7 +202,7 @@
   flow_init_attempt(r, a, e, MP_ROLE_PLAIN, 0);
   e->own_attempts++;
   a->granted = 1;
-  a->begun = state->now;
+  a->granted_at = state->now;
   x = flow_make_endpoint_call(r, a, MP_X_PLAIN);
   flow_mark_dispatched(r, a);
   a->xcall = effect_endpoint_call(state, &x, onplain, r);
--- a/core/board.h
+++ b/core/board.h
@@ -77,8 +77,7 @@
   unsigned gossip_count; /* probes that carried this load */
   unsigned own_attempts; /* attempts of this instance there now */
   /* work that this instance asked to reserve there since it last learned the
-  *load;
-  ** prefill: tokens; decode: slots */
+  ** load; prefill: tokens; decode: slots */
   uint32_t reserved_since_load;
   unsigned consecutive_failures;
   unsigned ejection_count; /* ejections since the last success */
@@ -127,10 +126,10 @@
   mp_Role role;
   uint32_t tokens;
   int granted;
-  int waiting;    /* the keeper has put the reservation in its queue */
-  int sent;       /* work went to the endpoint: ending it needs a cancel */
-  uint64_t xcall; /* number of the open call to the endpoint; 0: none */
-  mp_Time begun;  /* when it was granted */
+  int waiting;        /* the keeper has put the reservation in its queue */
+  int sent;           /* work went to the endpoint: ending it needs a cancel */
+  uint64_t xcall;     /* number of the open call to the endpoint; 0: none */
+  mp_Time granted_at; /* when it was granted */
 } Attempt;
 
 /* one request of a caller, from admission until its answer ends */
@@ -161,9 +160,9 @@
   mp_Addr prefill_engine; /* the engine whose prefill was used */
   uint32_t keeper_rpc;    /* sequence number of the open call to a keeper; 0:
                            ** none */
-  uint64_t asking; /* number of the open claim (claim_request); 0: none */
-  mp_Ran before;   /* 'ran' before the newest dispatch */
-  int resumed;     /* the decode stream was resumed once already */
+  uint64_t open_claim; /* number of the open claim (claim_request); 0: none */
+  mp_Ran ran_before_dispatch; /* 'ran' as before the newest dispatch */
+  int resumed;                /* the decode stream was resumed once already */
   Attempt prefill, decode;
   char *kv;              /* name of the KV result, owned; NULL: none */
   mp_Addr kv_source;     /* the prefill engine that holds the KV result */
@@ -175,8 +174,8 @@
   GString *text;         /* text passed to the caller, to resume after it */
   mp_Addr avoid[MP_MAXTRIES]; /* endpoints that failed in this step */
   unsigned avoid_count;
-  Timer timer; /* timeout or retry of the step */
-  Timer limit; /* the deadline */
+  Timer timer;          /* timeout or retry of the step */
+  Timer deadline_timer; /* the deadline */
 } Request;
 
 /* }================================================================== */
--- a/core/claim.c
+++ b/core/claim.c
@@ -330,8 +330,8 @@
   return a->number;
 }
 
-void claim_cancel_request(mp_State *state, uint64_t asking) {
-  state_table_remove(state->claims->requests, asking);
+void claim_cancel_request(mp_State *state, uint64_t number) {
+  state_table_remove(state->claims->requests, number);
 }
 
 /* replies to SETTLE and announcements only stop their being sent again. A lost
--- a/core/claim.h
+++ b/core/claim.h
@@ -39,7 +39,7 @@
                        const mp_Token *t, mp_Time ttl, int durable,
                        ClaimCallback fn, void *ud);
 /* forget the request: 'fn' is not called. The home may have granted it */
-void claim_cancel_request(mp_State *state, uint64_t asking);
+void claim_cancel_request(mp_State *state, uint64_t number);
 
 /*
 ** Tell the home how the claimed request ended; MP_RAN_NO frees the ID. When
--- a/core/ending.c
+++ b/core/ending.c
@@ -55,12 +55,12 @@
 
 static void forget(mp_State *state, Request *r) {
   timer_stop(&state->timers, &r->timer);
-  timer_stop(&state->timers, &r->limit);
+  timer_stop(&state->timers, &r->deadline_timer);
   holder_cancel_call(state, r);
   link_done(state, r);
   quota_forget(state, r);
-  if (r->asking != 0)
-    claim_cancel_request(state, r->asking);
+  if (r->open_claim != 0)
+    claim_cancel_request(state, r->open_claim);
   flow_end_attempt(state, r, &r->prefill);
   flow_end_attempt(state, r, &r->decode);
   g_string_free(r->text, TRUE);
@@ -70,7 +70,7 @@
 }
 
 static void settle(mp_State *state, Request *r, mp_Ran ran) {
-  if (r->claimed || r->asking != 0)
+  if (r->claimed || r->open_claim != 0)
     claim_settle(state, r->id, &r->token, ran, r->durable);
 }
 
--- a/core/flow.c
+++ b/core/flow.c
@@ -30,7 +30,7 @@
 
 static void claimed(mp_State *state, void *ud, mp_Verdict v, mp_Ran ran) {
   Request *r = ud;
-  r->asking = 0;
+  r->open_claim = 0;
   if (v == MP_GRANTED) {
     r->claimed = 1;
     flow_enter_step(state, r, first(state, r));
@@ -48,7 +48,7 @@
 static void claim(mp_State *state, Request *r) {
   mp_Time ttl = r->deadline - state->now + MP_CLAIM_GRACE;
   r->durable = !r->repeatable;
-  r->asking =
+  r->open_claim =
       claim_request(state, r->id, &r->token, ttl, r->durable, claimed, r);
 }
 
@@ -84,7 +84,8 @@
 }
 
 void flow_begin(mp_State *state, Request *r) {
-  timer_arm(&state->timers, &r->limit, r->deadline, flow_on_deadline, r);
+  timer_arm(&state->timers, &r->deadline_timer, r->deadline, flow_on_deadline,
+            r);
   flow_enter_step(state, r, r->keyed ? FLOW_STEP_CLAIM : first(state, r));
 }
 
--- a/core/holder.c
+++ b/core/holder.c
@@ -82,7 +82,7 @@
     m.u.release.attempt = a->no;
     m.u.release.endpoint = a->endpoint;
     m.u.release.kept = (uint8_t)(kept != 0);
-    m.u.release.took_ms = (uint32_t)((state->now - a->begun) / MP_MS);
+    m.u.release.took_ms = (uint32_t)((state->now - a->granted_at) / MP_MS);
     effect_send(state, keeper, &m); /* if it is lost, the lease runs out */
   }
   if (!kept)
--- a/core/slots.c
+++ b/core/slots.c
@@ -115,7 +115,7 @@
 static void on_granted(mp_State *state, Request *r, Attempt *a) {
   a->granted = 1;
   a->waiting = 0;
-  a->begun = state->now;
+  a->granted_at = state->now;
   r->avoid_count = 0;
   r->wait_ms = 0;
   timer_stop(&state->timers, &r->timer);
--- a/core/step.h
+++ b/core/step.h
@@ -49,7 +49,7 @@
 */
 void flow_give_up(mp_State *state, Request *r);
 
-/* timer function of Request.limit: the deadline passed; ends */
+/* timer function of Request.deadline_timer: the deadline passed; ends */
 void flow_on_deadline(mp_State *state, void *ud);
 
 /*
--- a/core/work.c
+++ b/core/work.c
@@ -24,7 +24,7 @@
 
 /* the work goes out now: from here on it may have run */
 void flow_mark_dispatched(Request *r, Attempt *a) {
-  r->before = r->ran;
+  r->ran_before_dispatch = r->ran;
   if (r->ran == MP_RAN_NO)
     r->ran = MP_RAN_UNKNOWN;
   a->sent = 1;
@@ -47,7 +47,7 @@
 
 /* the endpoint certainly did not run it */
 void flow_mark_not_run(Request *r) {
-  r->ran = r->before;
+  r->ran = r->ran_before_dispatch;
 }
 
 CallFailure flow_call_failure(const mp_EndpointEvent *e) {
