--- a/core/fleet.c
+++ b/core/fleet.c
@@ -8,9 +8,9 @@
 ** Ejection: after MP_EJECT_FAILS failures in a row an endpoint gets no new
 ** work for MP_EJECT_TIME; this time doubles with each ejection since the last
 ** success, up to MP_EJECT_MAX. An endpoint is ejected only if at least
-*MP_EJECT_FLOOR percent
-** of its pool, and at least one endpoint, stay open. After the time the next
-** request is the test: if it fails, the endpoint is ejected again at once.
+** MP_EJECT_FLOOR percent of its pool, and at least one endpoint, stay open.
+** After the time the next request is the test: if it fails, the endpoint is
+** ejected again at once.
 */
 
 #include <string.h>
--- a/core/state.c
+++ b/core/state.c
@@ -24,8 +24,7 @@
 
 /*
 ** A core that was fed no event for longer than this (us) counts as paused:
-*what
-** it knows about the other instances may be out of date.
+** what it knows about the other instances may be out of date.
 */
 #define PAUSE_MIN (MP_PROBE_PERIOD + MP_SUSPECT_TIME / 2)
 
@@ -40,8 +39,8 @@
   return h != 0 ? h : 1; /* 0 means "none" */
 }
 
-GHashTable *state_table_new(GDestroyNotify freerow) {
-  return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, freerow);
+GHashTable *state_table_new(GDestroyNotify free_row) {
+  return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, free_row);
 }
 
 void *state_table_get(GHashTable *t, uint64_t key) {
@@ -171,9 +170,9 @@
 
 /*
 ** Timer function: ends the drain when no request and no unconfirmed cancel
-** is left, MP_DRAIN_LINGER has passed since the drain began, because load
-** balancers that lag still send calls during it, and the claim rows were
-** sent to their new homes. Else it checks again after half a second.
+** is left, MP_DRAIN_LINGER has passed since the drain began, and all claim
+** rows were sent to their new homes. Else it checks again after half a second.
+** The linger is there because load balancers that lag still send calls.
 */
 static void check_drained(mp_State *state, void *ud) {
   (void)ud;
--- a/core/state.h
+++ b/core/state.h
@@ -119,11 +119,11 @@
 uint32_t state_name_hash(const char *s);
 
 /*
-** A hash table with 64-bit keys. 'freerow' frees a value when it is removed
+** A hash table with 64-bit keys. 'free_row' frees a value when it is removed
 ** or replaced; NULL: the table does not own its values. The caller frees
 ** the table by g_hash_table_destroy.
 */
-GHashTable *state_table_new(GDestroyNotify freerow);
+GHashTable *state_table_new(GDestroyNotify free_row);
 /* the value, or NULL */
 void *state_table_get(GHashTable *t, uint64_t key);
 void state_table_set(GHashTable *t, uint64_t key, void *row);
