--- a/core/holder.c
+++ b/core/holder.c
@@ -1,6 +1,6 @@
 /*
 ** holder.c
-** The holder's side of reservations: asking, renewing, giving back
+** Reservations as their holder sees them: asking, renewing, releasing
 */
 
 #include "fleet.h"
@@ -10,17 +10,22 @@
 #include "keep.h"
 #include "member.h"
 
-static void answered(mp_State *state, void *ud, mp_Addr from,
-                     const mp_Msg *m) {
+/*
+** The keeper's reply to RESERVE, or NULL when none came. Unless the instance
+** asked is not the keeper, the reply carries the endpoint's slots and those in
+** use; unless it grants, also the estimated wait.
+*/
+static void on_reserve_reply(mp_State *state, void *ud, mp_Addr from,
+                             const mp_Msg *m) {
   Request *r = ud;
   Attempt *a;
   Endpoint *e;
   const mp_Reserve *v = m != NULL ? &m->u.reserve : NULL;
-  a = r->step == ST_PREFILL_SLOT ? &r->prefill : &r->decode;
-  r->rpc = 0;
+  a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
+  r->keeper_rpc = 0;
   e = fleet_get(state, a->endpoint);
   if (v == NULL)
-    member_silent(state, from);
+    member_mark_unresponsive(state, from);
   else if (e != NULL && v->verdict != MP_WRONG_HOME) {
     e->slots = v->slots > 0 ? v->slots : e->slots;
     e->used = v->used;
@@ -35,13 +40,13 @@
 void holder_reserve(mp_State *state, Request *r, Attempt *a, uint32_t slack_ms,
                     uint32_t start_ms) {
   Endpoint *e = fleet_get(state, a->endpoint);
-  mp_Addr keeper = e != NULL ? keeper_keeper(state, e) : 0;
+  mp_Addr keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
   const Member *k;
   mp_Msg m = {0};
   mp_Reserve *v = &m.u.reserve;
   if (keeper != 0 && (k = member_get(state, keeper)) != NULL &&
-      k->avoid > state->now)
-    keeper = 0; /* it did not answer just now */
+      k->avoid_until > state->now)
+    keeper = 0; /* it left a call unanswered shortly before */
   if (keeper == 0) {
     flow_reserved(state, r, a, MP_WRONG_HOME, 0);
     return;
@@ -55,9 +60,10 @@
   v->slack_ms = slack_ms;
   v->start_ms = start_ms;
   v->weight = r->weight;
-  e->mine++;
-  e->pledged += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
-  r->rpc = effect_rpc(state, keeper, &m, 4 * MP_RPC_WAIT, answered, r);
+  e->own_attempts++;
+  e->reserved_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
+  r->keeper_rpc =
+      effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, on_reserve_reply, r);
 }
 
 void holder_release(mp_State *state, Request *r, Attempt *a, int kept) {
@@ -67,29 +73,30 @@
   if (a->no == 0)
     return;
   e = fleet_get(state, a->endpoint);
-  keeper = e != NULL ? keeper_keeper(state, e) : 0;
-  if (e != NULL && !kept && e->mine > 0)
-    e->mine--;
+  keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
+  if (e != NULL && !kept && e->own_attempts > 0)
+    e->own_attempts--;
   if (keeper != 0 && a->role != MP_ROLE_PLAIN) {
     m.kind = MP_MSG_RELEASE;
     m.u.release.token = r->token;
     m.u.release.attempt = a->no;
     m.u.release.endpoint = a->endpoint;
     m.u.release.kept = (uint8_t)(kept != 0);
-    m.u.release.took_ms = (uint32_t)((state->now - a->begun) / MP_MS);
-    effect_send(state, keeper, &m); /* when it is lost, the lease ends it */
+    m.u.release.took_ms = (uint32_t)((state->now - a->granted_at) / MP_MS);
+    effect_send(state, keeper, &m); /* if it is lost, the lease runs out */
   }
   if (!kept)
     a->no = 0;
 }
 
-void holder_forget(mp_State *state, Request *r) {
-  if (r->rpc != 0)
-    effect_rpcdrop(state, r->rpc);
-  r->rpc = 0;
+void holder_cancel_call(mp_State *state, Request *r) {
+  if (r->keeper_rpc != 0)
+    effect_rpc_cancel(state, r->keeper_rpc);
+  r->keeper_rpc = 0;
 }
 
-static Attempt *attempt(Request *r, uint32_t no) {
+/* the attempt of the request with this number, or NULL */
+static Attempt *find_attempt(Request *r, uint32_t no) {
   if (no != 0 && r->prefill.no == no)
     return &r->prefill;
   if (no != 0 && r->decode.no == no)
@@ -97,21 +104,22 @@
   return NULL;
 }
 
-void holder_ongrant(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void holder_on_grant(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Reserve *v = &m->u.reserve;
   Request *r = NULL;
   Attempt *a = NULL;
   mp_Msg ans = {0};
   if (v->token.owner == state->self && v->token.start == state->start)
-    r = state_get(state->requestseq, v->token.seq);
+    r = state_table_get(state->request_by_seq, v->token.seq);
   if (r != NULL)
-    a = attempt(r, v->attempt);
+    a = find_attempt(r, v->attempt);
   ans.u.reserve = *v;
   ans.u.reserve.verdict = a != NULL ? MP_GRANTED : MP_DENIED;
-  effect_answer(state, from, m, &ans);
+  effect_rpc_reply(state, from, m, &ans);
   if (a == NULL || !a->waiting)
     return;
-  holder_forget(state, r); /* the answer to the call itself is late */
+  /* a reply to the RESERVE call itself would be out of date */
+  holder_cancel_call(state, r);
   flow_reserved(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
 }
 
@@ -121,22 +129,25 @@
 ** ===================================================================
 */
 
-/* one datagram for each keeper, sent when it is full */
-static void renew(mp_State *state, GHashTable *batches, const Request *r,
-                  const Attempt *a, mp_HoldState hold) {
+/*
+** Add an attempt to the message for its keeper. 'batches' holds one message
+** for each keeper, by address; a full one is sent and emptied.
+*/
+static void add_renewal(mp_State *state, GHashTable *batches, const Request *r,
+                        const Attempt *a, mp_HoldState hold) {
   const Endpoint *e = a->no != 0 ? fleet_get(state, a->endpoint) : NULL;
-  mp_Addr keeper = e != NULL ? keeper_keeper(state, e) : 0;
+  mp_Addr keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
   mp_Msg *m;
   mp_Renewal *w;
   if (keeper == 0 || a->role == MP_ROLE_PLAIN)
     return;
-  m = state_get(batches, keeper);
+  m = state_table_get(batches, keeper);
   if (m == NULL) {
     m = g_new0(mp_Msg, 1);
     m->kind = MP_MSG_RENEW;
     m->u.renew.owner = state->self;
     m->u.renew.start = state->start;
-    state_set(batches, keeper, m);
+    state_table_set(batches, keeper, m);
   }
   w = &m->u.renew.row[m->u.renew.n++];
   w->seq = r->token.seq;
@@ -151,7 +162,8 @@
   }
 }
 
-static mp_HoldState holdstate(const Request *r, const Attempt *a) {
+/* what the attempt's reservation holds at the endpoint now */
+static mp_HoldState hold_state(const Request *r, const Attempt *a) {
   if (!a->granted)
     return MP_HOLD_WAIT;
   if (a == &r->prefill && r->kv != NULL)
@@ -159,8 +171,9 @@
   return MP_HOLD_BUSY;
 }
 
-static void renewall(mp_State *state, void *ud) {
-  GHashTable *batches = state_table(g_free);
+/* timer function: renew all reservations of this instance */
+static void send_renewals(mp_State *state, void *ud) {
+  GHashTable *batches = state_table_new(g_free);
   GHashTableIter it;
   gpointer k;
   gpointer v;
@@ -168,8 +181,8 @@
   (void)ud;
   for (i = 0; i < state->requests->len; i++) {
     const Request *r = state->requests->pdata[i];
-    renew(state, batches, r, &r->prefill, holdstate(r, &r->prefill));
-    renew(state, batches, r, &r->decode, holdstate(r, &r->decode));
+    add_renewal(state, batches, r, &r->prefill, hold_state(r, &r->prefill));
+    add_renewal(state, batches, r, &r->decode, hold_state(r, &r->decode));
   }
   g_hash_table_iter_init(&it, batches);
   while (g_hash_table_iter_next(&it, &k, &v)) {
@@ -177,13 +190,13 @@
       effect_send(state, (mp_Addr)(*(gint64 *)k), v);
   }
   g_hash_table_destroy(batches);
-  timer_arm(&state->timers, &state->renewtimer, state->now + MP_RENEW_PERIOD,
-            renewall, NULL);
+  timer_arm(&state->timers, &state->renew_timer, state->now + MP_RENEW_PERIOD,
+            send_renewals, NULL);
 }
 
 /* }================================================================== */
 
 void holder_init(mp_State *state) {
-  timer_arm(&state->timers, &state->renewtimer, state->now + MP_RENEW_PERIOD,
-            renewall, NULL);
+  timer_arm(&state->timers, &state->renew_timer, state->now + MP_RENEW_PERIOD,
+            send_renewals, NULL);
 }
--- a/core/member_home.c
+++ b/core/member_home.c
@@ -1,6 +1,6 @@
 /*
 ** member_home.c
-** Which instance answers for a key: rendezvous hash over the live ones
+** The home of a key: rendezvous hash over the live instances
 */
 
 #define XXH_INLINE_ALL
@@ -8,62 +8,67 @@
 
 #include "member.h"
 
-uint64_t member_weight(mp_Addr a, uint64_t key) {
+uint64_t member_hash_weight(mp_Addr a, uint64_t key) {
   uint64_t both[2];
   both[0] = a;
   both[1] = key;
   return XXH3_64bits(both, sizeof both);
 }
 
-static mp_Addr best(const mp_Addr *a, guint n, uint64_t key) {
-  mp_Addr win = 0;
-  uint64_t top = 0;
+/* the address with the highest weight; of equal ones the lowest address.
+** 0 when there is none */
+static mp_Addr highest_weight(const mp_Addr *a, guint n, uint64_t key) {
+  mp_Addr best = 0;
+  uint64_t best_weight = 0;
   guint i;
   for (i = 0; i < n; i++) {
-    uint64_t w = member_weight(a[i], key);
-    if (win == 0 || w > top || (w == top && a[i] < win)) {
-      win = a[i];
-      top = w;
+    uint64_t weight = member_hash_weight(a[i], key);
+    if (best == 0 || weight > best_weight ||
+        (weight == best_weight && a[i] < best)) {
+      best = a[i];
+      best_weight = weight;
     }
   }
-  return win;
+  return best;
 }
 
 mp_Addr member_home(const mp_State *state, uint32_t dc, uint64_t key) {
-  mp_Addr win = 0;
-  uint64_t top = 0;
+  mp_Addr best = 0;
+  uint64_t best_weight = 0;
   guint i;
-  if (dc == state->dchash && !state->draining) {
-    win = state->self;
-    top = member_weight(win, key);
+  if (dc == state->dc_hash && !state->draining) {
+    best = state->self;
+    best_weight = member_hash_weight(best, key);
   }
   for (i = 0; i < state->members->len; i++) {
     const Member *m = state->members->pdata[i];
-    uint64_t w;
-    if (m->dc != dc || !member_serves(m))
+    uint64_t weight;
+    if (m->dc != dc || !member_is_serving(m))
       continue;
-    w = member_weight(m->addr, key);
-    if (win == 0 || w > top || (w == top && m->addr < win)) {
-      win = m->addr;
-      top = w;
+    weight = member_hash_weight(m->addr, key);
+    if (best == 0 || weight > best_weight ||
+        (weight == best_weight && m->addr < best)) {
+      best = m->addr;
+      best_weight = weight;
     }
   }
-  return win;
+  return best;
 }
 
-mp_Addr member_homebefore(const mp_State *state, uint64_t key) {
-  const GArray *b = state->beforeset;
-  return best((const mp_Addr *)(const void *)b->data, b->len, key);
+mp_Addr member_previous_home(const mp_State *state, uint64_t key) {
+  const GArray *b = state->previous_live_set;
+  return highest_weight((const mp_Addr *)(const void *)b->data, b->len, key);
 }
 
-int member_among(const mp_State *state, uint64_t key, unsigned n) {
-  uint64_t own = member_weight(state->self, key);
-  unsigned before = 0;
+int member_is_among_first(const mp_State *state, uint64_t key, unsigned n) {
+  uint64_t own = member_hash_weight(state->self, key);
+  unsigned higher = 0;
   guint i;
   for (i = 0; i < state->members->len; i++) {
     const Member *m = state->members->pdata[i];
-    if (!m->remote && member_serves(m) && member_weight(m->addr, key) > own)
-      before++;
+    if (!m->is_remote && member_is_serving(m) &&
+        member_hash_weight(m->addr, key) > own)
+      higher++;
   }
-  return before < n;
+  return higher < n;
 }
--- a/core/place.c
+++ b/core/place.c
@@ -1,17 +1,18 @@
 /*
 ** place.c
-** Where a request may run, and where its KV may go
-** Unknown means forbidden: no configuration, no rule, or a data centre
-** that is not configured.
+** Placement rules: where a request may run, and where its KV may go
+**
+** Unknown means forbidden: no configuration, no rule, or a data centre that
+** is not configured.
 */
 
 #include <string.h>
 
 #include "place.h"
 
-const mp_Rule *place_rule(const mp_Config *c, const char *class_name,
-                          const char *account) {
-  const mp_Rule *general = NULL;
+const mp_Rule *place_find_rule(const mp_Config *c, const char *class_name,
+                               const char *account) {
+  const mp_Rule *general_rule = NULL;
   unsigned i;
   if (c == NULL)
     return NULL;
@@ -20,14 +21,14 @@
     if (strcmp(r->class_name, class_name) != 0)
       continue;
     if (r->account == NULL)
-      general = r;
+      general_rule = r;
     else if (account != NULL && strcmp(r->account, account) == 0)
-      return r; /* the account's own rule goes first */
+      return r; /* the account's own rule takes precedence */
   }
-  return general;
+  return general_rule;
 }
 
-const mp_Dc *place_dc(const mp_Config *c, const char *name) {
+const mp_Dc *place_find_dc(const mp_Config *c, const char *name) {
   unsigned i;
   for (i = 0; c != NULL && i < c->data_centres_count; i++) {
     if (strcmp(c->data_centres[i].name, name) == 0)
@@ -36,9 +37,9 @@
   return NULL;
 }
 
-int place_runs(const mp_Config *c, const mp_Rule *r, const char *dc) {
+int place_may_run(const mp_Config *c, const mp_Rule *r, const char *dc) {
   unsigned i;
-  if (r == NULL || place_dc(c, dc) == NULL)
+  if (r == NULL || place_find_dc(c, dc) == NULL)
     return 0;
   for (i = 0; i < r->run_in_count; i++) {
     if (strcmp(r->run_in[i], dc) == 0)
@@ -47,9 +48,9 @@
   return 0;
 }
 
-int place_moves(const mp_Config *c, const mp_Rule *r, const char *from,
-                const char *to) {
-  if (!place_runs(c, r, from) || !place_runs(c, r, to))
+int place_may_move_kv(const mp_Config *c, const mp_Rule *r, const char *from,
+                      const char *to) {
+  if (!place_may_run(c, r, from) || !place_may_run(c, r, to))
     return 0;
   if (strcmp(from, to) == 0)
     return 1;
@@ -57,13 +58,14 @@
   case MP_KV_ANY:
     return 1;
   case MP_KV_REGION:
-    return strcmp(place_dc(c, from)->region, place_dc(c, to)->region) == 0;
+    return strcmp(place_find_dc(c, from)->region,
+                  place_find_dc(c, to)->region) == 0;
   default:
     return 0;
   }
 }
 
-int place_drained(const mp_Config *c, const char *name) {
+int place_is_drained(const mp_Config *c, const char *name) {
   unsigned i;
   for (i = 0; c != NULL && i < c->drained_count; i++) {
     if (strcmp(c->drained[i], name) == 0)
@@ -77,14 +79,14 @@
   const mp_Rule *r;
   if (c == NULL)
     return "no configuration is in force";
-  r = place_rule(c, class_name, account);
+  r = place_find_rule(c, class_name, account);
   if (r == NULL)
     return "no rule names this class; without a rule nothing may run";
-  if (place_dc(c, dc) == NULL)
+  if (place_find_dc(c, dc) == NULL)
     return "the data centre is not configured";
-  if (!place_runs(c, r, dc))
+  if (!place_may_run(c, r, dc))
     return "the rule's run_in does not list this data centre";
-  if (place_drained(c, dc))
+  if (place_is_drained(c, dc))
     return "the data centre is drained";
   return NULL;
 }
--- a/core/state.h
+++ b/core/state.h
@@ -1,6 +1,10 @@
 /*
 ** state.h
-** The state of one decision core, and how controllers ask for effects
+** The state of one decision core: its tables, timers and open calls
+**
+** One mp_State belongs to one instance. It does no input or output: events
+** come in through mp_feed, and controllers queue effects (fx.h) that the
+** host takes out. state.c creates, feeds and frees it.
 */
 
 #ifndef STATE_H
@@ -9,6 +13,7 @@
 #include "board.h"
 #include "key_table.h"
 
+/* private data of one controller, defined in the file named */
 typedef struct Claims Claims;   /* claim.c */
 typedef struct Shards Shards;   /* shard.c */
 typedef struct Quotas Quotas;   /* quota.c */
@@ -17,71 +22,84 @@
 typedef struct Cancels Cancels; /* cancel.c */
 typedef struct Links Links;     /* plan.c */
 
-/* one effect waiting to be taken, with the texts that it owns */
-typedef struct Fx {
+/* an effect that the host has not taken yet, with the texts it owns */
+typedef struct QueuedEffect {
   mp_Effect e;
   char *own[2];
-} Fx;
+} QueuedEffect;
 
-/* tables of the blackboard that are searched by number keep their rows in
-** a GPtrArray too, so that walks are in a fixed order */
+/*
+** Tables that are searched by number keep their rows in a GPtrArray too,
+** which owns them, so that loops visit them in a fixed order.
+*/
 struct mp_State {
-  mp_Time now;
+  mp_Time now; /* time of the event that is being handled */
   mp_Addr self;
   char dc[MP_MAXNAME + 1];
-  uint32_t dchash;
-  uint32_t start;
-  uint32_t net, mask;
+  uint32_t dc_hash;
+  uint32_t start;     /* start number: grows with every restart */
+  uint32_t net, mask; /* network of the instances; mask 0: messages
+                      ** count only from members */
   const mp_Codec *codec;
   GRand *rand;
-  Timers timers;
-  GQueue fx;   /* Fx, to be taken */
-  Fx *taken;   /* the last one taken */
-  GQueue loop; /* Loop: messages to this instance itself */
+  TimerHeap timers;
+  GQueue effects;             /* QueuedEffect, not taken yet */
+  QueuedEffect *taken_effect; /* the last one taken: its texts must last until
+                              ** the next mp_take */
+  GQueue loopback;            /* mp_Msg from this instance to itself */
   uint64_t count[MP_C_COUNT];
-  /* calls that wait for an answer, by number */
+  /* open calls, by number; freed together with their timers */
   GHashTable *rpcs;
-  GHashTable *xcalls;
-  GHashTable *stores;
-  uint64_t lastnum;
-  uint32_t lastseq;
-  int storedown; /* the platform's last answer was none */
-  /* the blackboard */
-  mp_Config *config;
-  KeyTable *keys; /* of 'config' */
-  mp_List *list;
-  Doc doc[MP_DOC_COUNT];
+  GHashTable *endpoint_calls;
+  GHashTable *store_calls;
+  uint64_t last_call_number; /* last number of a call to an endpoint, call to
+                             ** the platform, or claim */
+  uint32_t last_rpc_seq;
+  int is_store_down; /* the platform left its last call unanswered */
+  /* tables shared by the controllers */
+  mp_Config *config; /* NULL: none is in force */
+  KeyTable *keys;    /* hashes of the bearer keys of 'config' */
+  mp_List *list;     /* NULL: none is in force */
+  Document doc[MP_DOC_COUNT];
   GPtrArray *members; /* Member, without this instance itself */
-  GHashTable *memberby;
+  GHashTable *member_by_addr;
   GPtrArray *endpoints; /* Endpoint */
-  GHashTable *endpointby;
-  GPtrArray *requests;    /* Request */
-  GHashTable *requestby;  /* by the host's call number */
-  GHashTable *requestseq; /* by token.seq */
-  GPtrArray *holds;       /* Hold */
-  uint32_t lastreq;
-  /* what controllers keep for themselves */
-  uint32_t incarnation;
-  int draining;
-  mp_Time drainsince;
-  mp_Time settled;   /* when the set of instances here last changed */
-  GArray *beforeset; /* mp_Addr: the set before that change */
-  unsigned changes;  /* changes within MP_HOME_SETTLE */
-  unsigned probenext, remotenext, periods;
+  GHashTable *endpoint_by_addr;
+  GPtrArray *requests;         /* Request */
+  GHashTable *request_by_call; /* by the host's call number */
+  GHashTable *request_by_seq;  /* by token.seq */
+  GPtrArray *holds;            /* Hold */
+  uint32_t last_request_seq;
+  /* what single controllers keep for themselves */
+  uint32_t incarnation; /* of this instance, as in Member */
+  int draining;         /* this instance takes no more work as keeper or
+                        ** home and exits when its requests have ended */
+  mp_Time drain_started_at;
+  /* when the live set of this data centre last changed, or this instance
+  ** started, took its first list or was paused */
+  mp_Time set_changed_at;
+  GArray *previous_live_set; /* mp_Addr: the live set before those changes */
+  unsigned set_change_count; /* changes that followed each other within
+                             ** MP_HOME_SETTLE; 2 or more: unknown history */
+  unsigned next_local_probe, next_remote_probe; /* index into 'members' */
+  unsigned probe_periods;
   struct {
     uint32_t dc;
-    mp_Time heard;
-  } centre[MP_MAXDCS]; /* when each data centre was last heard from */
-  unsigned ncentre;
-  GHashTable *scratch; /* memory of probes under way */
-  int greeted;         /* all members of the first list were told */
-  Timer greettimer, probetimer, renewtimer, keeptimer, draintimer;
-  GHashTable *kept;    /* endpoints kept here: address -> mp_Time since */
-  GHashTable *orphans; /* text of token -> mp_Time first seen */
-  GHashTable *loading; /* endpoints with a load call open */
-  double retrybudget;
-  mp_Time retryat;
-  unsigned robin;
+    mp_Time last_heard; /* last probe or reply from one of its members */
+  } dc_contact[MP_MAXDCS];
+  unsigned dc_contact_count;
+  GHashTable *probe_contexts; /* owned contexts of open probes */
+  int has_announced_start;    /* the members of the first list were probed */
+  Timer announce_timer, probe_timer, renew_timer, load_poll_timer,
+      drain_check_timer;
+  GHashTable *kept;            /* endpoints whose keeper this instance is:
+                               ** address -> mp_Time since when */
+  GHashTable *orphans;         /* text of token and attempt -> mp_Time when the
+                               ** uncovered work was first seen */
+  GHashTable *open_load_calls; /* address of endpoint -> LoadCall (keep.c) */
+  double retry_tokens;         /* retries that may be made now (retry.c) */
+  mp_Time retry_budget_updated_at;
+  unsigned round_robin_next;
   Claims *claims;
   Shards *shards;
   Quotas *quotas;
@@ -91,17 +109,26 @@
   Links *links;
 };
 
-#define mpcount(state, c) ((state)->count[MP_C_##c]++)
+/* adds one to the counter MP_C_<c> */
+#define state_count(state, c) ((state)->count[MP_C_##c]++)
 
-/* hash of a name, as sent between instances */
-uint32_t state_hash(const char *s);
+/*
+** The hash of a name by which messages between instances refer to it; never
+** 0, which stands for "none".
+*/
+uint32_t state_name_hash(const char *s);
 
-/* GHashTable of 64-bit numbers */
-GHashTable *state_table(GDestroyNotify freerow);
-void *state_get(GHashTable *t, uint64_t key);
-void state_set(GHashTable *t, uint64_t key, void *row);
-void state_del(GHashTable *t, uint64_t key);
+/*
+** A hash table with 64-bit keys. 'free_row' frees a value when it is removed
+** or replaced; NULL: the table does not own its values. The caller frees
+** the table by g_hash_table_destroy.
+*/
+GHashTable *state_table_new(GDestroyNotify free_row);
+/* the value, or NULL */
+void *state_table_get(GHashTable *t, uint64_t key);
+void state_table_set(GHashTable *t, uint64_t key, void *row);
+void state_table_remove(GHashTable *t, uint64_t key);
 
-int state_sametoken(const mp_Token *a, const mp_Token *b);
+int state_token_equal(const mp_Token *a, const mp_Token *b);
 
 #endif
--- a/core/step.h
+++ b/core/step.h
@@ -1,9 +1,10 @@
 /*
 ** step.h
-** What the files of a request's path share with each other (flow.c,
-** slots.c, work.c, answer.c, ending.c) and with nobody else
-** A function marked "may end" may free the request: it is the last thing
-** that its caller does.
+** What the files of a request's path (flow.c, slots.c, work.c, answer.c,
+** ending.c) share with each other and with no other file
+**
+** A function marked "may end" may free the request, and one marked "ends"
+** frees it: the caller must not touch the request after such a call.
 */
 
 #ifndef STEP_H
@@ -11,9 +12,15 @@
 
 #include "state.h"
 
-/* how a call to an endpoint ended */
-typedef enum Why { WHY_REFUSED, WHY_CONNECT, WHY_BROKEN, WHY_SILENT } Why;
+/* how a call to an endpoint failed; also an index into words for the log */
+typedef enum CallFailure {
+  CALL_FAILURE_REFUSED, /* refused before the work ran: certainly not run */
+  CALL_FAILURE_CONNECT, /* no connection: certainly not run */
+  CALL_FAILURE_BROKEN,  /* connection lost or answer invalid: may have run */
+  CALL_FAILURE_TIMEOUT  /* no answer in time: may have run */
+} CallFailure;
 
+/* the policy of the configuration in force; there must be one */
 const mp_Policy *flow_policy(const mp_State *state);
 
 /*
@@ -23,7 +30,7 @@
 */
 
 /* go to a step; may end */
-void flow_enter(mp_State *state, Request *r, Step s);
+void flow_enter_step(mp_State *state, Request *r, Step s);
 
 /* }================================================================== */
 
@@ -33,29 +40,39 @@
 ** ===================================================================
 */
 
-/* the answer is whole; ends */
+/* the answer is complete: tell the caller; ends */
 void flow_complete(mp_State *state, Request *r);
 
-/* no way on: say what is known, and when to come back; ends */
-void flow_giveup(mp_State *state, Request *r);
+/*
+** There is no way to go on: refuse with the error that fits what is known
+** about the run, and with the time after which to come back; ends.
+*/
+void flow_give_up(mp_State *state, Request *r);
 
-/* timer: the deadline passed; ends */
-void flow_late(mp_State *state, void *ud);
+/* timer function of Request.deadline_timer: the deadline passed; ends */
+void flow_on_deadline(mp_State *state, void *ud);
 
-/* end an attempt: close its call, free what it holds, give it back */
-void flow_endattempt(mp_State *state, Request *r, Attempt *a);
+/*
+** End an attempt: abort its call, cancel what it may hold at the endpoint
+** and release its reservation. '*a' is all zero afterwards.
+*/
+void flow_end_attempt(mp_State *state, Request *r, Attempt *a);
 
 /* do not choose this endpoint for the step again */
-void flow_avoid(Request *r, mp_Addr a);
+void flow_avoid_endpoint(Request *r, mp_Addr a);
 
-/* enter a step after a wait */
-void flow_later(mp_State *state, Request *r, Step s, mp_Time wait);
+/* enter step 's' after 'wait' */
+void flow_enter_step_after(mp_State *state, Request *r, Step s, mp_Time wait);
 
-/* back to a step after a failure, if that is allowed; may end */
-void flow_again(mp_State *state, Request *r, Step s, int clean);
+/*
+** Enter 's' again after a failure, if the class, the number of tries, the
+** deadline and the retry budget allow that; else give up. 'clean': the
+** failed work was certainly not run. May end.
+*/
+void flow_retry_step(mp_State *state, Request *r, Step s, int clean);
 
-/* where to begin again, given what is still there */
-Step flow_restart(mp_State *state, Request *r);
+/* the step from which to start again, given the results that still exist */
+Step flow_restart_step(mp_State *state, Request *r);
 
 /* }================================================================== */
 
@@ -65,16 +82,16 @@
 ** ===================================================================
 */
 
-/* number an attempt and give it its endpoint */
-void flow_attempt(Request *r, Attempt *a, const Endpoint *e, mp_Role role,
-                  uint32_t tokens);
+/* give an unused attempt the next number and its endpoint */
+void flow_init_attempt(Request *r, Attempt *a, const Endpoint *e, mp_Role role,
+                       uint32_t tokens);
 
-/* no endpoint can be chosen; ends */
-void flow_nowhere(mp_State *state, Request *r);
+/* no endpoint can be chosen: refuse or give up; ends */
+void flow_refuse_no_endpoint(mp_State *state, Request *r);
 
-/* the two steps; may end */
-void flow_decodeslot(mp_State *state, Request *r);
-void flow_prefillslot(mp_State *state, Request *r);
+/* FLOW_STEP_RESERVE_DECODE and FLOW_STEP_RESERVE_PREFILL; may end */
+void flow_reserve_decode(mp_State *state, Request *r);
+void flow_reserve_prefill(mp_State *state, Request *r);
 
 /* }================================================================== */
 
@@ -84,35 +101,43 @@
 ** ===================================================================
 */
 
-/* the work goes out now: from here on it may have run */
-void flow_dispatched(Request *r, Attempt *a);
+/* record that the work is sent now: from here on it may have run */
+void flow_mark_dispatched(Request *r, Attempt *a);
 
-/* the call of an attempt, with all that every kind of work says */
-mp_Xcall flow_call(const Request *r, const Attempt *a, mp_XcallOp op);
+/* the call of an attempt, with the fields that every kind of work fills */
+mp_Xcall flow_make_endpoint_call(const Request *r, const Attempt *a,
+                                 mp_XcallOp op);
 
-/* the endpoint certainly did not run it */
-void flow_notrun(Request *r);
+/* record that the endpoint certainly did not run the newest dispatch */
+void flow_mark_not_run(Request *r);
 
-Why flow_whyof(const mp_EndpointEvent *e);
+/* the kind of failure that an event MP_EP_FAIL reports */
+CallFailure flow_call_failure(const mp_EndpointEvent *e);
 
-/* was the work certainly not run? */
-int flow_clean(Why w);
+/* after this failure, is it certain that the work was not run? */
+int flow_is_not_run(CallFailure w);
 
-/* the attempt is over without an answer; begin again elsewhere; may end */
-void flow_failed(mp_State *state, Request *r, Attempt *a, Why why);
+/* the attempt failed without an answer: try again elsewhere; may end */
+void flow_attempt_failed(mp_State *state, Request *r, Attempt *a,
+                         CallFailure why);
 
-/* the endpoint found the request at fault; ends */
-void flow_rejected(mp_State *state, Request *r);
+/* the endpoint found the request itself invalid; ends */
+void flow_request_rejected(mp_State *state, Request *r);
 
-/* the place gate at the instant of dispatch; NULL: forbidden */
-Endpoint *flow_gate(mp_State *state, const Request *r, const Attempt *a);
+/*
+** The placement rules (place.h), checked again at the instant of dispatch.
+** Returns the attempt's endpoint, or NULL when it is gone or the request may
+** not run there.
+*/
+Endpoint *flow_check_place(mp_State *state, const Request *r,
+                           const Attempt *a);
 
-/* a rule changed under way: nothing goes there any more; may end */
-void flow_gated(mp_State *state, Request *r, Attempt *a);
+/* a placement rule changed after the choice: go elsewhere; may end */
+void flow_place_denied(mp_State *state, Request *r, Attempt *a);
 
-/* the two steps; may end */
-void flow_prefill(mp_State *state, Request *r);
-void flow_transfer(mp_State *state, Request *r);
+/* FLOW_STEP_PREFILL and FLOW_STEP_TRANSFER; may end */
+void flow_start_prefill(mp_State *state, Request *r);
+void flow_start_transfer(mp_State *state, Request *r);
 
 /* }================================================================== */
 
@@ -122,9 +147,10 @@
 ** ===================================================================
 */
 
-/* MP_X_DECODE or MP_X_RESUME; may end */
-void flow_decode(mp_State *state, Request *r, mp_XcallOp op);
-void flow_plain(mp_State *state, Request *r);
+/* FLOW_STEP_DECODE; 'op' is MP_X_DECODE or MP_X_RESUME; may end */
+void flow_start_decode(mp_State *state, Request *r, mp_XcallOp op);
+/* FLOW_STEP_PLAIN; may end */
+void flow_start_plain(mp_State *state, Request *r);
 
 /* }================================================================== */
 
