--- a/core/holder.c
+++ b/core/holder.c
@@ -32,7 +32,7 @@
     if (v->verdict != MP_GRANTED)
       e->wait = v->wait_ms;
   }
-  flow_reserved(state, r, a,
+  flow_on_reservation(state, r, a,
                 v != NULL ? (mp_Verdict)v->verdict : MP_WRONG_HOME,
                 v != NULL ? v->wait_ms : 0);
 }
@@ -48,7 +48,7 @@
       k->avoid_until > state->now)
     keeper = 0; /* it left a call unanswered shortly before */
   if (keeper == 0) {
-    flow_reserved(state, r, a, MP_WRONG_HOME, 0);
+    flow_on_reservation(state, r, a, MP_WRONG_HOME, 0);
     return;
   }
   m.kind = MP_MSG_RESERVE;
@@ -120,7 +120,7 @@
     return;
   /* a reply to the RESERVE call itself would be out of date */
   holder_cancel_call(state, r);
-  flow_reserved(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
+  flow_on_reservation(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
 }
 
 /*
--- a/core/holder.h
+++ b/core/holder.h
@@ -17,7 +17,7 @@
 ** Ask the keeper for the reservation of 'a', an attempt that has its number
 ** and endpoint. 'slack_ms': time left until the work must start;
 ** 'start_ms': decode: how long until the slot is needed. The verdict comes
-** through flow_reserved, at once with MP_WRONG_HOME when no keeper can be
+** through flow_on_reservation, at once with MP_WRONG_HOME when no keeper can be
 ** asked, so the request may be gone after this call.
 */
 void holder_reserve(mp_State *state, Request *r, Attempt *a, uint32_t slack_ms,
--- a/core/slots.c
+++ b/core/slots.c
@@ -77,19 +77,19 @@
 static void on_queue_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   Attempt *a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
-  flow_reserved(state, r, a, MP_DENIED, slack_ms(state, r, 0));
+  flow_on_reservation(state, r, a, MP_DENIED, slack_ms(state, r, 0));
 }
 
 void flow_reserve_decode(mp_State *state, Request *r) {
-  Endpoint *e = choice_decode(state, r);
+  Endpoint *e = choice_decode_endpoint(state, r);
   uint32_t need = 0;
   if (e == NULL) {
     flow_refuse_no_endpoint(state, r);
     return;
   }
   if (r->kv == NULL) {
-    const Endpoint *p = choice_prefill(state, r, e->dc);
-    need = p != NULL ? choice_prefilltime(p, r->prompt_tokens) : 0;
+    const Endpoint *p = choice_prefill_endpoint(state, r, e->dc);
+    need = p != NULL ? choice_prefill_ms(p, r->prompt_tokens) : 0;
   }
   flow_init_attempt(r, &r->decode, e, MP_ROLE_DECODE, r->max_tokens - r->got);
   holder_reserve(state, r, &r->decode, slack_ms(state, r, need), need);
@@ -98,7 +98,7 @@
 void flow_reserve_prefill(mp_State *state, Request *r) {
   const Endpoint *d =
       r->decode.no != 0 ? fleet_get(state, r->decode.endpoint) : NULL;
-  Endpoint *e = choice_prefill(state, r, d != NULL ? d->dc : NULL);
+  Endpoint *e = choice_prefill_endpoint(state, r, d != NULL ? d->dc : NULL);
   uint32_t need;
   if (e == NULL) {
     flow_refuse_no_endpoint(state, r);
@@ -127,7 +127,7 @@
                                   : FLOW_STEP_RESERVE_PREFILL);
 }
 
-void flow_reserved(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
+void flow_on_reservation(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
                    uint32_t wait_ms) {
   Step s =
       a == &r->prefill ? FLOW_STEP_RESERVE_PREFILL : FLOW_STEP_RESERVE_DECODE;
--- a/core/state.c
+++ b/core/state.c
@@ -176,7 +176,7 @@
 */
 static void check_drained(mp_State *state, void *ud) {
   (void)ud;
-  if (state->requests->len == 0 && cancel_open(state) == 0 &&
+  if (state->requests->len == 0 && cancel_pending_count(state) == 0 &&
       state->now - state->drain_started_at >= MP_DRAIN_LINGER &&
       claim_hand_over(state) == 0) {
     effect_log(state, MP_LOG_DRAINED, "%s", "");
@@ -194,7 +194,7 @@
   state->drain_started_at = state->now;
   effect_log(state, MP_LOG_DRAIN, " requests=%u", state->requests->len);
   member_announce_leave(state);
-  order_release(state);
+  order_drop_lease(state);
   timer_arm(&state->timers, &state->drain_check_timer, state->now + MP_SEC / 2,
             check_drained, NULL);
 }
@@ -247,7 +247,7 @@
     claim_on_settle(state, from, m);
     break;
   case MP_MSG_QUOTA:
-    quota_onquota(state, from, m);
+    quota_handle_message(state, from, m);
     break;
   case MP_MSG_FETCH:
     document_on_fetch(state, from, m);
--- a/core/work.c
+++ b/core/work.c
@@ -97,7 +97,7 @@
 Endpoint *flow_check_place(mp_State *state, const Request *r,
                            const Attempt *a) {
   Endpoint *e = fleet_get(state, a->endpoint);
-  if (e == NULL || !choice_allowed(state, r, e))
+  if (e == NULL || !choice_is_allowed(state, r, e))
     return NULL;
   return e;
 }
@@ -170,7 +170,7 @@
   flow_mark_dispatched(r, a);
   state_count(state, PREFILLS);
   a->xcall = effect_endpoint_call(state, &x, onprefill, r);
-  expect = (mp_Time)choice_prefilltime(e, r->prompt_tokens) * MP_MS;
+  expect = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
   timer_arm(&state->timers, &r->timer, state->now + 4 * expect + MP_STALL_TIME,
             prefilllate, r);
 }
@@ -196,7 +196,7 @@
 */
 static void noslot(mp_State *state, Request *r) {
   mp_Addr ep = r->decode.endpoint;
-  mp_Time wait = retry_wait(state, 1);
+  mp_Time wait = retry_backoff(state, 1);
   flow_mark_not_run(r);
   r->decode.sent = 0;
   r->avoid_count = 0;
@@ -212,7 +212,7 @@
 
 static void importlate(mp_State *state, void *ud) {
   Request *r = ud;
-  link_done(state, r);
+  link_release(state, r);
   flow_attempt_failed(state, r, &r->decode, CALL_FAILURE_TIMEOUT);
 }
 
@@ -223,7 +223,7 @@
     return;
   a->xcall = 0;
   timer_stop(&state->timers, &r->timer);
-  link_done(state, r);
+  link_release(state, r);
   if (e->what == MP_EP_DONE) {
     state_count(state, TRANSFERS);
     flow_enter_step(state, r, FLOW_STEP_DECODE);
@@ -248,7 +248,7 @@
   mp_Time expect;
   if (d == NULL || p == NULL ||
       !place_may_move_kv(state->config, rule, p->dc, d->dc)) {
-    link_done(state, r);
+    link_release(state, r);
     flow_place_denied(state, r, a);
     return;
   }
@@ -257,7 +257,7 @@
   x.kv_from = r->kv_source;
   flow_mark_dispatched(r, a);
   a->xcall = effect_endpoint_call(state, &x, onimport, r);
-  expect = link_time(state, p->dc, d->dc, choice_kvbytes(state, r));
+  expect = link_transfer_time(state, p->dc, d->dc, choice_kv_bytes(state, r));
   timer_arm(&state->timers, &r->timer,
             MIN(state->now + 4 * expect + MP_STALL_TIME / 2,
                 MAX(r->kv_expires_at, state->now) + MP_SEC / 2),
@@ -267,17 +267,17 @@
 void flow_start_transfer(mp_State *state, Request *r) {
   const Endpoint *d = fleet_get(state, r->decode.endpoint);
   const Endpoint *p = fleet_get(state, r->kv_source);
-  uint64_t bytes = choice_kvbytes(state, r);
+  uint64_t bytes = choice_kv_bytes(state, r);
   if (d == NULL) {
     flow_place_denied(state, r, &r->decode);
     return;
   }
   if (p == NULL ||
-      state->now + link_time(state, p->dc, d->dc, bytes) > r->kv_expires_at) {
+      state->now + link_transfer_time(state, p->dc, d->dc, bytes) > r->kv_expires_at) {
     kvlost(state, r);
     return;
   }
-  link_ask(state, p->dc, d->dc, bytes, r->kv_expires_at, import, r);
+  link_request(state, p->dc, d->dc, bytes, r->kv_expires_at, import, r);
 }
 
 /* }================================================================== */
