--- a/core/admit.c
+++ b/core/admit.c
@@ -189,7 +189,7 @@
     refusecall(state, c, e);
     return;
   }
-  retry_earn(state);
+  retry_budget_deposit(state);
   r = newrequest(state, c, &f);
   effect_log(state, MP_LOG_ACCEPT,
              " seq=%08x class=%s account=%s prompt_tokens=%u", r->token.seq,
--- a/core/answer.c
+++ b/core/answer.c
@@ -190,7 +190,7 @@
 }
 
 void flow_plain(mp_State *state, Request *r) {
-  Endpoint *e = choice_plain(state, r);
+  Endpoint *e = choice_plain_endpoint(state, r);
   Attempt *a = &r->decode;
   mp_Xcall x;
   if (e == NULL) {
--- a/core/cancel.c
+++ b/core/cancel.c
@@ -64,7 +64,7 @@
     send(state, c);
 }
 
-void cancel_cancel(mp_State *state, mp_Addr ep, const mp_Token *t,
+void cancel_start(mp_State *state, mp_Addr ep, const mp_Token *t,
                    uint32_t attempt) {
   Cancel *c = g_new0(Cancel, 1);
   c->state = state;
@@ -75,7 +75,7 @@
   send(state, c);
 }
 
-unsigned cancel_open(const mp_State *state) {
+unsigned cancel_pending_count(const mp_State *state) {
   return state->cancels->open->len;
 }
 
--- a/core/ending.c
+++ b/core/ending.c
@@ -43,7 +43,7 @@
     effect_xabort(state, a->xcall);
   a->xcall = 0;
   if (a->sent && a->role != MP_ROLE_PLAIN)
-    cancel_cancel(state, a->endpoint, &r->token, a->no);
+    cancel_start(state, a->endpoint, &r->token, a->no);
   if (a == &r->prefill) {
     if (a->sent && r->kv == NULL && r->step == ST_PREFILL)
       waste(state, a->tokens);
@@ -57,8 +57,8 @@
   timer_stop(&state->timers, &r->timer);
   timer_stop(&state->timers, &r->limit);
   holder_forget(state, r);
-  link_done(state, r);
-  quota_forget(state, r);
+  link_release(state, r);
+  quota_cancel_wait(state, r);
   if (r->asking != 0)
     claim_forget(state, r->asking);
   flow_endattempt(state, r, &r->prefill);
@@ -176,9 +176,9 @@
 void flow_again(mp_State *state, Request *r, Step s, int clean) {
   mp_Time wait;
   r->tries++;
-  wait = retry_wait(state, r->tries);
+  wait = retry_backoff(state, r->tries);
   if ((!clean && !r->repeatable) || r->tries >= MP_MAXTRIES ||
-      state->now + wait >= r->deadline || !retry_spend(state)) {
+      state->now + wait >= r->deadline || !retry_budget_try_withdraw(state)) {
     flow_giveup(state, r);
     return;
   }
--- a/core/holder.c
+++ b/core/holder.c
@@ -27,7 +27,7 @@
     if (v->verdict != MP_GRANTED)
       e->wait = v->wait_ms;
   }
-  flow_reserved(state, r, a,
+  flow_on_reservation(state, r, a,
                 v != NULL ? (mp_Verdict)v->verdict : MP_WRONG_HOME,
                 v != NULL ? v->wait_ms : 0);
 }
@@ -43,7 +43,7 @@
       k->avoid > state->now)
     keeper = 0; /* it did not answer just now */
   if (keeper == 0) {
-    flow_reserved(state, r, a, MP_WRONG_HOME, 0);
+    flow_on_reservation(state, r, a, MP_WRONG_HOME, 0);
     return;
   }
   m.kind = MP_MSG_RESERVE;
@@ -112,7 +112,7 @@
   if (a == NULL || !a->waiting)
     return;
   holder_forget(state, r); /* the answer to the call itself is late */
-  flow_reserved(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
+  flow_on_reservation(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
 }
 
 /*
--- a/core/holder.h
+++ b/core/holder.h
@@ -9,7 +9,7 @@
 
 #include "state.h"
 
-/* 'a' is set up and numbered; flow.c hears through flow_reserved */
+/* 'a' is set up and numbered; flow.c hears through flow_on_reservation */
 void holder_reserve(mp_State *state, Request *r, Attempt *a, uint32_t slack_ms,
                     uint32_t start_ms);
 
--- a/core/keep.c
+++ b/core/keep.c
@@ -458,7 +458,7 @@
     g_hash_table_remove(state->orphans, key);
     mpcount(state, ORPHANS);
     effect_log(state, MP_LOG_ORPHAN, " endpoint=%s attempt=%s", e->name, key);
-    cancel_cancel(state, e->addr, &w->token, w->attempt);
+    cancel_start(state, e->addr, &w->token, w->attempt);
   }
 }
 
--- a/core/order.c
+++ b/core/order.c
@@ -321,7 +321,7 @@
     readlease(state);
 }
 
-void order_release(mp_State *state) {
+void order_drop_lease(mp_State *state) {
   lose(state); /* it runs out by itself; nothing is ordered any more */
 }
 
--- a/core/quota.c
+++ b/core/quota.c
@@ -76,7 +76,7 @@
                 state->now);
 }
 
-void quota_onquota(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void quota_handle_message(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Account *a = account(state, m->u.quota.account);
   mp_Msg r = {0};
   Bucket *b;
@@ -204,7 +204,7 @@
   return -1;
 }
 
-void quota_forget(mp_State *state, void *ud) {
+void quota_cancel_wait(mp_State *state, void *ud) {
   GHashTableIter it;
   gpointer v;
   guint i;
--- a/core/retry.c
+++ b/core/retry.c
@@ -14,13 +14,13 @@
       MIN(BUDGET_MOST, state->retrybudget + secs * MP_RETRY_FLOOR);
 }
 
-void retry_earn(mp_State *state) {
+void retry_budget_deposit(mp_State *state) {
   refill(state);
   state->retrybudget =
       MIN(BUDGET_MOST, state->retrybudget + MP_RETRY_SHARE / 100.0);
 }
 
-int retry_spend(mp_State *state) {
+int retry_budget_try_withdraw(mp_State *state) {
   refill(state);
   if (state->retrybudget < 1) {
     mpcount(state, RETRIES_DENIED);
@@ -31,7 +31,7 @@
   return 1;
 }
 
-mp_Time retry_wait(mp_State *state, unsigned n) {
+mp_Time retry_backoff(mp_State *state, unsigned n) {
   mp_Time most = MP_RETRY_WAIT << MIN(n, 4);
   return most / 2 + g_rand_int_range(state->rand, 0, (gint32)(most / 2 + 1));
 }
--- a/core/route.c
+++ b/core/route.c
@@ -66,7 +66,7 @@
   return 0;
 }
 
-int choice_allowed(const mp_State *state, const Request *r,
+int choice_is_allowed(const mp_State *state, const Request *r,
                    const Endpoint *e) {
   const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
   if (strcmp(e->service, r->service) != 0)
@@ -186,7 +186,7 @@
 }
 
 /* an adapter's KV is as large as that of its service's largest model */
-uint64_t choice_kvbytes(const mp_State *state, const Request *r) {
+uint64_t choice_kv_bytes(const mp_State *state, const Request *r) {
   const mp_Config *c = state->config;
   uint32_t each = 0;
   unsigned i;
@@ -201,7 +201,7 @@
   return (uint64_t)each * r->prompt_tokens;
 }
 
-uint32_t choice_prefilltime(const Endpoint *e, uint32_t tokens) {
+uint32_t choice_prefill_ms(const Endpoint *e, uint32_t tokens) {
   uint64_t sum = (uint64_t)tokens + e->pledged;
   return e->wait + (uint32_t)(sum * 1000 / prefillrate(e));
 }
@@ -215,7 +215,7 @@
       away -= KEPT_GAIN;
     return ((double)e->used + e->pledged) / MAX(e->slots, 1) + away;
   case MP_ROLE_PREFILL:
-    return choice_prefilltime(e, 0);
+    return choice_prefill_ms(e, 0);
   default:
     return e->mine + away;
   }
@@ -289,14 +289,14 @@
 */
 static uint32_t cost(const mp_State *state, const Request *r,
                      const Endpoint *e, const char *dc) {
-  uint32_t ms = choice_prefilltime(e, 0);
+  uint32_t ms = choice_prefill_ms(e, 0);
   if (r->prompt_tokens >= MP_LONG_PROMPT) /* long ones wait for each other */
     ms += (uint32_t)((uint64_t)e->used * r->prompt_tokens * 1000 /
                      prefillrate(e));
   if (dc != NULL && strcmp(dc, e->dc) != 0 &&
       state->config->policy->transfer_plan)
     ms +=
-        (uint32_t)(2 * link_time(state, e->dc, dc, choice_kvbytes(state, r)) /
+        (uint32_t)(2 * link_transfer_time(state, e->dc, dc, choice_kv_bytes(state, r)) /
                    MP_MS);
   return ms;
 }
@@ -336,7 +336,7 @@
 
 /* }================================================================== */
 
-Endpoint *choice_decode(mp_State *state, const Request *r) {
+Endpoint *choice_decode_endpoint(mp_State *state, const Request *r) {
   const Endpoint *src = r->kv != NULL ? fleet_get(state, r->kv_at) : NULL;
   Scope s = scope(state, r);
   GPtrArray *a;
@@ -351,7 +351,7 @@
   return e;
 }
 
-Endpoint *choice_prefill(mp_State *state, const Request *r, const char *dc) {
+Endpoint *choice_prefill_endpoint(mp_State *state, const Request *r, const char *dc) {
   const mp_Policy *p = state->config->policy;
   Scope s = scope(state, r);
   GPtrArray *a;
@@ -371,7 +371,7 @@
   return e;
 }
 
-Endpoint *choice_plain(mp_State *state, const Request *r) {
+Endpoint *choice_plain_endpoint(mp_State *state, const Request *r) {
   Scope s = scope(state, r);
   GPtrArray *a = candidates(state, r, &s, MP_ROLE_PLAIN);
   Endpoint *e = bypolicy(state, a);
--- a/core/slots.c
+++ b/core/slots.c
@@ -62,19 +62,19 @@
 static void slotlate(mp_State *state, void *ud) {
   Request *r = ud;
   Attempt *a = r->step == ST_PREFILL_SLOT ? &r->prefill : &r->decode;
-  flow_reserved(state, r, a, MP_DENIED, slack(state, r, 0));
+  flow_on_reservation(state, r, a, MP_DENIED, slack(state, r, 0));
 }
 
 void flow_decodeslot(mp_State *state, Request *r) {
-  Endpoint *e = choice_decode(state, r);
+  Endpoint *e = choice_decode_endpoint(state, r);
   uint32_t need = 0;
   if (e == NULL) {
     flow_nowhere(state, r);
     return;
   }
   if (r->kv == NULL) {
-    const Endpoint *p = choice_prefill(state, r, e->dc);
-    need = p != NULL ? choice_prefilltime(p, r->prompt_tokens) : 0;
+    const Endpoint *p = choice_prefill_endpoint(state, r, e->dc);
+    need = p != NULL ? choice_prefill_ms(p, r->prompt_tokens) : 0;
   }
   flow_attempt(r, &r->decode, e, MP_ROLE_DECODE, r->max_tokens - r->got);
   holder_reserve(state, r, &r->decode, slack(state, r, need), need);
@@ -83,7 +83,7 @@
 void flow_prefillslot(mp_State *state, Request *r) {
   const Endpoint *d =
       r->decode.no != 0 ? fleet_get(state, r->decode.endpoint) : NULL;
-  Endpoint *e = choice_prefill(state, r, d != NULL ? d->dc : NULL);
+  Endpoint *e = choice_prefill_endpoint(state, r, d != NULL ? d->dc : NULL);
   uint32_t need;
   if (e == NULL) {
     flow_nowhere(state, r);
@@ -108,7 +108,7 @@
     flow_enter(state, r, r->kv != NULL ? ST_TRANSFER : ST_PREFILL_SLOT);
 }
 
-void flow_reserved(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
+void flow_on_reservation(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
                    uint32_t wait_ms) {
   Step s = a == &r->prefill ? ST_PREFILL_SLOT : ST_DECODE_SLOT;
   g_assert(a->no != 0);
--- a/core/state.c
+++ b/core/state.c
@@ -170,7 +170,7 @@
 */
 static void drained(mp_State *state, void *ud) {
   (void)ud;
-  if (state->requests->len == 0 && cancel_open(state) == 0 &&
+  if (state->requests->len == 0 && cancel_pending_count(state) == 0 &&
       state->now - state->drainsince >= MP_DRAIN_LINGER &&
       claim_handover(state) == 0) {
     effect_log(state, MP_LOG_DRAINED, "%s", "");
@@ -187,7 +187,7 @@
   state->drainsince = state->now;
   effect_log(state, MP_LOG_DRAIN, " requests=%u", state->requests->len);
   member_leave(state);
-  order_release(state);
+  order_drop_lease(state);
   timer_arm(&state->timers, &state->draintimer, state->now + MP_SEC / 2,
             drained, NULL);
 }
@@ -239,7 +239,7 @@
     claim_onsettle(state, from, m);
     break;
   case MP_MSG_QUOTA:
-    quota_onquota(state, from, m);
+    quota_handle_message(state, from, m);
     break;
   case MP_MSG_FETCH:
     document_fetch(state, from, m);
--- a/core/work.c
+++ b/core/work.c
@@ -94,7 +94,7 @@
 /* the gate, asked again at the instant of dispatch */
 Endpoint *flow_gate(mp_State *state, const Request *r, const Attempt *a) {
   Endpoint *e = fleet_get(state, a->endpoint);
-  if (e == NULL || !choice_allowed(state, r, e))
+  if (e == NULL || !choice_is_allowed(state, r, e))
     return NULL;
   return e;
 }
@@ -165,7 +165,7 @@
   flow_dispatched(r, a);
   mpcount(state, PREFILLS);
   a->xcall = effect_xcall(state, &x, onprefill, r);
-  expect = (mp_Time)choice_prefilltime(e, r->prompt_tokens) * MP_MS;
+  expect = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
   timer_arm(&state->timers, &r->timer, state->now + 4 * expect + MP_STALL_TIME,
             prefilllate, r);
 }
@@ -191,7 +191,7 @@
 */
 static void noslot(mp_State *state, Request *r) {
   mp_Addr ep = r->decode.endpoint;
-  mp_Time wait = retry_wait(state, 1);
+  mp_Time wait = retry_backoff(state, 1);
   flow_notrun(r);
   r->decode.sent = 0;
   r->navoid = 0;
@@ -207,7 +207,7 @@
 
 static void importlate(mp_State *state, void *ud) {
   Request *r = ud;
-  link_done(state, r);
+  link_release(state, r);
   flow_failed(state, r, &r->decode, WHY_SILENT);
 }
 
@@ -218,7 +218,7 @@
     return;
   a->xcall = 0;
   timer_stop(&state->timers, &r->timer);
-  link_done(state, r);
+  link_release(state, r);
   if (e->what == MP_EP_DONE) {
     mpcount(state, TRANSFERS);
     flow_enter(state, r, ST_DECODE);
@@ -242,7 +242,7 @@
   mp_Time expect;
   if (d == NULL || p == NULL ||
       !place_moves(state->config, rule, p->dc, d->dc)) {
-    link_done(state, r);
+    link_release(state, r);
     flow_gated(state, r, a);
     return;
   }
@@ -251,7 +251,7 @@
   x.kv_from = r->kv_at;
   flow_dispatched(r, a);
   a->xcall = effect_xcall(state, &x, onimport, r);
-  expect = link_time(state, p->dc, d->dc, choice_kvbytes(state, r));
+  expect = link_transfer_time(state, p->dc, d->dc, choice_kv_bytes(state, r));
   timer_arm(&state->timers, &r->timer,
             MIN(state->now + 4 * expect + MP_STALL_TIME / 2,
                 MAX(r->kv_until, state->now) + MP_SEC / 2),
@@ -261,17 +261,17 @@
 void flow_transfer(mp_State *state, Request *r) {
   const Endpoint *d = fleet_get(state, r->decode.endpoint);
   const Endpoint *p = fleet_get(state, r->kv_at);
-  uint64_t bytes = choice_kvbytes(state, r);
+  uint64_t bytes = choice_kv_bytes(state, r);
   if (d == NULL) {
     flow_gated(state, r, &r->decode);
     return;
   }
   if (p == NULL ||
-      state->now + link_time(state, p->dc, d->dc, bytes) > r->kv_until) {
+      state->now + link_transfer_time(state, p->dc, d->dc, bytes) > r->kv_until) {
     kvlost(state, r);
     return;
   }
-  link_ask(state, p->dc, d->dc, bytes, r->kv_until, import, r);
+  link_request(state, p->dc, d->dc, bytes, r->kv_until, import, r);
 }
 
 /* }================================================================== */
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -105,7 +105,7 @@
 m leaving "6: an endpoint says that it is leaving" core/keep.c \
   'if (l->leaving && !e->leaving) {' 'if (0) {'
 m drain "7: a drain waits for what is in flight" core/state.c \
-  'if (state->requests->len == 0 && cancel_open(state) == 0 &&' 'if ('
+  'if (state->requests->len == 0 && cancel_pending_count(state) == 0 &&' 'if ('
 m version "8: only a higher version is taken" core/doc.c \
   'if (c->man.version <= state->doc[MP_DOC_CONFIG].version) {' 'if (0) {'
 m kvgone "3: a prefill of no more use is ended before the next" \
