--- a/account/bucket.h
+++ b/account/bucket.h
@@ -1,7 +1,9 @@
 /*
 ** bucket.h
 ** A token bucket: what a limit of a rate and a burst still allows
-** The level may be below zero: what was spent too much is paid back first.
+**
+** The owner subtracts what is spent. The level may be below zero: what was
+** spent too much is paid back before anything is allowed again.
 */
 
 #ifndef ACCOUNT_BUCKET_H
@@ -10,12 +12,16 @@
 #include <glib.h>
 
 typedef struct Bucket {
-  double level; /* units of the limit: requests or tokens */
-  gint64 at;    /* when it was filled last; microseconds */
+  double level; /* in units of the limit: requests or tokens */
+  gint64 at;    /* time of the last refill, by the owner's clock; us */
 } Bucket;
 
-/* add what has come since the last time: 'rate' units a second, up to 'most'
- */
-void bucket_refill(Bucket *bucket, double rate, double most, gint64 now);
+/*
+** Adds what has come since the last refill: 'rate_per_s' units a second, up
+** to a level of 'max_level'. 'now' is in microseconds, by the same clock as
+** 'at'; a clock that went back adds nothing.
+*/
+void bucket_refill(Bucket *bucket, double rate_per_s, double max_level,
+                   gint64 now);
 
 #endif
--- a/account/key_table.h
+++ b/account/key_table.h
@@ -1,9 +1,10 @@
 /*
 ** key_table.h
-** Which client account a key belongs to
+** Finds the client account that an API key belongs to
 **
-** Invariant: keys are kept and compared as SHA-256 digests alone. What a
-** look-up's time tells is about a digest, from which no key follows.
+** Invariant: keys are kept and compared as SHA-256 digests alone. The time
+** that a look-up takes thus tells something about a digest at most, and no
+** key follows from a digest.
 */
 
 #ifndef ACCOUNT_KEY_TABLE_H
@@ -13,15 +14,24 @@
 
 typedef struct KeyTable KeyTable;
 
+/* Returns an empty table, which key_table_free frees. */
 KeyTable *key_table_new(void);
+
+/* Frees the table; NULL is allowed. */
 void key_table_free(KeyTable *table);
 
-/* 'digest': hexadecimal, as mp_digest writes it; copied. 'account' is the
-** place of its account in the configuration. A key that stands twice belongs
-** to the first account that has it */
+/*
+** Adds a key. 'digest' is its SHA-256 in hexadecimal, as mp_digest writes
+** it, and is copied; 'account' is the index of its account in the
+** configuration. A key that is added twice belongs to the account that was
+** added with it first.
+*/
 void key_table_add(KeyTable *table, const char *digest, guint account);
 
-/* FALSE when no account has this key */
+/*
+** Writes the index of the key's account to '*account' and returns TRUE, or
+** returns FALSE and leaves '*account' alone when no account has the key.
+*/
 gboolean key_table_find(const KeyTable *table, const char *digest,
                         guint *account);
 
--- a/core/flow.c
+++ b/core/flow.c
@@ -1,6 +1,7 @@
 /*
 ** flow.c
-** The path of one request: claim, reserve, prefill, transfer, decode
+**
+** The steps of a request, and where its path begins
 **
 ** The steps themselves are in slots.c, work.c and answer.c; how a request
 ** ends, or tries a step again, is in ending.c.
@@ -17,46 +18,62 @@
 ** ===================================================================
 */
 
+/* Returns the policy in force; a configuration must be there. */
 const mp_Policy *flow_policy(const mp_State *state) {
   return state->config->policy;
 }
 
-static Step first(const mp_State *state, const Request *r) {
+/* Returns the step that comes after the claim. */
+static Step first_step(const mp_State *state, const Request *r) {
   if (r->plain)
     return ST_PLAIN;
   return flow_policy(state)->decode_first ? ST_DECODE_SLOT : ST_PREFILL_SLOT;
 }
 
-static void claimed(mp_State *state, void *ud, mp_Verdict v, mp_Ran ran) {
+/* Handles the home's answer to the claim on the request's ID. */
+static void on_claim_answer(mp_State *state, void *ud, mp_Verdict v,
+                            mp_Ran ran) {
   Request *r = ud;
   r->asking = 0;
   if (v == MP_GRANTED) {
     r->claimed = 1;
-    flow_enter(state, r, first(state, r));
+    flow_enter(state, r, first_step(state, r));
     return;
   }
   if (v == MP_UNAVAILABLE) {
     flow_refuse(state, r, MP_ERR_CLAIM, mp_error_retry(MP_ERR_CLAIM));
     return;
   }
-  /* the answer is about the request of this ID that came before */
+  /*
+  ** The ID was claimed before, and 'ran' tells of that earlier request. This
+  ** caller may have sent it, so the reply never says MP_RAN_NO.
+  */
   r->ran = ran == MP_RAN_NO ? MP_RAN_UNKNOWN : ran;
   flow_refuse(state, r, MP_ERR_DUPLICATE, 0);
 }
 
-static void claim(mp_State *state, Request *r) {
+/*
+** Asks the home of the request's ID to claim it (claim.h), until
+** MP_CLAIM_GRACE after the deadline. The claim is durable where the work must
+** not be repeated.
+*/
+static void request_claim(mp_State *state, Request *r) {
   mp_Time ttl = r->deadline - state->now + MP_CLAIM_GRACE;
   r->durable = !r->repeatable;
-  r->asking =
-      claim_claim(state, r->id, &r->token, ttl, r->durable, claimed, r);
+  r->asking = claim_claim(state, r->id, &r->token, ttl, r->durable,
+                          on_claim_answer, r);
 }
 
+/*
+** Makes 's' the current step and starts it. ST_WAIT is not entered here but by
+** flow_later.
+*/
 void flow_enter(mp_State *state, Request *r, Step s) {
   r->step = s;
   effect_log(state, MP_LOG_STEP, " seq=%08x step=%d", r->token.seq, (int)s);
   switch (s) {
   case ST_CLAIM:
-    claim(state, r);
+    request_claim(state, r);
     break;
   case ST_DECODE_SLOT:
     flow_decodeslot(state, r);
@@ -82,9 +99,10 @@
   }
 }
 
+/* A request whose caller gave no ID needs no claim. */
 void flow_begin(mp_State *state, Request *r) {
   timer_arm(&state->timers, &r->limit, r->deadline, flow_late, r);
-  flow_enter(state, r, r->keyed ? ST_CLAIM : first(state, r));
+  flow_enter(state, r, r->keyed ? ST_CLAIM : first_step(state, r));
 }
 
 /* }================================================================== */
--- a/core/order.h
+++ b/core/order.h
@@ -1,7 +1,13 @@
 /*
 ** order.h
-** Role orders: one holder per data centre, by a lease in the platform
-** Reads: config, endpoints, holds. Writes: the lease.
+** Role orders: moves engines between prefill and decode under pressure
+**
+** In each data centre one instance at a time, the holder of a lease in the
+** platform's store, orders engines to change role when one role of a service
+** is under lasting pressure and the other has engines to spare. Reads the
+** configuration and the endpoint table; writes the lease object and one
+** audit record per order to the platform. The module runs by its own timer;
+** state.c calls the functions below.
 */
 
 #ifndef ORDER_H
@@ -9,13 +15,21 @@
 
 #include "state.h"
 
+/* Arms the timer that contends for the lease and gives the orders. */
 void order_init(mp_State *state);
 void order_free(mp_State *state);
 
-/* draining: give the lease back */
+/*
+** Stops acting on the lease because this instance drains. The lease object
+** is not written; the lease expires by itself.
+*/
 void order_drop_lease(mp_State *state);
 
-/* this core stood still for long: the lease is not trusted any more */
+/*
+** Stops acting on the lease because this process stood still for long, so
+** that the lease may have expired unnoticed. The lease object's version is
+** watched anew before the lease may be taken again.
+*/
 void order_paused(mp_State *state);
 
 #endif
--- a/core/plan.c
+++ b/core/plan.c
@@ -1,10 +1,12 @@
 /*
 ** plan.c
-** When a KV transfer may start: links at their rate, earliest expiry first
 **
-** A link is shared by all instances; each plans its own transfers, at most
-** LINK_OPEN at once between two data centres, so that the first ones are
-** through before the last ones expire. Within a data centre nothing waits.
+** Decides when a KV transfer between data centres may start
+**
+** A link is shared by all instances, which do not coordinate: each plans its
+** own transfers, and at most STARTED_PER_LINK_MAX of them are under way on a
+** link at once, so that the first ones are through before the last ones
+** expire. Transfers within a data centre do not wait.
 */
 
 #include <string.h>
@@ -12,22 +14,29 @@
 #include "fx.h"
 #include "plan.h"
 
-#define LINK_OPEN 2
+/* Transfers of this instance under way on one link, at most. */
+#define STARTED_PER_LINK_MAX 2
 
-typedef struct Move {
+/* One transfer, queued or under way. */
+typedef struct Transfer {
   char from[MP_MAXNAME + 1];
   char to[MP_MAXNAME + 1];
-  mp_Time until;
-  int open;
+  mp_Time latest_start; /* a later start misses the KV's expiry */
+  int is_started;       /* under way; 0: queued */
   LinkStartFn fn;
   void *ud;
-} Move;
+} Transfer;
 
 struct Links {
-  GPtrArray *moves; /* Move, in order of asking */
+  GPtrArray *transfers; /* Transfer, in order of request */
 };
 
-static uint32_t rate(const mp_State *state, const char *from, const char *to) {
+/*
+** Returns the link's rate in megabytes a second: the configured one, or
+** MP_LINK_MBYTES.
+*/
+static uint32_t link_mbytes_per_s(const mp_State *state, const char *from,
+                                  const char *to) {
   unsigned i;
   for (i = 0; state->config != NULL && i < state->config->links_count; i++) {
     const mp_Link *l = &state->config->links[i];
@@ -37,75 +46,78 @@
   return MP_LINK_MBYTES;
 }
 
-mp_Time link_transfer_time(const mp_State *state, const char *from, const char *to,
-                  uint64_t bytes) {
-  /* bytes by megabytes a second are microseconds */
-  return (mp_Time)(bytes / MAX(rate(state, from, to), 1));
+mp_Time link_transfer_time(const mp_State *state, const char *from,
+                           const char *to, uint64_t bytes) {
+  /* Bytes over megabytes per second are microseconds. */
+  return (mp_Time)(bytes / MAX(link_mbytes_per_s(state, from, to), 1));
 }
 
-static int samelink(const Move *a, const Move *b) {
+static int is_same_link(const Transfer *a, const Transfer *b) {
   return strcmp(a->from, b->from) == 0 && strcmp(a->to, b->to) == 0;
 }
 
-static int mayopen(const mp_State *state, const Move *m) {
-  unsigned open = 0;
+/* Returns whether a queued transfer may start now. */
+static int may_start(const mp_State *state, const Transfer *transfer) {
+  unsigned started = 0;
   guint i;
   if (state->config == NULL || !state->config->policy->transfer_plan ||
-      strcmp(m->from, m->to) == 0)
+      strcmp(transfer->from, transfer->to) == 0)
     return 1;
-  for (i = 0; i < state->links->moves->len; i++) {
-    const Move *o = state->links->moves->pdata[i];
-    if (samelink(o, m) && o->open)
-      open++;
-    if (samelink(o, m) && !o->open && o->until < m->until)
-      return 0; /* that one goes first */
+  for (i = 0; i < state->links->transfers->len; i++) {
+    const Transfer *other = state->links->transfers->pdata[i];
+    if (is_same_link(other, transfer) && other->is_started)
+      started++;
+    if (is_same_link(other, transfer) && !other->is_started &&
+        other->latest_start < transfer->latest_start)
+      return 0; /* 'other' must start earlier, so it goes first */
   }
-  return open < LINK_OPEN;
+  return started < STARTED_PER_LINK_MAX;
 }
 
-static void start(mp_State *state, Move *m) {
-  m->open = 1;
-  m->fn(state, m->ud);
+/* The function called here may add and remove transfers. */
+static void start_transfer(mp_State *state, Transfer *transfer) {
+  transfer->is_started = 1;
+  transfer->fn(state, transfer->ud);
 }
 
 void link_request(mp_State *state, const char *from, const char *to,
-              uint64_t bytes, mp_Time until, LinkStartFn fn, void *ud) {
-  Move *m = g_new0(Move, 1);
-  g_strlcpy(m->from, from, sizeof m->from);
-  g_strlcpy(m->to, to, sizeof m->to);
-  m->until = until - link_transfer_time(state, from, to, bytes);
-  m->fn = fn;
-  m->ud = ud;
-  g_ptr_array_add(state->links->moves, m);
-  if (mayopen(state, m))
-    start(state, m);
+                  uint64_t bytes, mp_Time until, LinkStartFn fn, void *ud) {
+  Transfer *transfer = g_new0(Transfer, 1);
+  g_strlcpy(transfer->from, from, sizeof transfer->from);
+  g_strlcpy(transfer->to, to, sizeof transfer->to);
+  transfer->latest_start = until - link_transfer_time(state, from, to, bytes);
+  transfer->fn = fn;
+  transfer->ud = ud;
+  g_ptr_array_add(state->links->transfers, transfer);
+  if (may_start(state, transfer))
+    start_transfer(state, transfer);
 }
 
 void link_release(mp_State *state, void *ud) {
-  GPtrArray *a = state->links->moves;
+  GPtrArray *a = state->links->transfers;
   guint i;
   for (i = 0; i < a->len; i++) {
-    if (((Move *)a->pdata[i])->ud == ud)
+    if (((Transfer *)a->pdata[i])->ud == ud)
       break;
   }
   if (i == a->len)
     return;
   g_ptr_array_remove_index(a, i);
   for (i = 0; i < a->len; i++) {
-    Move *m = a->pdata[i];
-    if (!m->open && mayopen(state, m)) {
-      start(state, m);
-      return; /* 'start' may have changed the table */
+    Transfer *transfer = a->pdata[i];
+    if (!transfer->is_started && may_start(state, transfer)) {
+      start_transfer(state, transfer);
+      return; /* 'transfers' may have changed during the call */
     }
   }
 }
 
 void link_init(mp_State *state) {
   state->links = g_new0(Links, 1);
-  state->links->moves = g_ptr_array_new_with_free_func(g_free);
+  state->links->transfers = g_ptr_array_new_with_free_func(g_free);
 }
 
 void link_free(mp_State *state) {
-  g_ptr_array_unref(state->links->moves);
+  g_ptr_array_unref(state->links->transfers);
   g_free(state->links);
 }
--- a/core/quota.h
+++ b/core/quota.h
@@ -1,12 +1,16 @@
 /*
 ** quota.h
-** Limits of client accounts, by slices lent from the account's home
-** Reads: config, members. Writes: its own buckets.
+** Request limits of client accounts, shared by all instances
 **
-** The home (an instance, by rendezvous) owns the account's bucket and
-** lends slices that expire. Whoever cannot reach the home falls back to an
-** even share of the limit, so a cut neither stops an account nor frees it;
-** with the switch quota_slices off that is all there is.
+** Each account has a home, the instance that a rendezvous hash of its name
+** picks. The home owns the account's token bucket and lends the other
+** instances slices of it: a number of requests that expires after
+** MP_SLICE_TIME. An instance that cannot reach the home admits an even share
+** of the limit instead, at least one request per MP_SLICE_TIME, so that a
+** network cut neither stops an account nor lifts its limit. With the policy
+** 'quota_slices' off every instance admits the even share.
+**
+** Reads the configuration and the members; owns its slices and buckets.
 */
 
 #ifndef QUOTA_H
@@ -14,21 +18,30 @@
 
 #include "state.h"
 
+/* Called once with 'admitted' 1 or 0. */
 typedef void (*QuotaFn)(mp_State *state, void *ud, int admitted);
 
 void quota_init(mp_State *state);
 void quota_free(mp_State *state);
 
 /*
-** Ask to admit one request of the account. Returns 1 or 0 when that is
-** known now, -1 when 'fn' will say.
+** Asks to admit one request of the account. Returns 1 (admitted) or 0
+** (refused) when that is known now; 'fn' is then not called. Otherwise
+** returns -1, and 'fn' is called with 'ud', perhaps before the return.
 */
 int quota_admit(mp_State *state, const mp_Account *a, QuotaFn fn, void *ud);
 
-/* the one that waits is gone */
+/*
+** Forgets the request that waits with 'ud': its function is not called any
+** more. Does nothing when none waits.
+*/
 void quota_cancel_wait(mp_State *state, void *ud);
 
-/* handle QUOTA */
+/*
+** Handles a QUOTA message. The account's home answers with a slice, or with
+** MP_DENIED when its bucket is empty; any other instance answers
+** MP_WRONG_HOME.
+*/
 void quota_handle_message(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 #endif
--- a/core/route.c
+++ b/core/route.c
@@ -1,12 +1,14 @@
 /*
 ** route.c
-** Which endpoint takes a piece of work
 **
-** Prefill, by default: bounded-load rendezvous hash on the prompt's
-** prefix (Mirrokni et al. 2018), so that equal prefixes meet the same
-** cache while no engine runs far ahead of the others. Decode, by default:
-** the least loaded of a few drawn at random, since loads are seen late
-** and everyone sees the same ones. The other policies are baselines.
+** Chooses the endpoint that takes a piece of work
+**
+** Prefill, by default: a bounded-load rendezvous hash of the prompt's prefix
+** (Mirrokni et al. 2018), so that equal prefixes meet the same cache while no
+** engine runs far ahead of the others. Decode and plain services, by default:
+** the least loaded of a few drawn at random, since all instances see the same
+** loads, and late, and would otherwise all choose the same endpoint. The other
+** policies are baselines to compare with.
 */
 
 #include <string.h>
@@ -17,17 +19,31 @@
 #include "plan.h"
 #include "route.h"
 
-/* work ahead that never turns a prompt away from its cache, in ms */
-#define BOUND_LEAST 150
-/* how far above the cheapest the bound lies, in percent */
-#define BOUND_OVER 125
-/* decode engines drawn at random to compare, at the most */
-#define DRAWN 8
-/* engines of other data centres are taken when emptier by this share */
-#define AWAY_COST 0.08
-/* and engines that this instance keeps may be fuller by this share: their
-** load is known exactly, and reserving there costs no message */
-#define KEPT_GAIN 0.15
+/*
+** An engine whose cost is at most this much above the lowest, in milliseconds,
+** is always within the load bound, so that little work ahead never turns a
+** prompt away from its cache.
+*/
+#define BOUND_SLACK_MIN_MS 150
+/* The load bound, in percent of the lowest cost, where that is more. */
+#define BOUND_PERCENT 125
+/*
+** Endpoints drawn at random to compare: 2, and half of the candidates but at
+** most this many.
+*/
+#define EXTRA_DRAWS_MAX 8
+/*
+** An engine of another data centre is taken only when it is emptier than the
+** local ones by more than this share of its slots. Between plain endpoints,
+** whose score counts calls, it only decides between equal ones.
+*/
+#define REMOTE_PENALTY 0.08
+/*
+** An engine that this instance is the keeper of (whose reservations it grants)
+** may be fuller than the others by this share of its slots: its load is known
+** exactly, and reserving there costs no message.
+*/
+#define KEPT_BONUS 0.15
 
 /*
 ** {==================================================================
@@ -35,7 +51,10 @@
 ** ===================================================================
 */
 
-/* data centres, as hashes of their names, in which a request may run */
+/*
+** The data centres in which a request may run and which are in reach, by name
+** and by the hash of the name ('dc').
+*/
 typedef struct Scope {
   const mp_Rule *rule;
   unsigned n;
@@ -43,8 +62,12 @@
   uint32_t dc[MP_MAXDCS];
 } Scope;
 
-/* does the pool of this service and role hold the model? */
-static int holds(const mp_State *state, const Request *r, mp_Role role) {
+/*
+** Returns whether some pool of the request's service and this role has the
+** model, or an adapter of its name. Plain services have no models.
+*/
+static int pool_has_model(const mp_State *state, const Request *r,
+                          mp_Role role) {
   const mp_Config *c = state->config;
   unsigned i;
   unsigned k;
@@ -67,17 +90,20 @@
 }
 
 int choice_is_allowed(const mp_State *state, const Request *r,
-                   const Endpoint *e) {
+                      const Endpoint *e) {
   const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
   if (strcmp(e->service, r->service) != 0)
     return 0;
   if (!place_runs(state->config, rule, e->dc))
     return 0;
-  return holds(state, r, e->role);
+  return pool_has_model(state, r, e->role);
 }
 
-/* what the place gate permits, and what is in reach */
-static Scope scope(const mp_State *state, const Request *r) {
+/*
+** Returns the data centres that the placement rules permit and that are in
+** reach. Refers to names of the configuration.
+*/
+static Scope find_scope(const mp_State *state, const Request *r) {
   const mp_Config *c = state->config;
   Scope s;
   unsigned i;
@@ -94,7 +120,7 @@
   return s;
 }
 
-static int inscope(const Scope *s, uint32_t dc) {
+static int is_in_scope(const Scope *s, uint32_t dc) {
   unsigned i;
   for (i = 0; i < s->n; i++) {
     if (s->dc[i] == dc)
@@ -103,7 +129,7 @@
   return 0;
 }
 
-static int avoided(const Request *r, const Endpoint *e) {
+static int is_avoided(const Request *r, const Endpoint *e) {
   unsigned i;
   for (i = 0; i < r->navoid; i++) {
     if (r->avoid[i] == e->addr)
@@ -112,58 +138,72 @@
   return 0;
 }
 
-static int fit(const mp_State *state, const Request *r, const Scope *s,
-               const Endpoint *e, mp_Role role) {
-  return e->role == role && inscope(s, e->dchash) && fleet_open(state, e) &&
-         !avoided(r, e) && strcmp(e->service, r->service) == 0;
+/* Returns whether 'e' can take the request's work of this role now. */
+static int is_candidate(const mp_State *state, const Request *r,
+                        const Scope *s, const Endpoint *e, mp_Role role) {
+  return e->role == role && is_in_scope(s, e->dchash) &&
+         fleet_open(state, e) && !is_avoided(r, e) &&
+         strcmp(e->service, r->service) == 0;
 }
 
-static GPtrArray *candidates(const mp_State *state, const Request *r,
-                             const Scope *s, mp_Role role) {
+/*
+** Returns the endpoints that can take the work, in the table's order; the
+** caller frees the array, not the rows. It is empty when no pool has the
+** model.
+*/
+static GPtrArray *find_candidates(const mp_State *state, const Request *r,
+                                  const Scope *s, mp_Role role) {
   GPtrArray *a = g_ptr_array_new();
   guint i;
-  if (!holds(state, r, role))
+  if (!pool_has_model(state, r, role))
     return a;
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
-    if (fit(state, r, s, e, role))
+    if (is_candidate(state, r, s, e, role))
       g_ptr_array_add(a, e);
   }
   return a;
 }
 
 /*
-** Narrow the scope to data centres that KV may come from (or, with 'to',
-** go to) in one of those where an endpoint of 'role' fits.
+** Keeps those data centres of the scope that may exchange KV with a data
+** centre of the scope where an endpoint of 'role' fits: with 'is_receiver'
+** those that may receive KV from there, otherwise those that may send KV
+** there.
 */
-static void narrow(const mp_State *state, const Request *r, Scope *s,
-                   mp_Role role, int to) {
-  GPtrArray *others = candidates(state, r, s, role);
-  Scope all = *s;
+static void narrow_to_partners(const mp_State *state, const Request *r,
+                               Scope *s, mp_Role role, int is_receiver) {
+  GPtrArray *partners = find_candidates(state, r, s, role);
+  Scope unnarrowed = *s;
   unsigned i;
   guint k;
   s->n = 0;
-  for (i = 0; i < all.n; i++) {
-    for (k = 0; k < others->len; k++) {
-      const Endpoint *o = others->pdata[k];
-      if (place_moves(state->config, s->rule, to ? o->dc : all.name[i],
-                      to ? all.name[i] : o->dc))
+  for (i = 0; i < unnarrowed.n; i++) {
+    for (k = 0; k < partners->len; k++) {
+      const Endpoint *o = partners->pdata[k];
+      if (place_moves(state->config, s->rule,
+                      is_receiver ? o->dc : unnarrowed.name[i],
+                      is_receiver ? unnarrowed.name[i] : o->dc))
         break;
     }
-    if (k == others->len)
+    if (k == partners->len)
       continue;
-    s->name[s->n] = all.name[i];
-    s->dc[s->n++] = all.dc[i];
+    s->name[s->n] = unnarrowed.name[i];
+    s->dc[s->n++] = unnarrowed.dc[i];
   }
-  g_ptr_array_unref(others);
+  g_ptr_array_unref(partners);
 }
 
-/* the same for one data centre: KV comes from there (to), or goes there */
-static void narrowto(const mp_State *state, Scope *s, const char *dc, int to) {
+/*
+** Narrows the scope to the data centres that may receive KV from 'dc'
+** ('is_receiver') or may send KV to it.
+*/
+static void narrow_to_dc(const mp_State *state, Scope *s, const char *dc,
+                         int is_receiver) {
   unsigned i = 0;
   while (i < s->n) {
-    if (place_moves(state->config, s->rule, to ? dc : s->name[i],
-                    to ? s->name[i] : dc)) {
+    if (place_moves(state->config, s->rule, is_receiver ? dc : s->name[i],
+                    is_receiver ? s->name[i] : dc)) {
       i++;
       continue;
     }
@@ -181,14 +221,18 @@
 ** ===================================================================
 */
 
-static uint32_t prefillrate(const Endpoint *e) {
+/* Returns prompt tokens a second, as measured or, until then, estimated. */
+static uint32_t prefill_rate(const Endpoint *e) {
   return e->rate > 0 ? e->rate : MP_PREFILL_RATE;
 }
 
-/* an adapter's KV is as large as that of its service's largest model */
+/*
+** An adapter's KV is taken to be as large as that of its service's largest
+** model.
+*/
 uint64_t choice_kv_bytes(const mp_State *state, const Request *r) {
   const mp_Config *c = state->config;
-  uint32_t each = 0;
+  uint32_t bytes_per_token = 0;
   unsigned i;
   for (i = 0; i < c->models_count; i++) {
     const mp_Model *m = &c->models[i];
@@ -196,185 +240,210 @@
       continue;
     if (strcmp(m->name, r->model) == 0)
       return (uint64_t)m->kv_bytes_per_token * r->prompt_tokens;
-    each = MAX(each, m->kv_bytes_per_token);
+    bytes_per_token = MAX(bytes_per_token, m->kv_bytes_per_token);
   }
-  return (uint64_t)each * r->prompt_tokens;
+  return (uint64_t)bytes_per_token * r->prompt_tokens;
 }
 
+/* 'pledged' counts the tokens sent there since the load was last reported. */
 uint32_t choice_prefill_ms(const Endpoint *e, uint32_t tokens) {
   uint64_t sum = (uint64_t)tokens + e->pledged;
-  return e->wait + (uint32_t)(sum * 1000 / prefillrate(e));
+  return e->wait + (uint32_t)(sum * 1000 / prefill_rate(e));
 }
 
-/* smaller is better; about 0 to 1 for decode, milliseconds for the rest */
-static double score(const mp_State *state, const Endpoint *e) {
-  double away = e->dchash != state->dchash ? AWAY_COST : 0;
+/*
+** Returns how loaded an endpoint is; smaller is better. The unit depends on
+** the role: for decode the share of slots in use (about 0 to 1), for prefill
+** milliseconds, for plain services the number of this instance's calls there.
+*/
+static double load_score(const mp_State *state, const Endpoint *e) {
+  double adjustment = e->dchash != state->dchash ? REMOTE_PENALTY : 0;
   switch (e->role) {
   case MP_ROLE_DECODE:
     if (state_get(state->kept, e->addr) != NULL)
-      away -= KEPT_GAIN;
-    return ((double)e->used + e->pledged) / MAX(e->slots, 1) + away;
+      adjustment -= KEPT_BONUS;
+    return ((double)e->used + e->pledged) / MAX(e->slots, 1) + adjustment;
   case MP_ROLE_PREFILL:
     return choice_prefill_ms(e, 0);
   default:
-    return e->mine + away;
+    return e->mine + adjustment;
   }
 }
 
-static Endpoint *draw(mp_State *state, const GPtrArray *a) {
+/* Returns one of the endpoints, each as likely; there must be one. */
+static Endpoint *pick_random(mp_State *state, const GPtrArray *a) {
   return a->pdata[g_rand_int_range(state->rand, 0, (gint32)a->len)];
 }
 
-/* the best of 'n' drawn at random */
-static Endpoint *bestof(mp_State *state, const GPtrArray *a, guint n) {
-  Endpoint *win = draw(state, a);
+/* Returns the best of 'n' drawn at random, with repetition. */
+static Endpoint *best_of_random(mp_State *state, const GPtrArray *a, guint n) {
+  Endpoint *best = pick_random(state, a);
   guint i;
   for (i = 1; i < n; i++) {
-    Endpoint *e = draw(state, a);
-    if (score(state, e) < score(state, win))
-      win = e;
+    Endpoint *e = pick_random(state, a);
+    if (load_score(state, e) < load_score(state, best))
+      best = e;
   }
-  return win;
+  return best;
 }
 
-static Endpoint *least(const mp_State *state, const GPtrArray *a) {
-  Endpoint *win = a->pdata[0];
+/*
+** Returns the first of the endpoints with the lowest score; there must be one.
+*/
+static Endpoint *least_loaded(const mp_State *state, const GPtrArray *a) {
+  Endpoint *best = a->pdata[0];
   guint i;
   for (i = 1; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
-    if (score(state, e) < score(state, win))
-      win = e;
+    if (load_score(state, e) < load_score(state, best))
+      best = e;
   }
-  return win;
+  return best;
 }
 
 /*
-** One that is kept here, if it is no fuller than KEPT_GAIN above the best
-** of a few others; those are drawn at random, since everyone sees the same
-** loads late.
+** Returns an endpoint that this instance is the keeper of, if it is fuller by
+** less than KEPT_BONUS than the best of a few drawn at random, and otherwise
+** that best one. The few are drawn because all instances see the same loads
+** late.
 */
-static Endpoint *mine(mp_State *state, const GPtrArray *a) {
-  Endpoint *win = bestof(state, a, 2 + MIN(a->len / 2, DRAWN));
+static Endpoint *own_or_best_of_random(mp_State *state, const GPtrArray *a) {
+  Endpoint *best =
+      best_of_random(state, a, 2 + MIN(a->len / 2, EXTRA_DRAWS_MAX));
   guint i;
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
     if (state_get(state->kept, e->addr) != NULL &&
-        score(state, e) < score(state, win))
-      win = e;
+        load_score(state, e) < load_score(state, best))
+      best = e;
   }
-  return win;
+  return best;
 }
 
-static Endpoint *bypolicy(mp_State *state, const GPtrArray *a) {
+/* Returns NULL when there are no candidates. */
+static Endpoint *pick_by_policy(mp_State *state, const GPtrArray *a) {
   if (a->len == 0)
     return NULL;
   switch (state->config->policy->pick) {
   case MP_PICK_RANDOM:
-    return draw(state, a);
+    return pick_random(state, a);
   case MP_PICK_ROUND_ROBIN:
     return a->pdata[state->robin++ % a->len];
   case MP_PICK_LEAST_LOADED:
-    return least(state, a);
+    return least_loaded(state, a);
   case MP_PICK_TWO_CHOICES:
-    return bestof(state, a, 2);
+    return best_of_random(state, a, 2);
   default:
-    return mine(state, a);
+    return own_or_best_of_random(state, a);
   }
 }
 
 /*
-** Milliseconds until a KV made at 'e' is at data centre 'dc'. A link
-** between data centres is shared with all other instances, so its time
-** counts twice; within a data centre nothing waits.
+** Returns the estimated milliseconds until a KV result made at 'e' is at data
+** centre 'dc' (NULL: until it is made), without the time of this prefill
+** itself. Long prompts wait for each other at an engine, so for a long one
+** those that are there count too, each taken to be as long as this one. With
+** the policy 'transfer_plan' on, a transfer between data centres counts twice
+** its time, since the link is shared with all other instances; a transfer
+** within a data centre does not wait.
 */
-static uint32_t cost(const mp_State *state, const Request *r,
-                     const Endpoint *e, const char *dc) {
+static uint32_t prefill_cost_ms(const mp_State *state, const Request *r,
+                                const Endpoint *e, const char *dc) {
   uint32_t ms = choice_prefill_ms(e, 0);
-  if (r->prompt_tokens >= MP_LONG_PROMPT) /* long ones wait for each other */
+  if (r->prompt_tokens >= MP_LONG_PROMPT)
     ms += (uint32_t)((uint64_t)e->used * r->prompt_tokens * 1000 /
-                     prefillrate(e));
+                     prefill_rate(e));
   if (dc != NULL && strcmp(dc, e->dc) != 0 &&
       state->config->policy->transfer_plan)
-    ms +=
-        (uint32_t)(2 * link_transfer_time(state, e->dc, dc, choice_kv_bytes(state, r)) /
-                   MP_MS);
+    ms += (uint32_t)(2 *
+                     link_transfer_time(state, e->dc, dc,
+                                        choice_kv_bytes(state, r)) /
+                     MP_MS);
   return ms;
 }
 
-/* of equals, any: everyone would take the first one otherwise */
-static Endpoint *cheapest(const mp_State *state, const Request *r,
-                          const GPtrArray *a, const char *dc) {
-  guint from = (guint)g_rand_int_range(state->rand, 0, (gint32)a->len);
-  Endpoint *win = a->pdata[from];
+/*
+** Returns the candidate of lowest cost. The search starts at a random one,
+** since with equal costs all instances would otherwise take the first.
+*/
+static Endpoint *lowest_cost(const mp_State *state, const Request *r,
+                             const GPtrArray *a, const char *dc) {
+  guint first = (guint)g_rand_int_range(state->rand, 0, (gint32)a->len);
+  Endpoint *best = a->pdata[first];
   guint i;
   for (i = 1; i < a->len; i++) {
-    Endpoint *e = a->pdata[(from + i) % a->len];
-    if (cost(state, r, e, dc) < cost(state, r, win, dc))
-      win = e;
+    Endpoint *e = a->pdata[(first + i) % a->len];
+    if (prefill_cost_ms(state, r, e, dc) < prefill_cost_ms(state, r, best, dc))
+      best = e;
   }
-  return win;
+  return best;
 }
 
-/* the first by weight for the prefix whose cost is within the bound */
-static Endpoint *byprefix(const mp_State *state, const Request *r,
-                          const GPtrArray *a, const char *dc) {
-  Endpoint *win = NULL;
-  uint64_t top = 0;
-  uint32_t bound = cost(state, r, cheapest(state, r, a, dc), dc);
+/*
+** Returns the candidate with the highest rendezvous weight for the prompt's
+** prefix among those whose cost is within the load bound.
+*/
+static Endpoint *pick_by_prefix(const mp_State *state, const Request *r,
+                                const GPtrArray *a, const char *dc) {
+  Endpoint *best = NULL;
+  uint64_t best_weight = 0;
+  uint32_t bound = prefill_cost_ms(state, r, lowest_cost(state, r, a, dc), dc);
   guint i;
-  bound = MAX(bound + BOUND_LEAST, bound * BOUND_OVER / 100);
+  bound = MAX(bound + BOUND_SLACK_MIN_MS, bound * BOUND_PERCENT / 100);
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
     uint64_t w = member_weight(e->addr, r->prefix);
-    if (cost(state, r, e, dc) <= bound && (win == NULL || w > top)) {
-      win = e;
-      top = w;
+    if (prefill_cost_ms(state, r, e, dc) <= bound &&
+        (best == NULL || w > best_weight)) {
+      best = e;
+      best_weight = w;
     }
   }
-  return win;
+  return best;
 }
 
 /* }================================================================== */
 
 Endpoint *choice_decode_endpoint(mp_State *state, const Request *r) {
-  const Endpoint *src = r->kv != NULL ? fleet_get(state, r->kv_at) : NULL;
-  Scope s = scope(state, r);
+  const Endpoint *source = r->kv != NULL ? fleet_get(state, r->kv_at) : NULL;
+  Scope s = find_scope(state, r);
   GPtrArray *a;
   Endpoint *e;
-  if (src != NULL)
-    narrowto(state, &s, src->dc, 1);
+  if (source != NULL)
+    narrow_to_dc(state, &s, source->dc, 1);
   else
-    narrow(state, r, &s, MP_ROLE_PREFILL, 1);
-  a = candidates(state, r, &s, MP_ROLE_DECODE);
-  e = bypolicy(state, a);
+    narrow_to_partners(state, r, &s, MP_ROLE_PREFILL, 1);
+  a = find_candidates(state, r, &s, MP_ROLE_DECODE);
+  e = pick_by_policy(state, a);
   g_ptr_array_unref(a);
   return e;
 }
 
-Endpoint *choice_prefill_endpoint(mp_State *state, const Request *r, const char *dc) {
+Endpoint *choice_prefill_endpoint(mp_State *state, const Request *r,
+                                  const char *dc) {
   const mp_Policy *p = state->config->policy;
-  Scope s = scope(state, r);
+  Scope s = find_scope(state, r);
   GPtrArray *a;
   Endpoint *e;
   if (dc != NULL)
-    narrowto(state, &s, dc, 0);
+    narrow_to_dc(state, &s, dc, 0);
   else
-    narrow(state, r, &s, MP_ROLE_DECODE, 0);
-  a = candidates(state, r, &s, MP_ROLE_PREFILL);
+    narrow_to_partners(state, r, &s, MP_ROLE_DECODE, 0);
+  a = find_candidates(state, r, &s, MP_ROLE_PREFILL);
   if (a->len == 0 || p->pick != MP_PICK_MADDERPIER)
-    e = bypolicy(state, a);
+    e = pick_by_policy(state, a);
   else if (p->prefix_affinity && r->prefix != 0)
-    e = byprefix(state, r, a, dc);
+    e = pick_by_prefix(state, r, a, dc);
   else
-    e = cheapest(state, r, a, dc);
+    e = lowest_cost(state, r, a, dc);
   g_ptr_array_unref(a);
   return e;
 }
 
 Endpoint *choice_plain_endpoint(mp_State *state, const Request *r) {
-  Scope s = scope(state, r);
-  GPtrArray *a = candidates(state, r, &s, MP_ROLE_PLAIN);
-  Endpoint *e = bypolicy(state, a);
+  Scope s = find_scope(state, r);
+  GPtrArray *a = find_candidates(state, r, &s, MP_ROLE_PLAIN);
+  Endpoint *e = pick_by_policy(state, a);
   g_ptr_array_unref(a);
   return e;
 }
--- a/core/work.c
+++ b/core/work.c
@@ -1,9 +1,11 @@
 /*
 ** work.c
-** Work at engines: prefill, and the transfer of its result
 **
-** 'ran' leaves MP_RAN_NO at the instant of dispatch, and comes back only
-** when the endpoint certainly did not run the work.
+** Work at endpoints: the prefill, and the transfer of its KV result
+**
+** Invariant: 'ran', what is known of whether the request ran, leaves MP_RAN_NO
+** right before a call is sent, and goes back to what it was only when the
+** endpoint certainly did not run the work.
 */
 
 #include "fleet.h"
@@ -18,11 +20,11 @@
 
 /*
 ** {==================================================================
-** Work at endpoints
+** Dispatch, failure and prefill
 ** ===================================================================
 */
 
-/* the work goes out now: from here on it may have run */
+/* Records that work is about to be sent: from here on it may have run. */
 void flow_dispatched(Request *r, Attempt *a) {
   r->before = r->ran;
   if (r->ran == MP_RAN_NO)
@@ -30,6 +32,11 @@
   a->sent = 1;
 }
 
+/*
+** Fills in what the calls of an attempt have in common, whatever 'op' is. A
+** smaller 'priority' goes first at the engine: the class's time to the first
+** token in milliseconds over its weight.
+*/
 mp_Xcall flow_call(const Request *r, const Attempt *a, mp_XcallOp op) {
   mp_Xcall x = {0};
   x.op = op;
@@ -44,11 +51,15 @@
   return x;
 }
 
-/* the endpoint certainly did not run it */
+/* Takes flow_dispatched back: the endpoint certainly did not run the work. */
 void flow_notrun(Request *r) {
   r->ran = r->before;
 }
 
+/*
+** Returns the reason for a failed call. MP_EPF_REJECTED counts as WHY_BROKEN
+** here.
+*/
 Why flow_whyof(const mp_EndpointEvent *e) {
   switch (e->fail) {
   case MP_EPF_CONNECT:
@@ -60,38 +71,52 @@
   }
 }
 
-/* was the work certainly not run? */
+/*
+** Returns whether a call that failed for this reason certainly did not run the
+** work.
+*/
 int flow_clean(Why w) {
   return w == WHY_REFUSED || w == WHY_CONNECT;
 }
 
-/* the attempt is over without an answer; begin again elsewhere */
+/*
+** Ends an attempt that failed without an answer, and tries again at another
+** endpoint where that is allowed. Work that was not run is not cancelled at
+** the endpoint, except in ST_DECODE: there the endpoint holds the imported KV,
+** which the cancel frees.
+*/
 void flow_failed(mp_State *state, Request *r, Attempt *a, Why why) {
   static const char *const names[] = {"refused", "connect", "broken",
                                       "silent"};
   mp_Addr ep = a->endpoint;
-  int cleanly = flow_clean(why);
+  int is_not_run = flow_clean(why);
   char text[24];
   mp_addr_text(ep, text);
   effect_log(state, MP_LOG_FAILED, " seq=%08x endpoint=%s step=%d why=%s",
              r->token.seq, text, (int)r->step, names[why]);
-  if (cleanly) {
+  if (is_not_run) {
     flow_notrun(r);
     a->sent = a->role == MP_ROLE_DECODE && r->step == ST_DECODE;
   }
-  if (why != WHY_REFUSED) /* one that refuses is well, but busy */
+  /* An endpoint that refuses is healthy, but busy. */
+  if (why != WHY_REFUSED)
     fleet_bad(state, ep);
   flow_avoid(r, ep);
   flow_endattempt(state, r, a);
-  flow_again(state, r, flow_restart(state, r), cleanly);
+  flow_again(state, r, flow_restart(state, r), is_not_run);
 }
 
+/* The endpoint found the request itself at fault; it was not run. */
 void flow_rejected(mp_State *state, Request *r) {
   flow_notrun(r);
   flow_refuse(state, r, MP_ERR_REJECTED, 0);
 }
 
-/* the gate, asked again at the instant of dispatch */
+/*
+** Checks the placement rules again right before dispatch. Returns the
+** attempt's endpoint, or NULL when it left the table or the request may not
+** run there any more.
+*/
 Endpoint *flow_gate(mp_State *state, const Request *r, const Attempt *a) {
   Endpoint *e = fleet_get(state, a->endpoint);
   if (e == NULL || !choice_is_allowed(state, r, e))
@@ -99,26 +124,40 @@
   return e;
 }
 
-/* the same for work that the endpoint has nothing of yet */
-static Endpoint *gatenew(mp_State *state, const Request *r, const Attempt *a) {
+/*
+** Like flow_gate, for work that the endpoint has no part of yet: such work
+** does not go to an endpoint that is leaving or drained.
+*/
+static Endpoint *gate_new_work(mp_State *state, const Request *r,
+                               const Attempt *a) {
   Endpoint *e = flow_gate(state, r, a);
   return e != NULL && !e->leaving && !e->drained ? e : NULL;
 }
 
-/* a rule changed under way: nothing goes there any more */
+/*
+** Ends an attempt that the check right before dispatch stopped, as after a
+** change of the configuration, and tries another endpoint. The call was not
+** sent, so the retry counts as one of work that was not run.
+*/
 void flow_gated(mp_State *state, Request *r, Attempt *a) {
   flow_avoid(r, a->endpoint);
   flow_endattempt(state, r, a);
   flow_again(state, r, flow_restart(state, r), 1);
 }
 
-/* an attempt that was asked nothing more: its endpoint is silent */
-static void prefilllate(mp_State *state, void *ud) {
+/* Timer: the prefill's endpoint has not answered in time. */
+static void on_prefill_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   flow_failed(state, r, &r->prefill, WHY_SILENT);
 }
 
-static void prefilled(mp_State *state, Request *r, const mp_EndpointEvent *e) {
+/*
+** The prefill is done: keeps its KV result until it expires at the endpoint,
+** gives back the prefill time not needed, and goes on. 'kv_tokens' counts the
+** tokens computed, without those found in the cache.
+*/
+static void finish_prefill(mp_State *state, Request *r,
+                           const mp_EndpointEvent *e) {
   Attempt *a = &r->prefill;
   a->xcall = 0;
   timer_stop(&state->timers, &r->timer);
@@ -136,10 +175,12 @@
   flow_enter(state, r, r->decode.granted ? ST_TRANSFER : ST_DECODE_SLOT);
 }
 
-static void onprefill(mp_State *state, void *ud, const mp_EndpointEvent *e) {
+/* Handles what comes back from the prefill call. */
+static void on_prefill_event(mp_State *state, void *ud,
+                             const mp_EndpointEvent *e) {
   Request *r = ud;
   if (e->what == MP_EP_DONE) {
-    prefilled(state, r, e);
+    finish_prefill(state, r, e);
     return;
   }
   if (e->what != MP_EP_FAIL)
@@ -152,11 +193,15 @@
     flow_failed(state, r, &r->prefill, flow_whyof(e));
 }
 
+/*
+** Sends the prefill to the reserved endpoint. Its timeout is 4 times the
+** estimated time plus MP_STALL_TIME.
+*/
 void flow_prefill(mp_State *state, Request *r) {
   Attempt *a = &r->prefill;
-  Endpoint *e = gatenew(state, r, a);
+  Endpoint *e = gate_new_work(state, r, a);
   mp_Xcall x;
-  mp_Time expect;
+  mp_Time expected;
   if (e == NULL) {
     flow_gated(state, r, a);
     return;
@@ -164,10 +209,10 @@
   x = flow_call(r, a, MP_X_PREFILL);
   flow_dispatched(r, a);
   mpcount(state, PREFILLS);
-  a->xcall = effect_xcall(state, &x, onprefill, r);
-  expect = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
-  timer_arm(&state->timers, &r->timer, state->now + 4 * expect + MP_STALL_TIME,
-            prefilllate, r);
+  a->xcall = effect_xcall(state, &x, on_prefill_event, r);
+  expected = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
+  timer_arm(&state->timers, &r->timer,
+            state->now + 4 * expected + MP_STALL_TIME, on_prefill_timeout, r);
 }
 
 /* }================================================================== */
@@ -178,18 +223,24 @@
 ** ===================================================================
 */
 
-/* the KV result ran out, or its engine is gone: prefill anew */
-static void kvlost(mp_State *state, Request *r) {
+/*
+** The KV result expired, or the endpoint that holds it is gone: starts again
+** with a new prefill. The first one ran, so only a repeatable class may.
+*/
+static void restart_without_kv(mp_State *state, Request *r) {
   r->kv_until = 0;
   flow_again(state, r, flow_restart(state, r), 0);
 }
 
 /*
-** The engine had no slot after all: its keeper promised too much. The
-** result is there, so the request queues for a slot again, at another
-** engine first, for as long as the result lives.
+** The engine refused the import for want of a slot: its keeper granted more
+** than the engine has. The KV result is there, so the request queues for a
+** slot again, at another engine first, for as long as the result lives. With
+** the policy 'keep_prefill' off, or when the result or the request would
+** expire during the wait, it tries again from the step that flow_restart
+** names.
 */
-static void noslot(mp_State *state, Request *r) {
+static void requeue_for_decode_slot(mp_State *state, Request *r) {
   mp_Addr ep = r->decode.endpoint;
   mp_Time wait = retry_backoff(state, 1);
   flow_notrun(r);
@@ -205,13 +256,16 @@
   flow_later(state, r, ST_DECODE_SLOT, wait);
 }
 
-static void importlate(mp_State *state, void *ud) {
+/* Timer: the decode endpoint has not finished the import in time. */
+static void on_import_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   link_release(state, r);
   flow_failed(state, r, &r->decode, WHY_SILENT);
 }
 
-static void onimport(mp_State *state, void *ud, const mp_EndpointEvent *e) {
+/* Handles what comes back from the import call. */
+static void on_import_event(mp_State *state, void *ud,
+                            const mp_EndpointEvent *e) {
   Request *r = ud;
   Attempt *a = &r->decode;
   if (e->what != MP_EP_DONE && e->what != MP_EP_FAIL)
@@ -223,25 +277,34 @@
     mpcount(state, TRANSFERS);
     flow_enter(state, r, ST_DECODE);
   } else if (e->fail == MP_EPF_REJECTED) {
-    a->sent = 0; /* the source knows no such KV: nothing is held here */
-    kvlost(state, r);
+    /*
+    ** The source does not know this KV, so the target holds nothing that a
+    ** cancel would have to free.
+    */
+    a->sent = 0;
+    restart_without_kv(state, r);
   } else if (e->fail == MP_EPF_REFUSED)
-    noslot(state, r);
+    requeue_for_decode_slot(state, r);
   else
     flow_failed(state, r, a, flow_whyof(e));
 }
 
-/* the link is free: the gate once more, for this very move */
-static void import(mp_State *state, void *ud) {
+/*
+** The link is free: checks the placement rules once more, for this very move,
+** then tells the target to pull the KV from the source. The timeout is 4 times
+** the estimated time plus half of MP_STALL_TIME, but at most 0.5 s after the
+** KV expires (or from now, when it has expired already).
+*/
+static void start_import(mp_State *state, void *ud) {
   Request *r = ud;
   Attempt *a = &r->decode;
-  const Endpoint *d = gatenew(state, r, a);
-  const Endpoint *p = fleet_get(state, r->kv_at);
+  const Endpoint *target = gate_new_work(state, r, a);
+  const Endpoint *source = fleet_get(state, r->kv_at);
   const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
   mp_Xcall x;
-  mp_Time expect;
-  if (d == NULL || p == NULL ||
-      !place_moves(state->config, rule, p->dc, d->dc)) {
+  mp_Time expected;
+  if (target == NULL || source == NULL ||
+      !place_moves(state->config, rule, source->dc, target->dc)) {
     link_release(state, r);
     flow_gated(state, r, a);
     return;
@@ -250,28 +313,35 @@
   x.kv = r->kv;
   x.kv_from = r->kv_at;
   flow_dispatched(r, a);
-  a->xcall = effect_xcall(state, &x, onimport, r);
-  expect = link_transfer_time(state, p->dc, d->dc, choice_kv_bytes(state, r));
+  a->xcall = effect_xcall(state, &x, on_import_event, r);
+  expected = link_transfer_time(state, source->dc, target->dc,
+                                choice_kv_bytes(state, r));
   timer_arm(&state->timers, &r->timer,
-            MIN(state->now + 4 * expect + MP_STALL_TIME / 2,
+            MIN(state->now + 4 * expected + MP_STALL_TIME / 2,
                 MAX(r->kv_until, state->now) + MP_SEC / 2),
-            importlate, r);
+            on_import_timeout, r);
 }
 
+/*
+** Asks for the link to the decode endpoint, unless the KV result would expire
+** before its transfer ended.
+*/
 void flow_transfer(mp_State *state, Request *r) {
-  const Endpoint *d = fleet_get(state, r->decode.endpoint);
-  const Endpoint *p = fleet_get(state, r->kv_at);
+  const Endpoint *target = fleet_get(state, r->decode.endpoint);
+  const Endpoint *source = fleet_get(state, r->kv_at);
   uint64_t bytes = choice_kv_bytes(state, r);
-  if (d == NULL) {
+  if (target == NULL) {
     flow_gated(state, r, &r->decode);
     return;
   }
-  if (p == NULL ||
-      state->now + link_transfer_time(state, p->dc, d->dc, bytes) > r->kv_until) {
-    kvlost(state, r);
+  if (source == NULL ||
+      state->now + link_transfer_time(state, source->dc, target->dc, bytes) >
+          r->kv_until) {
+    restart_without_kv(state, r);
     return;
   }
-  link_request(state, p->dc, d->dc, bytes, r->kv_until, import, r);
+  link_request(state, source->dc, target->dc, bytes, r->kv_until, start_import,
+               r);
 }
 
 /* }================================================================== */
