--- a/core/admit.c
+++ b/core/admit.c
@@ -1,6 +1,7 @@
 /*
 ** admit.c
-** Admission
+**
+** Admission: checks a caller's request and adds it to the request table
 */
 
 #include <string.h>
@@ -13,24 +14,25 @@
 #include "quota.h"
 #include "retry.h"
 
-/* what a request refers to, found in the configuration */
-typedef struct Found {
+/* What a call refers to. The rows belong to the configuration in force. */
+typedef struct CallTarget {
   const mp_Account *account;
   const mp_Class *class_;
   const mp_Service *service;
-} Found;
+} CallTarget;
 
-static const mp_Account *findaccount(const mp_State *state, const char *key) {
-  char d[MP_DIGEST + 1];
+/* Returns the account that the caller's key belongs to, or NULL. */
+static const mp_Account *find_account(const mp_State *state, const char *key) {
+  char digest[MP_DIGEST + 1];
   guint i;
   if (key == NULL)
     return NULL;
-  mp_digest(key, strlen(key), d);
-  return key_table_find(state->keys, d, &i) ? &state->config->accounts[i]
-                                            : NULL;
+  mp_digest(key, strlen(key), digest);
+  return key_table_find(state->keys, digest, &i) ? &state->config->accounts[i]
+                                                 : NULL;
 }
 
-static const mp_Class *findclass(const mp_Config *c, const char *name) {
+static const mp_Class *find_class(const mp_Config *c, const char *name) {
   unsigned i;
   for (i = 0; name != NULL && i < c->classes_count; i++) {
     if (strcmp(c->classes[i].name, name) == 0)
@@ -39,7 +41,7 @@
   return NULL;
 }
 
-static const mp_Service *findservice(const mp_Config *c, const char *name) {
+static const mp_Service *find_service(const mp_Config *c, const char *name) {
   unsigned i;
   for (i = 0; i < c->services_count; i++) {
     if (strcmp(c->services[i].name, name) == 0)
@@ -48,79 +50,97 @@
   return NULL;
 }
 
-static int has(char *const *names, unsigned n, const char *name) {
+static int contains_name(char *const *names, unsigned count,
+                         const char *name) {
   unsigned i;
-  for (i = 0; i < n; i++) {
+  for (i = 0; i < count; i++) {
     if (strcmp(names[i], name) == 0)
       return 1;
   }
   return 0;
 }
 
-/* the service that holds a model, or an adapter, of this name */
-static const mp_Service *bymodel(const mp_Config *c, const char *model) {
+/*
+** Returns the service that has a model, or an adapter, of this name, or NULL.
+*/
+static const mp_Service *service_by_model(const mp_Config *c,
+                                          const char *model) {
   unsigned i;
   for (i = 0; i < c->models_count; i++) {
     if (strcmp(c->models[i].name, model) == 0)
-      return findservice(c, c->models[i].service);
+      return find_service(c, c->models[i].service);
   }
   for (i = 0; i < c->pools_count; i++) {
     const mp_Pool *p = &c->pools[i];
-    if (has(p->adapters, p->adapters_count, model))
-      return findservice(c, p->service);
+    if (contains_name(p->adapters, p->adapters_count, model))
+      return find_service(c, p->service);
   }
   return NULL;
 }
 
-/* the plain service with the longest path that begins the request's */
-static const mp_Service *bypath(const mp_Config *c, const char *path) {
-  const mp_Service *win = NULL;
-  size_t most = 0;
+/*
+** Returns the plain service with the longest path that the request's path
+** begins with, or NULL. The match ends at the end of a path segment or before
+** the query.
+*/
+static const mp_Service *service_by_path(const mp_Config *c,
+                                         const char *path) {
+  const mp_Service *best = NULL;
+  size_t best_length = 0;
   unsigned i;
   for (i = 0; i < c->services_count; i++) {
     const mp_Service *s = &c->services[i];
-    size_t n = s->path != NULL ? strlen(s->path) : 0;
-    if (s->kind != MP_SVC_PLAIN || n <= most)
+    size_t length = s->path != NULL ? strlen(s->path) : 0;
+    if (s->kind != MP_SVC_PLAIN || length <= best_length)
       continue;
-    if (strncmp(path, s->path, n) != 0)
+    if (strncmp(path, s->path, length) != 0)
       continue;
-    if (s->path[n - 1] != '/' && path[n] != '\0' && path[n] != '/' &&
-        path[n] != '?')
-      continue; /* /upload is no prefix of /uploads */
-    win = s;
-    most = n;
+    if (s->path[length - 1] != '/' && path[length] != '\0' &&
+        path[length] != '/' && path[length] != '?')
+      continue; /* a prefix within a segment: /upload is none of /uploads */
+    best = s;
+    best_length = length;
   }
-  return win;
+  return best;
 }
 
-static mp_Error find(const mp_State *state, const mp_Call *q, Found *f) {
+/*
+** Fills in 'target', and checks that the call's class is open to the account
+** and that some placement rule covers it. The class is the plain service's
+** or, for a model, the caller's; where that is not set it is the account's
+** first one. Returns MP_ERR_NONE or why the call is refused.
+*/
+static mp_Error resolve_call(const mp_State *state, const mp_Call *call,
+                             CallTarget *target) {
   const mp_Config *c = state->config;
-  const char *class_name = q->class_name;
-  f->account = findaccount(state, q->bearer);
-  if (f->account == NULL)
+  const char *class_name = call->class_name;
+  target->account = find_account(state, call->bearer);
+  if (target->account == NULL)
     return MP_ERR_ACCOUNT;
-  if (q->model != NULL) {
-    f->service = bymodel(c, q->model);
-    if (f->service == NULL)
+  if (call->model != NULL) {
+    target->service = service_by_model(c, call->model);
+    if (target->service == NULL)
       return MP_ERR_MODEL;
   } else {
-    f->service = bypath(c, q->path);
-    if (f->service == NULL)
+    target->service = service_by_path(c, call->path);
+    if (target->service == NULL)
       return MP_ERR_SERVICE;
-    class_name = f->service->class_name;
+    class_name = target->service->class_name;
   }
-  if (class_name == NULL && f->account->classes_count > 0)
-    class_name = f->account->classes[0]; /* the account's default */
-  f->class_ = findclass(c, class_name);
-  if (f->class_ == NULL ||
-      !has(f->account->classes, f->account->classes_count, f->class_->name))
+  if (class_name == NULL && target->account->classes_count > 0)
+    class_name = target->account->classes[0];
+  target->class_ = find_class(c, class_name);
+  if (target->class_ == NULL ||
+      !contains_name(target->account->classes, target->account->classes_count,
+                     target->class_->name))
     return MP_ERR_CLASS;
-  if (place_rule(c, f->class_->name, f->account->name) == NULL)
+  if (place_rule(c, target->class_->name, target->account->name) == NULL)
     return MP_ERR_PLACE;
   return MP_ERR_NONE;
 }
 
-static void refusecall(mp_State *state, const mp_Call *c, mp_Error e) {
+/* Answers a call that has no row in the request table. */
+static void refuse_call(mp_State *state, const mp_Call *c, mp_Error e) {
   mp_Reply p = {0};
   p.call = c->call;
   p.what = MP_REPLY_ERROR;
@@ -132,27 +152,32 @@
   effect_reply(state, &p);
 }
 
-static Request *newrequest(mp_State *state, const mp_Call *c, const Found *f) {
+/*
+** Adds a row to the request table, which owns it, and gives it its token. The
+** deadline counts from now.
+*/
+static Request *add_request(mp_State *state, const mp_Call *c,
+                            const CallTarget *target) {
   Request *r = g_new0(Request, 1);
-  const mp_Class *k = f->class_;
+  const mp_Class *class_ = target->class_;
   r->call = c->call;
   r->token.owner = state->self;
   r->token.start = state->start;
   r->token.seq = ++state->lastreq;
-  g_strlcpy(r->class_name, k->name, sizeof r->class_name);
-  g_strlcpy(r->account, f->account->name, sizeof r->account);
-  g_strlcpy(r->service, f->service->name, sizeof r->service);
+  g_strlcpy(r->class_name, class_->name, sizeof r->class_name);
+  g_strlcpy(r->account, target->account->name, sizeof r->account);
+  g_strlcpy(r->service, target->service->name, sizeof r->service);
   if (c->model != NULL)
     g_strlcpy(r->model, c->model, sizeof r->model);
-  r->plain = f->service->kind == MP_SVC_PLAIN;
+  r->plain = target->service->kind == MP_SVC_PLAIN;
   r->prompt_tokens = MAX(c->prompt_tokens, 1);
   r->max_tokens = MAX(c->max_tokens, 1);
   r->prefix = c->prefix;
   r->arrived = state->now;
-  r->deadline = state->now + (mp_Time)k->deadline_ms * MP_MS;
-  r->first_ms = k->first_token_ms;
-  r->weight = k->weight;
-  r->repeatable = k->repeatable;
+  r->deadline = state->now + (mp_Time)class_->deadline_ms * MP_MS;
+  r->first_ms = class_->first_token_ms;
+  r->weight = class_->weight;
+  r->repeatable = class_->repeatable;
   r->keyed = c->key != NULL;
   if (r->keyed)
     claim_id(r->account, c->key, r->id);
@@ -163,7 +188,11 @@
   return r;
 }
 
-static void admitted(mp_State *state, void *ud, int ok) {
+/*
+** Starts the request when its account's limit admits it, and otherwise refuses
+** it.
+*/
+static void on_quota_answer(mp_State *state, void *ud, int ok) {
   Request *r = ud;
   if (ok)
     flow_begin(state, r);
@@ -171,8 +200,12 @@
     flow_refuse(state, r, MP_ERR_QUOTA, mp_error_retry(MP_ERR_QUOTA));
 }
 
+/*
+** A draining instance still admits requests for MP_DRAIN_LINGER after the
+** drain began, since load balancers learn of it late.
+*/
 void admit_call(mp_State *state, const mp_Call *c) {
-  Found f = {0};
+  CallTarget target = {0};
   mp_Error e;
   Request *r;
   int ok;
@@ -184,17 +217,17 @@
   else if (c->key != NULL && strlen(c->key) > MP_MAXKEY)
     e = MP_ERR_BAD_REQUEST;
   else
-    e = find(state, c, &f);
+    e = resolve_call(state, c, &target);
   if (e != MP_ERR_NONE) {
-    refusecall(state, c, e);
+    refuse_call(state, c, e);
     return;
   }
   retry_budget_deposit(state);
-  r = newrequest(state, c, &f);
+  r = add_request(state, c, &target);
   effect_log(state, MP_LOG_ACCEPT,
              " seq=%08x class=%s account=%s prompt_tokens=%u", r->token.seq,
              r->class_name, r->account, r->prompt_tokens);
-  ok = quota_admit(state, f.account, admitted, r);
+  ok = quota_admit(state, target.account, on_quota_answer, r);
   if (ok >= 0)
-    admitted(state, r, ok);
+    on_quota_answer(state, r, ok);
 }
--- a/core/answer.c
+++ b/core/answer.c
@@ -1,9 +1,11 @@
 /*
 ** answer.c
-** The answer: decode streams, and plain services
 **
-** A piece passes only when its number is the one the caller has next; an
-** end only when all were passed.
+** The answer to the caller: decode streams and plain services
+**
+** Invariants: a piece of a decode stream goes to the caller only when its
+** number is the one that the caller has next. The end of a stream goes there
+** only when all its tokens did.
 */
 
 #include "fleet.h"
@@ -14,24 +16,33 @@
 
 /*
 ** {==================================================================
-** Decode and answer
+** Decode streams
 ** ===================================================================
 */
 
-static void ondecode(mp_State *state, void *ud, const mp_EndpointEvent *e);
-static void broke(mp_State *state, Request *r, Why why);
+static void on_decode_event(mp_State *state, void *ud,
+                            const mp_EndpointEvent *e);
+static void resume_or_fail(mp_State *state, Request *r, Why why);
 
-static void stalled(mp_State *state, void *ud) {
+/*
+** Timer: no new piece came for MP_STALL_TIME since the call or the last piece.
+*/
+static void on_stall_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   effect_xabort(state, r->decode.xcall);
   r->decode.xcall = 0;
-  broke(state, r, WHY_SILENT);
+  resume_or_fail(state, r, WHY_SILENT);
 }
 
-static void watch(mp_State *state, Request *r) {
-  timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME, stalled, r);
+static void arm_stall_timer(mp_State *state, Request *r) {
+  timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME,
+            on_stall_timeout, r);
 }
 
+/*
+** Calls the decode endpoint after a check of the placement rules; 'op' is
+** MP_X_DECODE or MP_X_RESUME.
+*/
 void flow_decode(mp_State *state, Request *r, mp_XcallOp op) {
   Attempt *a = &r->decode;
   mp_Xcall x;
@@ -43,26 +54,35 @@
   flow_dispatched(r, a);
   if (op == MP_X_DECODE)
     mpcount(state, DECODES);
-  a->xcall = effect_xcall(state, &x, ondecode, r);
-  watch(state, r);
+  a->xcall = effect_xcall(state, &x, on_decode_event, r);
+  arm_stall_timer(state, r);
 }
 
-/* the stream broke: resume it once where it is, then go elsewhere */
-static void broke(mp_State *state, Request *r, Why why) {
+/*
+** Handles a stream that broke or stalled: resumes it once at the same
+** endpoint, and otherwise fails the attempt, which may go to another one. A
+** call that certainly did not run is not resumed.
+*/
+static void resume_or_fail(mp_State *state, Request *r, Why why) {
   const Endpoint *e = fleet_get(state, r->decode.endpoint);
-  int there = e != NULL && !e->down;
+  int is_reachable = e != NULL && !e->down;
   timer_stop(&state->timers, &r->timer);
-  if (!flow_clean(why) && !r->resumed && there) {
+  if (!flow_clean(why) && !r->resumed && is_reachable) {
     r->resumed = 1;
     flow_decode(state, r, MP_X_RESUME);
     return;
   }
-  /* after a resume that was refused, the first call still ran */
+  /* When the resume was refused, the first call did run. */
   flow_failed(state, r, &r->decode,
               flow_clean(why) && r->resumed ? WHY_BROKEN : why);
 }
 
-static void head(mp_State *state, Request *r, int status, void *h) {
+/*
+** Sends the head of the answer to the caller, once. 'host_head' is the host's
+** own head of a plain call and NULL for a decode stream.
+*/
+static void send_head(mp_State *state, Request *r, int status,
+                      void *host_head) {
   mp_Reply p = {0};
   if (r->head)
     return;
@@ -70,12 +90,13 @@
   p.call = r->call;
   p.what = MP_REPLY_HEAD;
   p.status = status;
-  p.head = h;
+  p.head = host_head;
   mp_token_text(&r->token, 0, p.id);
   effect_reply(state, &p);
 }
 
-static void pass(mp_State *state, Request *r, const mp_EndpointEvent *e) {
+static void send_piece(mp_State *state, Request *r,
+                       const mp_EndpointEvent *e) {
   mp_Reply p = {0};
   p.call = r->call;
   p.what = MP_REPLY_PIECE;
@@ -84,8 +105,11 @@
   effect_reply(state, &p);
 }
 
-/* the first token is there: the prefill's copy has done its work */
-static void firsttoken(mp_State *state, Request *r) {
+/*
+** The first token arrived: the KV was used, so the prefill's attempt ends and
+** its endpoint may free the KV.
+*/
+static void on_first_token(mp_State *state, Request *r) {
   r->ran = MP_RAN_YES;
   r->kv_used = 1;
   r->prefill_at = r->prefill.endpoint;
@@ -93,49 +117,55 @@
   flow_endattempt(state, r, &r->prefill);
 }
 
-static void piece(mp_State *state, Request *r, const mp_EndpointEvent *e) {
+/*
+** Handles a piece of the stream. Its index is the number of its first token.
+*/
+static void on_piece(mp_State *state, Request *r, const mp_EndpointEvent *e) {
   if (e->index < r->got) {
     mpcount(state, STALE); /* the caller has it already */
     return;
   }
+  /* A piece is missing, and nothing after it may go to the caller. */
   if (e->index > r->got) {
     effect_xabort(state, r->decode.xcall);
     r->decode.xcall = 0;
-    broke(state, r, WHY_BROKEN); /* a gap: nothing behind it may pass */
+    resume_or_fail(state, r, WHY_BROKEN);
     return;
   }
   if (r->prefill.no != 0)
-    firsttoken(state, r);
-  head(state, r, 200, NULL);
+    on_first_token(state, r);
+  send_head(state, r, 200, NULL);
   r->got += e->tokens;
   r->tries = 0;
   g_string_append_len(r->text, e->text, (gssize)e->len);
-  pass(state, r, e);
-  watch(state, r);
+  send_piece(state, r, e);
+  arm_stall_timer(state, r);
 }
 
-static void ondecode(mp_State *state, void *ud, const mp_EndpointEvent *e) {
+/* Handles what comes back from the decode endpoint. */
+static void on_decode_event(mp_State *state, void *ud,
+                            const mp_EndpointEvent *e) {
   Request *r = ud;
   switch (e->what) {
   case MP_EP_HEAD:
     break;
   case MP_EP_PIECE:
-    piece(state, r, e);
+    on_piece(state, r, e);
     break;
   case MP_EP_DONE:
     r->decode.xcall = 0;
     if (e->tokens != r->got) {
-      broke(state, r, WHY_BROKEN); /* the end without the whole */
+      resume_or_fail(state, r, WHY_BROKEN); /* some pieces are missing */
       return;
     }
     if (r->prefill.no != 0)
-      firsttoken(state, r);
-    head(state, r, 200, NULL);
+      on_first_token(state, r);
+    send_head(state, r, 200, NULL);
     flow_complete(state, r);
     break;
   case MP_EP_FAIL:
     r->decode.xcall = 0;
-    broke(state, r, flow_whyof(e));
+    resume_or_fail(state, r, flow_whyof(e));
     break;
   }
 }
@@ -148,15 +178,21 @@
 ** ===================================================================
 */
 
-static void plainlate(mp_State *state, void *ud) {
+/*
+** Timer: the plain service did not answer in time. When a part of its answer
+** has gone to the caller, no second answer may begin.
+*/
+static void on_plain_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   if (r->head)
-    flow_giveup(state, r); /* a part of the answer is out: no second one */
+    flow_giveup(state, r);
   else
     flow_failed(state, r, &r->decode, WHY_SILENT);
 }
 
-static void plainfail(mp_State *state, Request *r, const mp_EndpointEvent *e) {
+/* Handles a failed call to a plain service. */
+static void on_plain_failure(mp_State *state, Request *r,
+                             const mp_EndpointEvent *e) {
   r->decode.xcall = 0;
   timer_stop(&state->timers, &r->timer);
   if (r->head)
@@ -167,28 +203,31 @@
     flow_failed(state, r, &r->decode, flow_whyof(e));
 }
 
-static void onplain(mp_State *state, void *ud, const mp_EndpointEvent *e) {
+/* Handles what comes back from a plain service. */
+static void on_plain_event(mp_State *state, void *ud,
+                           const mp_EndpointEvent *e) {
   Request *r = ud;
   switch (e->what) {
   case MP_EP_HEAD:
     r->ran = MP_RAN_YES;
     fleet_good(state, r->decode.endpoint);
-    timer_arm(&state->timers, &r->timer, r->deadline, plainlate, r);
-    head(state, r, e->status, e->head);
+    timer_arm(&state->timers, &r->timer, r->deadline, on_plain_timeout, r);
+    send_head(state, r, e->status, e->head);
     break;
   case MP_EP_PIECE:
-    pass(state, r, e);
+    send_piece(state, r, e);
     break;
   case MP_EP_DONE:
     r->decode.xcall = 0;
     flow_complete(state, r);
     break;
   case MP_EP_FAIL:
-    plainfail(state, r, e);
+    on_plain_failure(state, r, e);
     break;
   }
 }
 
+/* Calls an endpoint of the plain service. Nothing is reserved there. */
 void flow_plain(mp_State *state, Request *r) {
   Endpoint *e = choice_plain_endpoint(state, r);
   Attempt *a = &r->decode;
@@ -203,11 +242,14 @@
   a->begun = state->now;
   x = flow_call(r, a, MP_X_PLAIN);
   flow_dispatched(r, a);
-  a->xcall = effect_xcall(state, &x, onplain, r);
-  /* time to fail over is left where the class allows it */
+  a->xcall = effect_xcall(state, &x, on_plain_event, r);
+  /*
+  ** Half of the time left is kept for another endpoint where the class allows
+  ** a second run.
+  */
   timer_arm(&state->timers, &r->timer,
             state->now + (r->deadline - state->now) / (r->repeatable ? 2 : 1),
-            plainlate, r);
+            on_plain_timeout, r);
 }
 
 /* }================================================================== */
