--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -89,7 +89,8 @@
 m whole "3: an end is checked against the count" core/answer.c \
   'if (e->tokens != r->got) {' 'if (0) {'
 m silent "3: a stalled stream is ended" core/answer.c \
-  'timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME, stalled, r);' ';'
+  'timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME,
+            on_stall_timeout, r);' ';'
 m ran "4: dispatched work may have run" core/work.c \
   'r->ran = MP_RAN_UNKNOWN;
   a->sent = 1;' 'a->sent = 1;'
