--- a/core/ending.c
+++ b/core/ending.c
@@ -1,9 +1,10 @@
 /*
 ** ending.c
+**
 ** How a request ends, and how a step is tried again
 **
-** A function that may end the request is the last thing its caller does:
-** the row is gone after it.
+** A function that may end the request is the last thing that its caller does:
+** after it the row may have been freed.
 */
 
 #include <string.h>
@@ -24,20 +25,28 @@
 ** ===================================================================
 */
 
-static void waste(mp_State *state, uint32_t tokens) {
+static void count_wasted_tokens(mp_State *state, uint32_t tokens) {
   state->count[MP_C_PREFILL_WASTED] += tokens;
 }
 
-/* forget the KV result; the engine is told by the attempt's cancel */
-static void dropkv(mp_State *state, Request *r) {
+/*
+** Forgets the KV result; one that gave no answer counts as wasted. The engine
+** frees it on the cancel of the prefill's attempt.
+*/
+static void drop_kv(mp_State *state, Request *r) {
   if (r->kv != NULL && !r->kv_used)
-    waste(state, r->kv_tokens);
+    count_wasted_tokens(state, r->kv_tokens);
   g_free(r->kv);
   r->kv = NULL;
   r->kv_at = 0;
 }
 
-/* end an attempt: close its call, free what it holds, give it back */
+/*
+** Ends an attempt and clears it: closes its call, cancels its work at the
+** endpoint where some was sent, and releases its reservation. An attempt at a
+** plain service is ended by its closed connection alone. A prefill cut short
+** counts as wasted.
+*/
 void flow_endattempt(mp_State *state, Request *r, Attempt *a) {
   if (a->xcall != 0)
     effect_xabort(state, a->xcall);
@@ -46,14 +55,18 @@
     cancel_start(state, a->endpoint, &r->token, a->no);
   if (a == &r->prefill) {
     if (a->sent && r->kv == NULL && r->step == ST_PREFILL)
-      waste(state, a->tokens);
-    dropkv(state, r);
+      count_wasted_tokens(state, a->tokens);
+    drop_kv(state, r);
   }
   holder_release(state, r, a, 0);
   memset(a, 0, sizeof *a);
 }
 
-static void forget(mp_State *state, Request *r) {
+/*
+** Drops everything that waits on behalf of the request, ends its attempts and
+** frees it.
+*/
+static void free_request(mp_State *state, Request *r) {
   timer_stop(&state->timers, &r->timer);
   timer_stop(&state->timers, &r->limit);
   holder_forget(state, r);
@@ -69,13 +82,21 @@
   g_ptr_array_remove_fast(state->requests, r); /* frees the row */
 }
 
-static void settle(mp_State *state, Request *r, mp_Ran ran) {
+/*
+** Tells the home of the request's ID (claim.h) how the request ended, if it
+** claimed the ID or is asking for it.
+*/
+static void settle_claim(mp_State *state, Request *r, mp_Ran ran) {
   if (r->claimed || r->asking != 0)
     claim_settle(state, r->id, &r->token, ran, r->durable);
 }
 
-static void logend(mp_State *state, const Request *r, mp_EventNo no,
-                   const char *kind) {
+/*
+** Logs the request's last event. 'kind' is how it ended; 'ms' counts from its
+** arrival.
+*/
+static void log_end(mp_State *state, const Request *r, mp_EventNo no,
+                    const char *kind) {
   char id[64];
   mp_token_text(&r->token, 0, id);
   effect_log(state, no,
@@ -84,6 +105,11 @@
              (int)((state->now - r->arrived) / MP_MS));
 }
 
+/*
+** An error counts as a refusal when the work was not run, and otherwise as a
+** failure. A duplicate is always a refusal: its 'ran' tells of the earlier
+** request.
+*/
 void flow_refuse(mp_State *state, Request *r, mp_Error e, int retry_s) {
   mp_Reply p = {0};
   p.call = r->call;
@@ -92,23 +118,23 @@
   p.ran = r->ran;
   p.retry_s = retry_s;
   mp_token_text(&r->token, 0, p.id);
-  settle(state, r, r->ran);
+  settle_claim(state, r, r->ran);
   if (r->ran == MP_RAN_NO || e == MP_ERR_DUPLICATE) {
     mpcount(state, REFUSED);
-    logend(state, r, MP_LOG_REFUSE, mp_error_name(e));
+    log_end(state, r, MP_LOG_REFUSE, mp_error_name(e));
   } else {
     mpcount(state, FAILED);
-    logend(state, r, MP_LOG_BROKE, mp_error_name(e));
+    log_end(state, r, MP_LOG_BROKE, mp_error_name(e));
   }
   effect_reply(state, &p);
-  forget(state, r);
+  free_request(state, r);
 }
 
 void flow_hangup(mp_State *state, Request *r) {
   mpcount(state, HANGUPS);
-  logend(state, r, MP_LOG_GONE, "caller_gone");
-  settle(state, r, r->ran);
-  forget(state, r);
+  log_end(state, r, MP_LOG_GONE, "caller_gone");
+  settle_claim(state, r, r->ran);
+  free_request(state, r);
 }
 
 void flow_complete(mp_State *state, Request *r) {
@@ -121,15 +147,18 @@
   p.ran = MP_RAN_YES;
   mp_token_text(&r->token, 0, p.id);
   r->ran = MP_RAN_YES;
-  settle(state, r, MP_RAN_YES);
+  settle_claim(state, r, MP_RAN_YES);
   mpcount(state, ANSWERED);
-  logend(state, r, MP_LOG_ANSWERED, "ok");
+  log_end(state, r, MP_LOG_ANSWERED, "ok");
   effect_reply(state, &p);
   r->decode.sent = 0; /* it ended by itself: nothing to cancel */
-  forget(state, r);
+  free_request(state, r);
 }
 
-/* no way on: say what is known, and when to come back */
+/*
+** Ends a request for which no way is left, with an error that says whether it
+** may have run and, where sending it again makes sense, after which time.
+*/
 void flow_giveup(mp_State *state, Request *r) {
   if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
@@ -141,6 +170,7 @@
     flow_refuse(state, r, MP_ERR_LOST, 0);
 }
 
+/* Timer: the request's deadline passed. */
 void flow_late(mp_State *state, void *ud) {
   flow_refuse(state, ud, MP_ERR_DEADLINE, mp_error_retry(MP_ERR_DEADLINE));
 }
@@ -149,29 +179,34 @@
 
 /*
 ** {==================================================================
-** Trying again
+** Retries
 ** ===================================================================
 */
 
+/* Endpoints beyond the first MP_MAXTRIES are not remembered. */
 void flow_avoid(Request *r, mp_Addr a) {
   if (r->navoid < MP_MAXTRIES)
     r->avoid[r->navoid++] = a;
 }
 
-static void goon(mp_State *state, void *ud) {
+/* Timer: the wait before a step is over. */
+static void enter_next_step(mp_State *state, void *ud) {
   Request *r = ud;
   flow_enter(state, r, r->next);
 }
 
+/* Enters step 's' after 'wait' microseconds. */
 void flow_later(mp_State *state, Request *r, Step s, mp_Time wait) {
   r->step = ST_WAIT;
   r->next = s;
-  timer_arm(&state->timers, &r->timer, state->now + wait, goon, r);
+  timer_arm(&state->timers, &r->timer, state->now + wait, enter_next_step, r);
 }
 
 /*
-** Go back to 's' after a failure. 'clean' says that the failed work was
-** certainly not run, so even a class that may not be repeated goes on.
+** Goes back to step 's' after a failure and a backoff. Gives up when the
+** tries, the time until the deadline or the retry budget are used up. 'clean'
+** says that the failed work was certainly not run, so that even a class whose
+** work may not be repeated goes on.
 */
 void flow_again(mp_State *state, Request *r, Step s, int clean) {
   mp_Time wait;
@@ -188,8 +223,9 @@
 }
 
 /*
-** Where to begin again, given what is still there. A prefill whose result
-** cannot be used any more is ended first: there is one at a time.
+** Returns the step to begin again from, given what is still there. A prefill
+** whose result cannot be used any more is ended first, since a request has one
+** prefill attempt at a time.
 */
 Step flow_restart(mp_State *state, Request *r) {
   if (r->plain)
--- a/core/retry.c
+++ b/core/retry.c
@@ -1,27 +1,33 @@
 /*
 ** retry.c
-** The retry budget
+**
+** The retry budget and the backoff between retries
 */
 
 #include "retry.h"
 
-#define BUDGET_MOST 20.0
+/*
+** Retries that the budget holds at most, so that a quiet time saves up no
+** burst above this.
+*/
+#define BUDGET_MAX 20.0
 
-static void refill(mp_State *state) {
-  double secs = (double)(state->now - state->retryat) / MP_SEC;
+/* Adds MP_RETRY_FLOOR retries for each second since the last time. */
+static void add_floor(mp_State *state) {
+  double seconds = (double)(state->now - state->retryat) / MP_SEC;
   state->retryat = state->now;
   state->retrybudget =
-      MIN(BUDGET_MOST, state->retrybudget + secs * MP_RETRY_FLOOR);
+      MIN(BUDGET_MAX, state->retrybudget + seconds * MP_RETRY_FLOOR);
 }
 
 void retry_budget_deposit(mp_State *state) {
-  refill(state);
+  add_floor(state);
   state->retrybudget =
-      MIN(BUDGET_MOST, state->retrybudget + MP_RETRY_SHARE / 100.0);
+      MIN(BUDGET_MAX, state->retrybudget + MP_RETRY_SHARE / 100.0);
 }
 
 int retry_budget_try_withdraw(mp_State *state) {
-  refill(state);
+  add_floor(state);
   if (state->retrybudget < 1) {
     mpcount(state, RETRIES_DENIED);
     return 0;
@@ -31,7 +37,12 @@
   return 1;
 }
 
+/*
+** The random part keeps requests that failed together from coming back
+** together.
+*/
 mp_Time retry_backoff(mp_State *state, unsigned n) {
-  mp_Time most = MP_RETRY_WAIT << MIN(n, 4);
-  return most / 2 + g_rand_int_range(state->rand, 0, (gint32)(most / 2 + 1));
+  mp_Time longest = MP_RETRY_WAIT << MIN(n, 4);
+  return longest / 2 +
+         g_rand_int_range(state->rand, 0, (gint32)(longest / 2 + 1));
 }
