--- a/core/order.c
+++ b/core/order.c
@@ -1,14 +1,19 @@
 /*
 ** order.c
-** Role orders: one holder per data centre, by a lease in the platform
 **
-** The lease is an object "lease/<dc>" that names its holder. It is taken
-** by conditional update, and its version is the fence that orders carry.
-** Who does not hold it watches the version: unchanged for MP_ORDER_LEASE
-** by the watcher's own clock, it may be taken. Engines that check fences
-** refuse an older one. For those that do not, a new holder waits out the
-** old lease, the longest order and a margin before its first order, and
-** keeps one order outstanding.
+** Role orders: moves engines between prefill and decode under pressure
+**
+** The lease is the object "lease/<dc>" in the platform's store, which names
+** its holder. It is taken and renewed by conditional update, and its version
+** is the fence that orders carry. The instances that contend for it and do not
+** hold it watch the version: when it has not changed for more than
+** MP_ORDER_LEASE by the watcher's own clock, the lease has expired and may be
+** taken.
+**
+** Engines that check fences refuse an order with an older fence than the last
+** one. For services whose engines do not, a new holder waits until the old
+** lease, the longest order and a margin are over before its first order. A
+** holder has one order outstanding at a time.
 */
 
 #include <stdio.h>
@@ -20,44 +25,54 @@
 #include "member.h"
 #include "order.h"
 
-#define LEASE_KEY 0x6c65617365ULL /* rendezvous key of the candidates */
-#define CANDIDATES 2
+/* Rendezvous key that picks the instances which contend for the lease. */
+#define CANDIDATE_KEY 0x6c65617365ULL
+/* Instances of the data centre that contend for the lease, at most. */
+#define CANDIDATES_MAX 2
 
-/* pressure: seconds of prefill waiting, or share of decode slots running */
-#define PRESSURE_HIGH 1.0
+/*
+** The pressure on a pool is the mean over its open engines: for prefill the
+** seconds of work that wait, for decode the share of slots in which streams
+** run. A role needs engines when its pressure is above its HIGH bound while
+** that of the other role is below PRESSURE_LOW.
+*/
+#define PREFILL_PRESSURE_HIGH 1.0
 #define PRESSURE_LOW 0.5
-#define DECODE_HIGH 0.9
+#define DECODE_PRESSURE_HIGH 0.9
 
+/* The state of one instance. Times are of its own clock. */
 struct Orders {
   Timer timer;
-  int asking;
-  int held;
-  uint64_t version; /* of the lease object, as last seen */
-  mp_Time changed;  /* when that version was first seen */
-  mp_Time until;    /* own lease: not acted on after this */
-  mp_Time begun;    /* own lease: since when */
-  mp_Time asked;    /* when the renewal under way was sent */
-  mp_Time pressing; /* since when one pool is pressed; 0: none is */
-  mp_Role pressed;  /* the role that engines are wanted for */
-  mp_Role from;     /* the role of the engine that is ordered */
-  uint64_t xcall;   /* the one order outstanding */
-  mp_Addr target;
-  Timer late;
+  int is_store_call_open; /* a read or write of the lease */
+  int is_held;
+  uint64_t version; /* of the lease object, as last seen; 0: no such object */
+  mp_Time version_seen;  /* first time 'version' was seen; 0: watch anew */
+  mp_Time valid_until;   /* own lease: not acted on from then on */
+  mp_Time held_since;    /* own lease */
+  mp_Time write_sent;    /* time of the last write of the lease */
+  mp_Time pressed_since; /* since when a role needs engines; 0: none does */
+  mp_Role wanted_role;   /* the role that engines are needed for */
+  mp_Role old_role;      /* the role of the ordered engine before the order */
+  uint64_t xcall;        /* the one order outstanding; 0: none */
+  mp_Addr target;        /* the engine that was ordered last */
+  Timer timeout;         /* of the order outstanding */
 };
 
-static void step(mp_State *state, void *ud);
+static void run_step(mp_State *state, void *ud);
 
-static void rearm(mp_State *state, mp_Time wait) {
-  timer_arm(&state->timers, &state->orders->timer, state->now + wait, step,
+static void arm_step_timer(mp_State *state, mp_Time wait) {
+  timer_arm(&state->timers, &state->orders->timer, state->now + wait, run_step,
             NULL);
 }
 
-static int wanted(const mp_State *state) {
+/* Returns whether this instance contends for the lease. */
+static int is_candidate(const mp_State *state) {
   return state->config != NULL && state->config->policy->role_orders &&
-         !state->draining && member_among(state, LEASE_KEY, CANDIDATES);
+         !state->draining &&
+         member_among(state, CANDIDATE_KEY, CANDIDATES_MAX);
 }
 
-static void leasekey(const mp_State *state, char out[96]) {
+static void format_lease_key(const mp_State *state, char out[96]) {
   snprintf(out, 96, "lease/%s", state->dc);
 }
 
@@ -67,65 +82,81 @@
 ** ===================================================================
 */
 
-static void lose(mp_State *state) {
-  if (state->orders->held)
+/* Stops acting on the lease, if it is held. The object is left alone. */
+static void drop_lease(mp_State *state) {
+  if (state->orders->is_held)
     effect_log(state, MP_LOG_LEASE_LOST, " fence=%" G_GUINT64_FORMAT,
                (guint64)state->orders->version);
-  state->orders->held = 0;
+  state->orders->is_held = 0;
 }
 
-static void seenlease(mp_State *state, void *ud, const mp_StoreEvent *e) {
+/* Notes the version of the lease, and since when it has been seen. */
+static void on_lease_read(mp_State *state, void *ud, const mp_StoreEvent *e) {
   Orders *O = state->orders;
   (void)ud;
-  O->asking = 0;
+  O->is_store_call_open = 0;
   if (e->status == MP_STORE_OK || e->status == MP_STORE_ABSENT) {
     uint64_t v = e->status == MP_STORE_OK ? e->version : 0;
-    if (v != O->version || O->changed == 0)
-      O->changed = state->now;
+    if (v != O->version || O->version_seen == 0)
+      O->version_seen = state->now;
     O->version = v;
   }
-  rearm(state, MP_ORDER_RENEW);
+  arm_step_timer(state, MP_ORDER_RENEW);
 }
 
-static void readlease(mp_State *state) {
+static void read_lease(mp_State *state) {
   char key[96];
-  state->orders->asking = 1;
-  leasekey(state, key);
-  effect_store(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT, seenlease,
-               NULL);
+  state->orders->is_store_call_open = 1;
+  format_lease_key(state, key);
+  effect_store(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
+               on_lease_read, NULL);
 }
 
-static void tookit(mp_State *state, void *ud, const mp_StoreEvent *e) {
+/*
+** The lease was taken or renewed, or not. It is valid for MP_ORDER_LEASE from
+** the moment when the write was sent, so that a slow answer does not prolong
+** it.
+*/
+static void on_lease_written(mp_State *state, void *ud,
+                             const mp_StoreEvent *e) {
   Orders *O = state->orders;
   (void)ud;
-  O->asking = 0;
+  O->is_store_call_open = 0;
   if (e->status != MP_STORE_OK) {
-    /* a lost reply counts as lost: the new version is waited out */
-    lose(state);
-    readlease(state);
+    /*
+    ** Without an answer the write may still have had effect. It counts as
+    ** failed, and the version that it may have made is watched until it
+    ** expires.
+    */
+    drop_lease(state);
+    read_lease(state);
     return;
   }
-  if (!O->held) {
-    O->held = 1;
-    O->begun = state->now;
+  if (!O->is_held) {
+    O->is_held = 1;
+    O->held_since = state->now;
     effect_log(state, MP_LOG_LEASE_HELD, " fence=%" G_GUINT64_FORMAT,
                (guint64)e->version);
   }
   O->version = e->version;
-  O->changed = state->now;
-  O->until = O->asked + MP_ORDER_LEASE;
-  rearm(state, MP_ORDER_RENEW);
+  O->version_seen = state->now;
+  O->valid_until = O->write_sent + MP_ORDER_LEASE;
+  arm_step_timer(state, MP_ORDER_RENEW);
 }
 
-static void takelease(mp_State *state) {
+/*
+** Takes or renews the lease: the write succeeds only when the version is still
+** the one last seen (0: when there is no such object).
+*/
+static void write_lease(mp_State *state) {
   char key[96];
   char who[24];
-  leasekey(state, key);
+  format_lease_key(state, key);
   mp_addr_text(state->self, who);
-  state->orders->asking = 1;
-  state->orders->asked = state->now;
+  state->orders->is_store_call_open = 1;
+  state->orders->write_sent = state->now;
   effect_store(state, MP_ST_PUT, key, state->orders->version, who, strlen(who),
-               MP_STORE_TIMEOUT, tookit, NULL);
+               MP_STORE_TIMEOUT, on_lease_written, NULL);
 }
 
 /* }================================================================== */
@@ -136,25 +167,26 @@
 ** ===================================================================
 */
 
-/* one role of one service in this data centre */
+/* The open engines of one role of one service in this data centre. */
 typedef struct PoolLoad {
-  unsigned n; /* engines open */
-  double pressure;
-  Endpoint *idlest;
+  unsigned engines; /* how many */
+  double pressure;  /* mean load; 0 with no engine */
+  Endpoint *idlest; /* NULL with no engine */
 } PoolLoad;
 
 /*
-** Decode: streams that run, not slots that are promised. Since slots are
-** promised before the prefill starts, a pressed prefill pool fills them.
+** Returns seconds of prefill work that wait, or the share of decode slots in
+** which streams run. Slots that are only promised do not count: they are
+** promised before the prefill starts, so a pressed prefill pool fills them.
 */
-static double loadof(const Endpoint *e) {
+static double engine_load(const Endpoint *e) {
   if (e->role == MP_ROLE_DECODE)
     return (double)e->running / MAX(e->slots, 1);
   return e->wait / 1000.0;
 }
 
-static PoolLoad measure(const mp_State *state, const char *service,
-                        mp_Role role) {
+static PoolLoad measure_pool(const mp_State *state, const char *service,
+                             mp_Role role) {
   PoolLoad p = {0};
   guint i;
   for (i = 0; i < state->endpoints->len; i++) {
@@ -162,177 +194,214 @@
     if (e->dchash != state->dchash || e->role != role ||
         !fleet_open(state, e) || strcmp(e->service, service) != 0)
       continue;
-    p.n++;
-    p.pressure += loadof(e);
-    if (p.idlest == NULL || loadof(e) < loadof(p.idlest))
+    p.engines++;
+    p.pressure += engine_load(e);
+    if (p.idlest == NULL || engine_load(e) < engine_load(p.idlest))
       p.idlest = e;
   }
-  if (p.n > 0)
-    p.pressure /= p.n;
+  if (p.engines > 0)
+    p.pressure /= p.engines;
   return p;
 }
 
-static unsigned leastof(const mp_State *state, const char *service,
-                        mp_Role role) {
+/*
+** Returns how many engines the pool must keep: its configured 'least', but at
+** least 1.
+*/
+static unsigned engines_min(const mp_State *state, const char *service,
+                            mp_Role role) {
   unsigned i;
   for (i = 0; i < state->config->pools_count; i++) {
     const mp_Pool *p = &state->config->pools[i];
     if (p->role == role && strcmp(p->service, service) == 0)
       return MAX(p->least, 1);
   }
-  return G_MAXUINT; /* no such pool: never ordered away */
+  return G_MAXUINT; /* no such pool: none of its engines may be ordered away */
 }
 
-static int trusted(const mp_State *state) {
-  return state->orders->held && state->now < state->orders->until;
+/* Returns whether orders may be given under the lease now. */
+static int is_lease_valid(const mp_State *state) {
+  return state->orders->is_held && state->now < state->orders->valid_until;
 }
 
-/* may this service's engines be given an order yet? */
-static int waitedout(const mp_State *state, const mp_Service *s) {
+/*
+** Returns whether this service's engines may be given an order yet (see the
+** head of the file).
+*/
+static int may_order_service(const mp_State *state, const mp_Service *s) {
   if (s->checks_fence)
     return 1;
-  return state->now - state->orders->begun >
+  return state->now - state->orders->held_since >
          MP_ORDER_LEASE + MP_ORDER_MAX + MP_ORDER_MARGIN;
 }
 
-static void audited(mp_State *state, void *ud, const mp_StoreEvent *e) {
+static void on_audit_written(mp_State *state, void *ud,
+                             const mp_StoreEvent *e) {
   (void)state;
   (void)ud;
-  (void)e; /* a lost record is in the log all the same (E6004, E6005) */
+  /* Without its record an order is still in the log (E6004, E6005). */
+  (void)e;
 }
 
-/* every order leaves a record beside those of the operators' changes */
-static void audit(mp_State *state, const char *outcome) {
+/*
+** Writes a record of the last order to the platform, where the records of the
+** operators' changes are.
+*/
+static void write_audit_record(mp_State *state, const char *outcome) {
   const Orders *O = state->orders;
   char key[96];
   char who[24];
   char at[24];
   char text[256];
-  int n;
+  int length;
   mp_addr_text(state->self, who);
   mp_addr_text(O->target, at);
   snprintf(key, sizeof key, "audit/order-%s-%010" G_GUINT64_FORMAT, state->dc,
            (guint64)O->version);
-  n = snprintf(text, sizeof text,
-               "{\"who\":\"%s\",\"what\":\"order %s\",\"from\":%d,"
-               "\"to\":%d,\"outcome\":\"%s\"}",
-               who, at, (int)O->from, (int)O->pressed, outcome);
-  effect_store(state, MP_ST_PUT, key, 0, text, (size_t)n, MP_STORE_TIMEOUT,
-               audited, NULL);
+  length = snprintf(text, sizeof text,
+                    "{\"who\":\"%s\",\"what\":\"order %s\",\"from\":%d,"
+                    "\"to\":%d,\"outcome\":\"%s\"}",
+                    who, at, (int)O->old_role, (int)O->wanted_role, outcome);
+  effect_store(state, MP_ST_PUT, key, 0, text, (size_t)length,
+               MP_STORE_TIMEOUT, on_audit_written, NULL);
 }
 
-static void orderdone(mp_State *state, int ok) {
+/* Logs and records how the order ended; 'ok' 0 is a failure or unknown. */
+static void finish_order(mp_State *state, int ok) {
   Orders *O = state->orders;
   const Endpoint *e = fleet_get(state, O->target);
-  timer_stop(&state->timers, &O->late);
+  timer_stop(&state->timers, &O->timeout);
   O->xcall = 0;
   effect_log(state, ok ? MP_LOG_ORDER_DONE : MP_LOG_ORDER_FAIL, " endpoint=%s",
              e != NULL ? e->name : "gone");
-  audit(state, ok ? "done" : "failed or unknown");
+  write_audit_record(state, ok ? "done" : "failed or unknown");
 }
 
-static void ordered(mp_State *state, void *ud, const mp_EndpointEvent *e) {
+static void on_order_event(mp_State *state, void *ud,
+                           const mp_EndpointEvent *e) {
   (void)ud;
   if (e->what == MP_EP_DONE || e->what == MP_EP_FAIL)
-    orderdone(state, e->what == MP_EP_DONE);
+    finish_order(state, e->what == MP_EP_DONE);
 }
 
-/* the reply is lost: the next load answer shows the role in force */
-static void orderlate(mp_State *state, void *ud) {
+/*
+** Timer: no answer within MP_ORDER_MAX. The engine's next load report shows
+** which role it has.
+*/
+static void on_order_timeout(mp_State *state, void *ud) {
   (void)ud;
   effect_xabort(state, state->orders->xcall);
-  orderdone(state, 0);
+  finish_order(state, 0);
 }
 
-static void order(mp_State *state, Endpoint *e, mp_Role role) {
+/*
+** Orders an engine to change its role. The order is valid for MP_ORDER_MAX,
+** but not beyond the lease.
+*/
+static void send_order(mp_State *state, Endpoint *e, mp_Role role) {
   Orders *O = state->orders;
   mp_Xcall x = {0};
-  if (!trusted(state)) /* right before it goes out */
+  if (!is_lease_valid(state)) /* checked right before the order goes out */
     return;
   x.op = MP_X_ORDER;
   x.endpoint = e->addr;
   x.role = role;
   x.fence = O->version;
-  x.valid_ms = (uint32_t)(MIN(MP_ORDER_MAX, O->until - state->now) / MP_MS);
+  x.valid_ms =
+      (uint32_t)(MIN(MP_ORDER_MAX, O->valid_until - state->now) / MP_MS);
   O->target = e->addr;
-  O->from = e->role;
-  O->xcall = effect_xcall(state, &x, ordered, NULL);
-  timer_arm(&state->timers, &O->late, state->now + MP_ORDER_MAX, orderlate,
-            NULL);
+  O->old_role = e->role;
+  O->xcall = effect_xcall(state, &x, on_order_event, NULL);
+  timer_arm(&state->timers, &O->timeout, state->now + MP_ORDER_MAX,
+            on_order_timeout, NULL);
   mpcount(state, ORDERS);
   effect_log(state, MP_LOG_ORDER_SENT,
              " endpoint=%s role=%d fence=%" G_GUINT64_FORMAT, e->name,
              (int)role, (guint64)O->version);
 }
 
-/* has 'role' of some service been pressed long enough? */
-static void balance(mp_State *state, const mp_Service *s) {
+/*
+** Orders one engine of the service to change its role when a role has needed
+** engines for MP_ROLE_PATIENCE, the service may be given orders, and the other
+** role's pool has more engines than it must keep.
+*/
+static void balance_service(mp_State *state, const mp_Service *s) {
   Orders *O = state->orders;
-  PoolLoad p = measure(state, s->name, MP_ROLE_PREFILL);
-  PoolLoad d = measure(state, s->name, MP_ROLE_DECODE);
-  int toprefill = p.pressure > PRESSURE_HIGH && d.pressure < PRESSURE_LOW;
-  int todecode = d.pressure > DECODE_HIGH && p.pressure < PRESSURE_LOW;
-  mp_Role want = toprefill ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
-  const PoolLoad *giver = toprefill ? &d : &p;
-  mp_Role from = toprefill ? MP_ROLE_DECODE : MP_ROLE_PREFILL;
-  if (!toprefill && !todecode) {
-    O->pressing = 0;
+  PoolLoad p = measure_pool(state, s->name, MP_ROLE_PREFILL);
+  PoolLoad d = measure_pool(state, s->name, MP_ROLE_DECODE);
+  int needs_prefill =
+      p.pressure > PREFILL_PRESSURE_HIGH && d.pressure < PRESSURE_LOW;
+  int needs_decode =
+      d.pressure > DECODE_PRESSURE_HIGH && p.pressure < PRESSURE_LOW;
+  mp_Role want = needs_prefill ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
+  const PoolLoad *donor = needs_prefill ? &d : &p;
+  mp_Role from = needs_prefill ? MP_ROLE_DECODE : MP_ROLE_PREFILL;
+  if (!needs_prefill && !needs_decode) {
+    O->pressed_since = 0;
     return;
   }
-  if (O->pressing == 0 || O->pressed != want) {
-    O->pressing = state->now;
-    O->pressed = want;
+  if (O->pressed_since == 0 || O->wanted_role != want) {
+    O->pressed_since = state->now;
+    O->wanted_role = want;
     return;
   }
-  if (state->now - O->pressing < MP_ROLE_PATIENCE || !waitedout(state, s))
+  if (state->now - O->pressed_since < MP_ROLE_PATIENCE ||
+      !may_order_service(state, s))
     return;
-  if (giver->idlest == NULL || giver->n <= leastof(state, s->name, from))
+  if (donor->idlest == NULL ||
+      donor->engines <= engines_min(state, s->name, from))
     return;
-  O->pressing = 0;
-  order(state, giver->idlest, want);
+  O->pressed_since = 0;
+  send_order(state, donor->idlest, want);
 }
 
 /* }================================================================== */
 
-static void step(mp_State *state, void *ud) {
+/*
+** Timer, MP_ORDER_RENEW after the last read or write of the lease ended: gives
+** orders under the lease, then renews it, takes it when it has expired, or
+** reads it again.
+*/
+static void run_step(mp_State *state, void *ud) {
   Orders *O = state->orders;
   unsigned i;
   (void)ud;
-  if (!wanted(state)) {
-    lose(state);
-    rearm(state, MP_ORDER_RENEW);
+  if (!is_candidate(state)) {
+    drop_lease(state);
+    arm_step_timer(state, MP_ORDER_RENEW);
     return;
   }
-  if (O->asking)
+  if (O->is_store_call_open)
     return;
-  if (O->held && state->now >= O->until)
-    lose(state);
-  for (i = 0;
-       trusted(state) && O->xcall == 0 && i < state->config->services_count;
+  if (O->is_held && state->now >= O->valid_until)
+    drop_lease(state);
+  for (i = 0; is_lease_valid(state) && O->xcall == 0 &&
+              i < state->config->services_count;
        i++) {
     if (state->config->services[i].kind == MP_SVC_ENGINE)
-      balance(state, &state->config->services[i]);
+      balance_service(state, &state->config->services[i]);
   }
-  if (O->held ||
-      (O->changed != 0 &&
-       (O->version == 0 || state->now - O->changed > MP_ORDER_LEASE)))
-    takelease(state);
+  if (O->is_held ||
+      (O->version_seen != 0 &&
+       (O->version == 0 || state->now - O->version_seen > MP_ORDER_LEASE)))
+    write_lease(state);
   else
-    readlease(state);
+    read_lease(state);
 }
 
+/* It expires by itself, and no order is given any more. */
 void order_drop_lease(mp_State *state) {
-  lose(state); /* it runs out by itself; nothing is ordered any more */
+  drop_lease(state);
 }
 
 void order_paused(mp_State *state) {
-  lose(state);
-  state->orders->changed = 0; /* watch the lease anew */
+  drop_lease(state);
+  state->orders->version_seen = 0; /* watch the lease anew */
 }
 
 void order_init(mp_State *state) {
   state->orders = g_new0(Orders, 1);
-  rearm(state, MP_ORDER_RENEW);
+  arm_step_timer(state, MP_ORDER_RENEW);
 }
 
 void order_free(mp_State *state) {
