--- a/account/key_table.c
+++ b/account/key_table.c
@@ -1,12 +1,13 @@
 /*
 ** key_table.c
-** Which client account a key belongs to
+**
+** Finds the client account that an API key belongs to
 */
 
 #include "key_table.h"
 
 struct KeyTable {
-  GHashTable *accounts; /* digest -> place of the account */
+  GHashTable *accounts; /* digest -> index of the account */
 };
 
 KeyTable *key_table_new(void) {
@@ -31,9 +32,9 @@
 
 gboolean key_table_find(const KeyTable *table, const char *digest,
                         guint *account) {
-  gpointer place;
-  if (!g_hash_table_lookup_extended(table->accounts, digest, NULL, &place))
+  gpointer index;
+  if (!g_hash_table_lookup_extended(table->accounts, digest, NULL, &index))
     return FALSE;
-  *account = GPOINTER_TO_UINT(place);
+  *account = GPOINTER_TO_UINT(index);
   return TRUE;
 }
--- a/core/quota.c
+++ b/core/quota.c
@@ -1,6 +1,7 @@
 /*
 ** quota.c
-** Limits of client accounts, by slices lent from the account's home
+**
+** Request limits of client accounts, shared by all instances
 */
 
 #include <string.h>
@@ -10,34 +11,41 @@
 #include "member.h"
 #include "quota.h"
 
-/* a slice is at least this many requests, to spare messages */
-#define SLICE_LEAST 2
-/* slices a second that one instance asks for, about */
-#define SLICES_PER_S 4
+/*
+** An instance asks for at least this many requests beyond those that wait, to
+** save messages.
+*/
+#define SLICE_REQUESTS_MIN 2
+/*
+** Slices that one instance asks for in a second, about. A slice is sized for
+** the requests of 1 s divided by this at the recent rate, and a refusal holds
+** for that time.
+*/
+#define SLICE_ASKS_PER_S 4
 
-/* one that waits for a slice */
+/* A request that waits for a slice. */
 typedef struct Waiter {
   QuotaFn fn;
   void *ud;
 } Waiter;
 
-/* requests this instance may still admit for an account */
+/* The requests that this instance may still admit for one account. */
 typedef struct Slice {
   mp_State *state;
-  uint32_t account;
-  mp_Account copy; /* limits only; names stay NULL */
-  double left;
-  mp_Time until;
-  mp_Time denied; /* the home had nothing: not asked before */
-  double recent;  /* requests a second, decaying */
-  mp_Time at;     /* of 'recent' */
-  uint32_t rpc;
-  GArray *waiters; /* Waiter */
+  uint32_t account;     /* hash of the account's name */
+  mp_Account limits;    /* only the rate and the burst are set */
+  double remaining;     /* requests */
+  mp_Time valid_until;  /* 'remaining' counts before this time only */
+  mp_Time denied_until; /* the home had nothing: not asked again before */
+  double recent_per_s;  /* requests a second, older ones counting less */
+  mp_Time at;           /* when 'recent_per_s' was updated */
+  uint32_t rpc;         /* open call to the home, 0: none */
+  GArray *waiters;      /* Waiter */
 } Slice;
 
 struct Quotas {
   GHashTable *slices;  /* hash of the account's name -> Slice */
-  GHashTable *buckets; /* the same -> Bucket: the whole limit, at its home */
+  GHashTable *buckets; /* the same -> Bucket of the whole limit, at its home */
 };
 
 /*
@@ -46,7 +54,8 @@
 ** ===================================================================
 */
 
-static const mp_Account *account(const mp_State *state, uint32_t hash) {
+/* Returns the configured account with this hash of its name, or NULL. */
+static const mp_Account *find_account(const mp_State *state, uint32_t hash) {
   unsigned i;
   for (i = 0; state->config != NULL && i < state->config->accounts_count;
        i++) {
@@ -56,7 +65,12 @@
   return NULL;
 }
 
-static mp_Addr homeof(const mp_State *state, uint32_t hash) {
+/*
+** Returns the account's home: a rendezvous hash picks one of the configured
+** data centres, then one of its live instances. 0 when that data centre or the
+** home is out of reach.
+*/
+static mp_Addr home_of(const mp_State *state, uint32_t hash) {
   uint64_t top = 0;
   uint32_t dc = 0;
   unsigned i;
@@ -71,17 +85,18 @@
   return member_reach(state, dc) ? member_home(state, dc, hash) : 0;
 }
 
-static void refill(const mp_State *state, Bucket *b, const mp_Account *a) {
+static void refill_bucket(const mp_State *state, Bucket *b,
+                          const mp_Account *a) {
   bucket_refill(b, a->requests_per_s, (double)a->requests_per_s + a->burst,
                 state->now);
 }
 
 void quota_handle_message(mp_State *state, mp_Addr from, const mp_Msg *m) {
-  const mp_Account *a = account(state, m->u.quota.account);
+  const mp_Account *a = find_account(state, m->u.quota.account);
   mp_Msg r = {0};
   Bucket *b;
   r.u.quota = m->u.quota;
-  if (a == NULL || homeof(state, m->u.quota.account) != state->self) {
+  if (a == NULL || home_of(state, m->u.quota.account) != state->self) {
     r.u.quota.verdict = MP_WRONG_HOME;
     effect_answer(state, from, m, &r);
     return;
@@ -93,7 +108,7 @@
     b->at = state->now;
     state_set(state->quotas->buckets, m->u.quota.account, b);
   }
-  refill(state, b, a);
+  refill_bucket(state, b, a);
   r.u.quota.given = (uint32_t)MIN((double)m->u.quota.want, b->level);
   b->level -= r.u.quota.given;
   r.u.quota.for_ms = MP_SLICE_TIME / MP_MS;
@@ -105,17 +120,21 @@
 
 /*
 ** {==================================================================
-** The borrower
+** Instances that admit requests
 ** ===================================================================
 */
 
-static void freeslice(void *p) {
+static void free_slice(void *p) {
   Slice *s = p;
   g_array_unref(s->waiters);
   g_free(s);
 }
 
-static Slice *slice(mp_State *state, const mp_Account *a) {
+/*
+** Returns the account's slice, with its limits brought up to date; an empty
+** one is added when there is none.
+*/
+static Slice *get_slice(mp_State *state, const mp_Account *a) {
   uint32_t h = state_hash(a->name);
   Slice *s = state_get(state->quotas->slices, h);
   if (s == NULL) {
@@ -125,63 +144,79 @@
     s->waiters = g_array_new(FALSE, FALSE, sizeof(Waiter));
     state_set(state->quotas->slices, h, s);
   }
-  s->copy.requests_per_s = a->requests_per_s;
-  s->copy.burst = a->burst;
+  s->limits.requests_per_s = a->requests_per_s;
+  s->limits.burst = a->burst;
   return s;
 }
 
-static void serve(mp_State *state, Slice *s) {
+/*
+** Admits the waiting requests, in order, as far as the slice reaches, and
+** refuses the others.
+*/
+static void answer_waiters(mp_State *state, Slice *s) {
   while (s->waiters->len > 0) {
     Waiter w = g_array_index(s->waiters, Waiter, 0);
-    int ok = s->left >= 1;
+    int is_admitted = s->remaining >= 1;
     g_array_remove_index(s->waiters, 0);
-    if (ok)
-      s->left -= 1;
-    w.fn(state, w.ud, ok);
+    if (is_admitted)
+      s->remaining -= 1;
+    w.fn(state, w.ud, is_admitted);
   }
 }
 
-static void lent(mp_State *state, void *ud, mp_Addr from, const mp_Msg *m) {
+/*
+** Handles the home's answer. 'm' is NULL when the home did not answer, or,
+** with 'from' 0, when there was none to ask.
+*/
+static void on_slice_answer(mp_State *state, void *ud, mp_Addr from,
+                            const mp_Msg *m) {
   Slice *s = ud;
   const mp_Quota *q = m != NULL ? &m->u.quota : NULL;
   s->rpc = 0;
   if (q == NULL)
     member_silent(state, from);
   if (q == NULL || q->verdict == MP_WRONG_HOME) {
-    /* the home is out of reach: an even share of the limit */
-    double share = (double)s->copy.requests_per_s / member_count(state, 1);
-    s->left = MAX(1.0, share);
-    s->until = state->now + MP_SLICE_TIME;
+    /*
+    ** Without its home an account gets an even share of its limit: the rate
+    ** over the number of live instances in all data centres, but at least 1.
+    */
+    double share = (double)s->limits.requests_per_s / member_count(state, 1);
+    s->remaining = MAX(1.0, share);
+    s->valid_until = state->now + MP_SLICE_TIME;
   } else if (q->verdict == MP_GRANTED) {
-    s->left = q->given;
-    s->until = state->now + (mp_Time)q->for_ms * MP_MS;
+    s->remaining = q->given;
+    s->valid_until = state->now + (mp_Time)q->for_ms * MP_MS;
   } else {
-    s->left = 0;
-    s->until = state->now;
-    s->denied = state->now + MP_SEC / SLICES_PER_S;
+    s->remaining = 0;
+    s->valid_until = state->now;
+    s->denied_until = state->now + MP_SEC / SLICE_ASKS_PER_S;
   }
-  serve(state, s);
+  answer_waiters(state, s);
 }
 
-static void borrow(mp_State *state, Slice *s) {
+/*
+** Asks the home for a slice. Without a home, or with the policy 'quota_slices'
+** off, the even share is taken at once.
+*/
+static void request_slice(mp_State *state, Slice *s) {
   int slices = state->config->policy->quota_slices;
-  mp_Addr home = slices ? homeof(state, s->account) : 0;
+  mp_Addr home = slices ? home_of(state, s->account) : 0;
   mp_Msg m = {0};
-  double want = s->recent / SLICES_PER_S;
+  double want = s->recent_per_s / SLICE_ASKS_PER_S;
   if (home == 0) {
-    lent(state, s, 0, NULL);
+    on_slice_answer(state, s, 0, NULL);
     return;
   }
   m.kind = MP_MSG_QUOTA;
   m.u.quota.account = s->account;
-  m.u.quota.want = (uint32_t)MAX(want, s->waiters->len + SLICE_LEAST);
-  s->rpc = effect_rpc(state, home, &m, 3 * MP_RPC_WAIT, lent, s);
+  m.u.quota.want = (uint32_t)MAX(want, s->waiters->len + SLICE_REQUESTS_MIN);
+  s->rpc = effect_rpc(state, home, &m, 3 * MP_RPC_WAIT, on_slice_answer, s);
 }
 
-/* requests a second of late, for the size of the next slice */
-static void note(const mp_State *state, Slice *s) {
-  double secs = (double)(state->now - s->at) / MP_SEC;
-  s->recent = s->recent / (1 + secs) + 1;
+/* Counts a request in 'recent_per_s', which sizes the next slice. */
+static void update_recent(const mp_State *state, Slice *s) {
+  double seconds = (double)(state->now - s->at) / MP_SEC;
+  s->recent_per_s = s->recent_per_s / (1 + seconds) + 1;
   s->at = state->now;
 }
 
@@ -190,17 +225,17 @@
   Waiter w = {fn, ud};
   if (a->requests_per_s == 0)
     return 1;
-  s = slice(state, a);
-  note(state, s);
-  if (s->until > state->now && s->left >= 1) {
-    s->left -= 1;
+  s = get_slice(state, a);
+  update_recent(state, s);
+  if (s->valid_until > state->now && s->remaining >= 1) {
+    s->remaining -= 1;
     return 1;
   }
-  if (s->denied > state->now)
+  if (s->denied_until > state->now)
     return 0;
   g_array_append_val(s->waiters, w);
   if (s->rpc == 0)
-    borrow(state, s);
+    request_slice(state, s);
   return -1;
 }
 
@@ -224,7 +259,7 @@
 
 void quota_init(mp_State *state) {
   state->quotas = g_new0(Quotas, 1);
-  state->quotas->slices = state_table(freeslice);
+  state->quotas->slices = state_table(free_slice);
   state->quotas->buckets = state_table(g_free);
 }
 
