--- a/account/bucket.c
+++ b/account/bucket.c
@@ -1,6 +1,5 @@
 /*
 ** bucket.c
-**
 ** A token bucket: what a limit of a rate and a burst still allows
 */
 
--- a/account/bucket.h
+++ b/account/bucket.h
@@ -3,7 +3,7 @@
 ** A token bucket: what a limit of a rate and a burst still allows
 **
 ** The owner subtracts what is spent. The level may be below zero: what was
-** spent too much is paid back before anything is allowed again.
+** overspent is paid back first.
 */
 
 #ifndef ACCOUNT_BUCKET_H
--- a/account/key_table.c
+++ b/account/key_table.c
@@ -1,6 +1,5 @@
 /*
 ** key_table.c
-**
 ** Finds the client account that an API key belongs to
 */
 
--- a/core/admit.c
+++ b/core/admit.c
@@ -1,6 +1,5 @@
 /*
 ** admit.c
-**
 ** Admission: checks a caller's request and adds it to the request table
 */
 
@@ -192,9 +191,9 @@
 ** Starts the request when its account's limit admits it, and otherwise refuses
 ** it.
 */
-static void on_quota_answer(mp_State *state, void *ud, int ok) {
+static void on_quota_answer(mp_State *state, void *ud, int admitted) {
   Request *r = ud;
-  if (ok)
+  if (admitted)
     flow_begin(state, r);
   else
     flow_refuse(state, r, MP_ERR_QUOTA, mp_error_retry(MP_ERR_QUOTA));
@@ -208,7 +207,7 @@
   CallTarget target = {0};
   mp_Error e;
   Request *r;
-  int ok;
+  int admitted;
   mpcount(state, REQUESTS);
   if (state->draining && state->now - state->drainsince > MP_DRAIN_LINGER)
     e = MP_ERR_DRAINING;
@@ -227,7 +226,7 @@
   effect_log(state, MP_LOG_ACCEPT,
              " seq=%08x class=%s account=%s prompt_tokens=%u", r->token.seq,
              r->class_name, r->account, r->prompt_tokens);
-  ok = quota_admit(state, target.account, on_quota_answer, r);
-  if (ok >= 0)
-    on_quota_answer(state, r, ok);
+  admitted = quota_admit(state, target.account, on_quota_answer, r);
+  if (admitted >= 0)
+    on_quota_answer(state, r, admitted);
 }
--- a/core/answer.c
+++ b/core/answer.c
@@ -1,6 +1,5 @@
 /*
 ** answer.c
-**
 ** The answer to the caller: decode streams and plain services
 **
 ** Invariants: a piece of a decode stream goes to the caller only when its
@@ -190,7 +189,10 @@
     flow_failed(state, r, &r->decode, WHY_SILENT);
 }
 
-/* Handles a failed call to a plain service. */
+/*
+** Handles a failed call to a plain service. When a part of the answer has gone
+** to the caller, no second answer may begin.
+*/
 static void on_plain_failure(mp_State *state, Request *r,
                              const mp_EndpointEvent *e) {
   r->decode.xcall = 0;
--- a/core/cancel.c
+++ b/core/cancel.c
@@ -1,6 +1,5 @@
 /*
 ** cancel.c
-**
 ** Cancels attempts at endpoints, and repeats each cancel until confirmed
 */
 
--- a/core/ending.c
+++ b/core/ending.c
@@ -1,6 +1,5 @@
 /*
 ** ending.c
-**
 ** How a request ends, and how a step is tried again
 **
 ** A function that may end the request is the last thing that its caller does:
--- a/core/flow.c
+++ b/core/flow.c
@@ -1,7 +1,6 @@
 /*
 ** flow.c
-**
-** The steps of a request, and where its path begins
+** The path of a request: its first step, the claim, the entry into each step
 **
 ** The steps themselves are in slots.c, work.c and answer.c; how a request
 ** ends, or tries a step again, is in ending.c.
--- a/core/holder.c
+++ b/core/holder.c
@@ -28,8 +28,8 @@
       e->wait = v->wait_ms;
   }
   flow_on_reservation(state, r, a,
-                v != NULL ? (mp_Verdict)v->verdict : MP_WRONG_HOME,
-                v != NULL ? v->wait_ms : 0);
+                      v != NULL ? (mp_Verdict)v->verdict : MP_WRONG_HOME,
+                      v != NULL ? v->wait_ms : 0);
 }
 
 void holder_reserve(mp_State *state, Request *r, Attempt *a, uint32_t slack_ms,
--- a/core/order.c
+++ b/core/order.c
@@ -1,6 +1,5 @@
 /*
 ** order.c
-**
 ** Role orders: moves engines between prefill and decode under pressure
 **
 ** The lease is the object "lease/<dc>" in the platform's store, which names
@@ -176,8 +175,9 @@
 
 /*
 ** Returns seconds of prefill work that wait, or the share of decode slots in
-** which streams run. Slots that are only promised do not count: they are
-** promised before the prefill starts, so a pressed prefill pool fills them.
+** which streams run. Slots that are only granted do not count: they are
+*granted
+** before the prefill starts, so a prefill pool under pressure fills them.
 */
 static double engine_load(const Endpoint *e) {
   if (e->role == MP_ROLE_DECODE)
--- a/core/plan.c
+++ b/core/plan.c
@@ -1,6 +1,5 @@
 /*
 ** plan.c
-**
 ** Decides when a KV transfer between data centres may start
 **
 ** A link is shared by all instances, which do not coordinate: each plans its
--- a/core/quota.c
+++ b/core/quota.c
@@ -1,6 +1,5 @@
 /*
 ** quota.c
-**
 ** Request limits of client accounts, shared by all instances
 */
 
@@ -71,15 +70,15 @@
 ** home is out of reach.
 */
 static mp_Addr home_of(const mp_State *state, uint32_t hash) {
-  uint64_t top = 0;
+  uint64_t best_weight = 0;
   uint32_t dc = 0;
   unsigned i;
   for (i = 0; i < state->config->data_centres_count; i++) {
     uint32_t d = state_hash(state->config->data_centres[i].name);
     uint64_t w = member_weight(d, hash);
-    if (dc == 0 || w > top) {
+    if (dc == 0 || w > best_weight) {
       dc = d;
-      top = w;
+      best_weight = w;
     }
   }
   return member_reach(state, dc) ? member_home(state, dc, hash) : 0;
@@ -199,8 +198,8 @@
 ** off, the even share is taken at once.
 */
 static void request_slice(mp_State *state, Slice *s) {
-  int slices = state->config->policy->quota_slices;
-  mp_Addr home = slices ? home_of(state, s->account) : 0;
+  int use_slices = state->config->policy->quota_slices;
+  mp_Addr home = use_slices ? home_of(state, s->account) : 0;
   mp_Msg m = {0};
   double want = s->recent_per_s / SLICE_ASKS_PER_S;
   if (home == 0) {
--- a/core/retry.c
+++ b/core/retry.c
@@ -1,6 +1,5 @@
 /*
 ** retry.c
-**
 ** The retry budget and the backoff between retries
 */
 
--- a/core/route.c
+++ b/core/route.c
@@ -1,6 +1,5 @@
 /*
 ** route.c
-**
 ** Chooses the endpoint that takes a piece of work
 **
 ** Prefill, by default: a bounded-load rendezvous hash of the prompt's prefix
--- a/core/slots.c
+++ b/core/slots.c
@@ -109,7 +109,7 @@
 }
 
 void flow_on_reservation(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
-                   uint32_t wait_ms) {
+                         uint32_t wait_ms) {
   Step s = a == &r->prefill ? ST_PREFILL_SLOT : ST_DECODE_SLOT;
   g_assert(a->no != 0);
   if (a->granted)
--- a/core/work.c
+++ b/core/work.c
@@ -1,6 +1,5 @@
 /*
 ** work.c
-**
 ** Work at endpoints: the prefill, and the transfer of its KV result
 **
 ** Invariant: 'ran', what is known of whether the request ran, leaves MP_RAN_NO
@@ -86,24 +85,24 @@
 ** which the cancel frees.
 */
 void flow_failed(mp_State *state, Request *r, Attempt *a, Why why) {
-  static const char *const names[] = {"refused", "connect", "broken",
-                                      "silent"};
-  mp_Addr ep = a->endpoint;
-  int is_not_run = flow_clean(why);
-  char text[24];
-  mp_addr_text(ep, text);
+  static const char *const why_names[] = {"refused", "connect", "broken",
+                                          "silent"};
+  mp_Addr endpoint = a->endpoint;
+  int was_not_run = flow_clean(why);
+  char address[24];
+  mp_addr_text(endpoint, address);
   effect_log(state, MP_LOG_FAILED, " seq=%08x endpoint=%s step=%d why=%s",
-             r->token.seq, text, (int)r->step, names[why]);
-  if (is_not_run) {
+             r->token.seq, address, (int)r->step, why_names[why]);
+  if (was_not_run) {
     flow_notrun(r);
     a->sent = a->role == MP_ROLE_DECODE && r->step == ST_DECODE;
   }
   /* An endpoint that refuses is healthy, but busy. */
   if (why != WHY_REFUSED)
-    fleet_bad(state, ep);
-  flow_avoid(r, ep);
+    fleet_bad(state, endpoint);
+  flow_avoid(r, endpoint);
   flow_endattempt(state, r, a);
-  flow_again(state, r, flow_restart(state, r), is_not_run);
+  flow_again(state, r, flow_restart(state, r), was_not_run);
 }
 
 /* The endpoint found the request itself at fault; it was not run. */
@@ -137,7 +136,8 @@
 /*
 ** Ends an attempt that the check right before dispatch stopped, as after a
 ** change of the configuration, and tries another endpoint. The call was not
-** sent, so the retry counts as one of work that was not run.
+** sent, so the retry counts as one of work that was not run. This holds for a
+** stopped resume too, although an earlier call of the attempt may have run.
 */
 void flow_gated(mp_State *state, Request *r, Attempt *a) {
   flow_avoid(r, a->endpoint);
@@ -241,12 +241,12 @@
 ** names.
 */
 static void requeue_for_decode_slot(mp_State *state, Request *r) {
-  mp_Addr ep = r->decode.endpoint;
+  mp_Addr endpoint = r->decode.endpoint;
   mp_Time wait = retry_backoff(state, 1);
   flow_notrun(r);
   r->decode.sent = 0;
   r->navoid = 0;
-  flow_avoid(r, ep);
+  flow_avoid(r, endpoint);
   flow_endattempt(state, r, &r->decode);
   if (!flow_policy(state)->keep_prefill ||
       state->now + wait >= MIN(r->kv_until, r->deadline)) {
