--- a/core/order.c
+++ b/core/order.c
@@ -91,14 +91,14 @@
 
 /* Notes the version of the lease, and since when it has been seen. */
 static void on_lease_read(mp_State *state, void *ud, const mp_StoreEvent *e) {
-  Orders *O = state->orders;
+  Orders *orders = state->orders;
   (void)ud;
-  O->is_store_call_open = 0;
+  orders->is_store_call_open = 0;
   if (e->status == MP_STORE_OK || e->status == MP_STORE_ABSENT) {
     uint64_t v = e->status == MP_STORE_OK ? e->version : 0;
-    if (v != O->version || O->version_seen == 0)
-      O->version_seen = state->now;
-    O->version = v;
+    if (v != orders->version || orders->version_seen == 0)
+      orders->version_seen = state->now;
+    orders->version = v;
   }
   arm_step_timer(state, MP_ORDER_RENEW);
 }
@@ -118,9 +118,9 @@
 */
 static void on_lease_written(mp_State *state, void *ud,
                              const mp_StoreEvent *e) {
-  Orders *O = state->orders;
+  Orders *orders = state->orders;
   (void)ud;
-  O->is_store_call_open = 0;
+  orders->is_store_call_open = 0;
   if (e->status != MP_STORE_OK) {
     /*
     ** Without an answer the write may still have had effect. It counts as
@@ -131,15 +131,15 @@
     read_lease(state);
     return;
   }
-  if (!O->is_held) {
-    O->is_held = 1;
-    O->held_since = state->now;
+  if (!orders->is_held) {
+    orders->is_held = 1;
+    orders->held_since = state->now;
     effect_log(state, MP_LOG_LEASE_HELD, " fence=%" G_GUINT64_FORMAT,
                (guint64)e->version);
   }
-  O->version = e->version;
-  O->version_seen = state->now;
-  O->valid_until = O->write_sent + MP_ORDER_LEASE;
+  orders->version = e->version;
+  orders->version_seen = state->now;
+  orders->valid_until = orders->write_sent + MP_ORDER_LEASE;
   arm_step_timer(state, MP_ORDER_RENEW);
 }
 
@@ -248,30 +248,31 @@
 ** operators' changes are.
 */
 static void write_audit_record(mp_State *state, const char *outcome) {
-  const Orders *O = state->orders;
+  const Orders *orders = state->orders;
   char key[96];
   char who[24];
   char at[24];
   char text[256];
   int length;
   mp_addr_text(state->self, who);
-  mp_addr_text(O->target, at);
+  mp_addr_text(orders->target, at);
   snprintf(key, sizeof key, "audit/order-%s-%010" G_GUINT64_FORMAT, state->dc,
-           (guint64)O->version);
+           (guint64)orders->version);
   length = snprintf(text, sizeof text,
                     "{\"who\":\"%s\",\"what\":\"order %s\",\"from\":%d,"
                     "\"to\":%d,\"outcome\":\"%s\"}",
-                    who, at, (int)O->old_role, (int)O->wanted_role, outcome);
+                    who, at, (int)orders->old_role, (int)orders->wanted_role,
+                    outcome);
   effect_store(state, MP_ST_PUT, key, 0, text, (size_t)length,
                MP_STORE_TIMEOUT, on_audit_written, NULL);
 }
 
 /* Logs and records how the order ended; 'ok' 0 is a failure or unknown. */
 static void finish_order(mp_State *state, int ok) {
-  Orders *O = state->orders;
-  const Endpoint *e = fleet_get(state, O->target);
-  timer_stop(&state->timers, &O->timeout);
-  O->xcall = 0;
+  Orders *orders = state->orders;
+  const Endpoint *e = fleet_get(state, orders->target);
+  timer_stop(&state->timers, &orders->timeout);
+  orders->xcall = 0;
   effect_log(state, ok ? MP_LOG_ORDER_DONE : MP_LOG_ORDER_FAIL, " endpoint=%s",
              e != NULL ? e->name : "gone");
   write_audit_record(state, ok ? "done" : "failed or unknown");
@@ -299,25 +300,25 @@
 ** but not beyond the lease.
 */
 static void send_order(mp_State *state, Endpoint *e, mp_Role role) {
-  Orders *O = state->orders;
+  Orders *orders = state->orders;
   mp_Xcall x = {0};
   if (!is_lease_valid(state)) /* checked right before the order goes out */
     return;
   x.op = MP_X_ORDER;
   x.endpoint = e->addr;
   x.role = role;
-  x.fence = O->version;
+  x.fence = orders->version;
   x.valid_ms =
-      (uint32_t)(MIN(MP_ORDER_MAX, O->valid_until - state->now) / MP_MS);
-  O->target = e->addr;
-  O->old_role = e->role;
-  O->xcall = effect_xcall(state, &x, on_order_event, NULL);
-  timer_arm(&state->timers, &O->timeout, state->now + MP_ORDER_MAX,
+      (uint32_t)(MIN(MP_ORDER_MAX, orders->valid_until - state->now) / MP_MS);
+  orders->target = e->addr;
+  orders->old_role = e->role;
+  orders->xcall = effect_xcall(state, &x, on_order_event, NULL);
+  timer_arm(&state->timers, &orders->timeout, state->now + MP_ORDER_MAX,
             on_order_timeout, NULL);
   mpcount(state, ORDERS);
   effect_log(state, MP_LOG_ORDER_SENT,
              " endpoint=%s role=%d fence=%" G_GUINT64_FORMAT, e->name,
-             (int)role, (guint64)O->version);
+             (int)role, (guint64)orders->version);
 }
 
 /*
@@ -326,7 +327,7 @@
 ** role's pool has more engines than it must keep.
 */
 static void balance_service(mp_State *state, const mp_Service *s) {
-  Orders *O = state->orders;
+  Orders *orders = state->orders;
   PoolLoad p = measure_pool(state, s->name, MP_ROLE_PREFILL);
   PoolLoad d = measure_pool(state, s->name, MP_ROLE_DECODE);
   int needs_prefill =
@@ -337,21 +338,21 @@
   const PoolLoad *donor = needs_prefill ? &d : &p;
   mp_Role from = needs_prefill ? MP_ROLE_DECODE : MP_ROLE_PREFILL;
   if (!needs_prefill && !needs_decode) {
-    O->pressed_since = 0;
+    orders->pressed_since = 0;
     return;
   }
-  if (O->pressed_since == 0 || O->wanted_role != want) {
-    O->pressed_since = state->now;
-    O->wanted_role = want;
+  if (orders->pressed_since == 0 || orders->wanted_role != want) {
+    orders->pressed_since = state->now;
+    orders->wanted_role = want;
     return;
   }
-  if (state->now - O->pressed_since < MP_ROLE_PATIENCE ||
+  if (state->now - orders->pressed_since < MP_ROLE_PATIENCE ||
       !may_order_service(state, s))
     return;
   if (donor->idlest == NULL ||
       donor->engines <= engines_min(state, s->name, from))
     return;
-  O->pressed_since = 0;
+  orders->pressed_since = 0;
   send_order(state, donor->idlest, want);
 }
 
@@ -363,7 +364,7 @@
 ** reads it again.
 */
 static void run_step(mp_State *state, void *ud) {
-  Orders *O = state->orders;
+  Orders *orders = state->orders;
   unsigned i;
   (void)ud;
   if (!is_candidate(state)) {
@@ -371,19 +372,20 @@
     arm_step_timer(state, MP_ORDER_RENEW);
     return;
   }
-  if (O->is_store_call_open)
+  if (orders->is_store_call_open)
     return;
-  if (O->is_held && state->now >= O->valid_until)
+  if (orders->is_held && state->now >= orders->valid_until)
     drop_lease(state);
-  for (i = 0; is_lease_valid(state) && O->xcall == 0 &&
+  for (i = 0; is_lease_valid(state) && orders->xcall == 0 &&
               i < state->config->services_count;
        i++) {
     if (state->config->services[i].kind == MP_SVC_ENGINE)
       balance_service(state, &state->config->services[i]);
   }
-  if (O->is_held ||
-      (O->version_seen != 0 &&
-       (O->version == 0 || state->now - O->version_seen > MP_ORDER_LEASE)))
+  if (orders->is_held ||
+      (orders->version_seen != 0 &&
+       (orders->version == 0 ||
+        state->now - orders->version_seen > MP_ORDER_LEASE)))
     write_lease(state);
   else
     read_lease(state);
