--- a/core/admit.c
+++ b/core/admit.c
@@ -133,7 +133,7 @@
       !contains_name(target->account->classes, target->account->classes_count,
                      target->class_->name))
     return MP_ERR_CLASS;
-  if (place_rule(c, target->class_->name, target->account->name) == NULL)
+  if (place_find_rule(c, target->class_->name, target->account->name) == NULL)
     return MP_ERR_PLACE;
   return MP_ERR_NONE;
 }
@@ -146,9 +146,9 @@
   p.error = e;
   p.ran = MP_RAN_NO;
   p.retry_s = mp_error_retry(e);
-  mpcount(state, REFUSED);
+  state_count(state, REFUSED);
   effect_log(state, MP_LOG_REFUSE, " kind=%s ran=no", mp_error_name(e));
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
 }
 
 /*
@@ -162,7 +162,7 @@
   r->call = c->call;
   r->token.owner = state->self;
   r->token.start = state->start;
-  r->token.seq = ++state->lastreq;
+  r->token.seq = ++state->last_request_seq;
   g_strlcpy(r->class_name, class_->name, sizeof r->class_name);
   g_strlcpy(r->account, target->account->name, sizeof r->account);
   g_strlcpy(r->service, target->service->name, sizeof r->service);
@@ -179,11 +179,11 @@
   r->repeatable = class_->repeatable;
   r->keyed = c->key != NULL;
   if (r->keyed)
-    claim_id(r->account, c->key, r->id);
+    claim_make_id(r->account, c->key, r->id);
   r->text = g_string_new(NULL);
   g_ptr_array_add(state->requests, r);
-  state_set(state->requestby, r->call, r);
-  state_set(state->requestseq, r->token.seq, r);
+  state_table_set(state->request_by_call, r->call, r);
+  state_table_set(state->request_by_seq, r->token.seq, r);
   return r;
 }
 
@@ -208,8 +208,8 @@
   mp_Error e;
   Request *r;
   int admitted;
-  mpcount(state, REQUESTS);
-  if (state->draining && state->now - state->drainsince > MP_DRAIN_LINGER)
+  state_count(state, REQUESTS);
+  if (state->draining && state->now - state->drain_started_at > MP_DRAIN_LINGER)
     e = MP_ERR_DRAINING;
   else if (state->config == NULL)
     e = MP_ERR_NO_CONFIG;
--- a/core/answer.c
+++ b/core/answer.c
@@ -21,16 +21,16 @@
 
 static void on_decode_event(mp_State *state, void *ud,
                             const mp_EndpointEvent *e);
-static void resume_or_fail(mp_State *state, Request *r, Why why);
+static void resume_or_fail(mp_State *state, Request *r, CallFailure why);
 
 /*
 ** Timer: no new piece came for MP_STALL_TIME since the call or the last piece.
 */
 static void on_stall_timeout(mp_State *state, void *ud) {
   Request *r = ud;
-  effect_xabort(state, r->decode.xcall);
+  effect_endpoint_abort(state, r->decode.xcall);
   r->decode.xcall = 0;
-  resume_or_fail(state, r, WHY_SILENT);
+  resume_or_fail(state, r, CALL_FAILURE_TIMEOUT);
 }
 
 static void arm_stall_timer(mp_State *state, Request *r) {
@@ -42,18 +42,18 @@
 ** Calls the decode endpoint after a check of the placement rules; 'op' is
 ** MP_X_DECODE or MP_X_RESUME.
 */
-void flow_decode(mp_State *state, Request *r, mp_XcallOp op) {
+void flow_start_decode(mp_State *state, Request *r, mp_XcallOp op) {
   Attempt *a = &r->decode;
   mp_Xcall x;
-  if (flow_gate(state, r, a) == NULL) {
-    flow_gated(state, r, a);
+  if (flow_check_place(state, r, a) == NULL) {
+    flow_place_denied(state, r, a);
     return;
   }
-  x = flow_call(r, a, op);
-  flow_dispatched(r, a);
+  x = flow_make_endpoint_call(r, a, op);
+  flow_mark_dispatched(r, a);
   if (op == MP_X_DECODE)
-    mpcount(state, DECODES);
-  a->xcall = effect_xcall(state, &x, on_decode_event, r);
+    state_count(state, DECODES);
+  a->xcall = effect_endpoint_call(state, &x, on_decode_event, r);
   arm_stall_timer(state, r);
 }
 
@@ -62,18 +62,18 @@
 ** endpoint, and otherwise fails the attempt, which may go to another one. A
 ** call that certainly did not run is not resumed.
 */
-static void resume_or_fail(mp_State *state, Request *r, Why why) {
+static void resume_or_fail(mp_State *state, Request *r, CallFailure why) {
   const Endpoint *e = fleet_get(state, r->decode.endpoint);
   int is_reachable = e != NULL && !e->down;
   timer_stop(&state->timers, &r->timer);
-  if (!flow_clean(why) && !r->resumed && is_reachable) {
+  if (!flow_is_not_run(why) && !r->resumed && is_reachable) {
     r->resumed = 1;
-    flow_decode(state, r, MP_X_RESUME);
+    flow_start_decode(state, r, MP_X_RESUME);
     return;
   }
   /* When the resume was refused, the first call did run. */
-  flow_failed(state, r, &r->decode,
-              flow_clean(why) && r->resumed ? WHY_BROKEN : why);
+  flow_attempt_failed(state, r, &r->decode,
+              flow_is_not_run(why) && r->resumed ? CALL_FAILURE_BROKEN : why);
 }
 
 /*
@@ -91,7 +91,7 @@
   p.status = status;
   p.head = host_head;
   mp_token_text(&r->token, 0, p.id);
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
 }
 
 static void send_piece(mp_State *state, Request *r,
@@ -101,7 +101,7 @@
   p.what = MP_REPLY_PIECE;
   p.text = e->text;
   p.len = e->len;
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
 }
 
 /*
@@ -110,10 +110,10 @@
 */
 static void on_first_token(mp_State *state, Request *r) {
   r->ran = MP_RAN_YES;
-  r->kv_used = 1;
-  r->prefill_at = r->prefill.endpoint;
-  fleet_good(state, r->decode.endpoint);
-  flow_endattempt(state, r, &r->prefill);
+  r->is_kv_used = 1;
+  r->prefill_engine = r->prefill.endpoint;
+  fleet_call_succeeded(state, r->decode.endpoint);
+  flow_end_attempt(state, r, &r->prefill);
 }
 
 /*
@@ -121,14 +121,14 @@
 */
 static void on_piece(mp_State *state, Request *r, const mp_EndpointEvent *e) {
   if (e->index < r->got) {
-    mpcount(state, STALE); /* the caller has it already */
+    state_count(state, STALE); /* the caller has it already */
     return;
   }
   /* A piece is missing, and nothing after it may go to the caller. */
   if (e->index > r->got) {
-    effect_xabort(state, r->decode.xcall);
+    effect_endpoint_abort(state, r->decode.xcall);
     r->decode.xcall = 0;
-    resume_or_fail(state, r, WHY_BROKEN);
+    resume_or_fail(state, r, CALL_FAILURE_BROKEN);
     return;
   }
   if (r->prefill.no != 0)
@@ -154,7 +154,7 @@
   case MP_EP_DONE:
     r->decode.xcall = 0;
     if (e->tokens != r->got) {
-      resume_or_fail(state, r, WHY_BROKEN); /* some pieces are missing */
+      resume_or_fail(state, r, CALL_FAILURE_BROKEN); /* some pieces are missing */
       return;
     }
     if (r->prefill.no != 0)
@@ -164,7 +164,7 @@
     break;
   case MP_EP_FAIL:
     r->decode.xcall = 0;
-    resume_or_fail(state, r, flow_whyof(e));
+    resume_or_fail(state, r, flow_call_failure(e));
     break;
   }
 }
@@ -184,9 +184,9 @@
 static void on_plain_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   if (r->head)
-    flow_giveup(state, r);
+    flow_give_up(state, r);
   else
-    flow_failed(state, r, &r->decode, WHY_SILENT);
+    flow_attempt_failed(state, r, &r->decode, CALL_FAILURE_TIMEOUT);
 }
 
 /*
@@ -200,9 +200,9 @@
   if (r->head)
     flow_refuse(state, r, MP_ERR_INCOMPLETE, 0);
   else if (e->fail == MP_EPF_REJECTED)
-    flow_rejected(state, r);
+    flow_request_rejected(state, r);
   else
-    flow_failed(state, r, &r->decode, flow_whyof(e));
+    flow_attempt_failed(state, r, &r->decode, flow_call_failure(e));
 }
 
 /* Handles what comes back from a plain service. */
@@ -212,7 +212,7 @@
   switch (e->what) {
   case MP_EP_HEAD:
     r->ran = MP_RAN_YES;
-    fleet_good(state, r->decode.endpoint);
+    fleet_call_succeeded(state, r->decode.endpoint);
     timer_arm(&state->timers, &r->timer, r->deadline, on_plain_timeout, r);
     send_head(state, r, e->status, e->head);
     break;
@@ -230,21 +230,21 @@
 }
 
 /* Calls an endpoint of the plain service. Nothing is reserved there. */
-void flow_plain(mp_State *state, Request *r) {
+void flow_start_plain(mp_State *state, Request *r) {
   Endpoint *e = choice_plain_endpoint(state, r);
   Attempt *a = &r->decode;
   mp_Xcall x;
   if (e == NULL) {
-    flow_nowhere(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
-  flow_attempt(r, a, e, MP_ROLE_PLAIN, 0);
+  flow_init_attempt(r, a, e, MP_ROLE_PLAIN, 0);
   e->mine++;
   a->granted = 1;
   a->begun = state->now;
-  x = flow_call(r, a, MP_X_PLAIN);
-  flow_dispatched(r, a);
-  a->xcall = effect_xcall(state, &x, on_plain_event, r);
+  x = flow_make_endpoint_call(r, a, MP_X_PLAIN);
+  flow_mark_dispatched(r, a);
+  a->xcall = effect_endpoint_call(state, &x, on_plain_event, r);
   /*
   ** Half of the time left is kept for another endpoint where the class allows
   ** a second run.
--- a/core/cancel.c
+++ b/core/cancel.c
@@ -57,7 +57,7 @@
   x.token = c->token;
   x.attempt = c->attempt;
   c->tries++;
-  c->xcall = effect_xcall(state, &x, on_cancel_event, c);
+  c->xcall = effect_endpoint_call(state, &x, on_cancel_event, c);
   timer_arm(&state->timers, &c->timer,
             state->now + c->tries * MP_CANCEL_PERIOD, on_retry_timer, c);
 }
@@ -69,7 +69,7 @@
 static void on_retry_timer(mp_State *state, void *ud) {
   Cancel *c = ud;
   if (c->xcall != 0)
-    effect_xabort(state, c->xcall);
+    effect_endpoint_abort(state, c->xcall);
   if (c->tries >= MP_CANCEL_TRIES)
     remove_cancel(state, c);
   else
--- a/core/ending.c
+++ b/core/ending.c
@@ -33,11 +33,11 @@
 ** frees it on the cancel of the prefill's attempt.
 */
 static void drop_kv(mp_State *state, Request *r) {
-  if (r->kv != NULL && !r->kv_used)
+  if (r->kv != NULL && !r->is_kv_used)
     count_wasted_tokens(state, r->kv_tokens);
   g_free(r->kv);
   r->kv = NULL;
-  r->kv_at = 0;
+  r->kv_source = 0;
 }
 
 /*
@@ -46,14 +46,14 @@
 ** plain service is ended by its closed connection alone. A prefill cut short
 ** counts as wasted.
 */
-void flow_endattempt(mp_State *state, Request *r, Attempt *a) {
+void flow_end_attempt(mp_State *state, Request *r, Attempt *a) {
   if (a->xcall != 0)
-    effect_xabort(state, a->xcall);
+    effect_endpoint_abort(state, a->xcall);
   a->xcall = 0;
   if (a->sent && a->role != MP_ROLE_PLAIN)
     cancel_start(state, a->endpoint, &r->token, a->no);
   if (a == &r->prefill) {
-    if (a->sent && r->kv == NULL && r->step == ST_PREFILL)
+    if (a->sent && r->kv == NULL && r->step == FLOW_STEP_PREFILL)
       count_wasted_tokens(state, a->tokens);
     drop_kv(state, r);
   }
@@ -68,16 +68,16 @@
 static void free_request(mp_State *state, Request *r) {
   timer_stop(&state->timers, &r->timer);
   timer_stop(&state->timers, &r->limit);
-  holder_forget(state, r);
+  holder_cancel_call(state, r);
   link_release(state, r);
   quota_cancel_wait(state, r);
   if (r->asking != 0)
-    claim_forget(state, r->asking);
-  flow_endattempt(state, r, &r->prefill);
-  flow_endattempt(state, r, &r->decode);
+    claim_cancel_request(state, r->asking);
+  flow_end_attempt(state, r, &r->prefill);
+  flow_end_attempt(state, r, &r->decode);
   g_string_free(r->text, TRUE);
-  state_del(state->requestby, r->call);
-  state_del(state->requestseq, r->token.seq);
+  state_table_remove(state->request_by_call, r->call);
+  state_table_remove(state->request_by_seq, r->token.seq);
   g_ptr_array_remove_fast(state->requests, r); /* frees the row */
 }
 
@@ -119,18 +119,18 @@
   mp_token_text(&r->token, 0, p.id);
   settle_claim(state, r, r->ran);
   if (r->ran == MP_RAN_NO || e == MP_ERR_DUPLICATE) {
-    mpcount(state, REFUSED);
+    state_count(state, REFUSED);
     log_end(state, r, MP_LOG_REFUSE, mp_error_name(e));
   } else {
-    mpcount(state, FAILED);
+    state_count(state, FAILED);
     log_end(state, r, MP_LOG_BROKE, mp_error_name(e));
   }
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
   free_request(state, r);
 }
 
 void flow_hangup(mp_State *state, Request *r) {
-  mpcount(state, HANGUPS);
+  state_count(state, HANGUPS);
   log_end(state, r, MP_LOG_GONE, "caller_gone");
   settle_claim(state, r, r->ran);
   free_request(state, r);
@@ -141,15 +141,15 @@
   p.call = r->call;
   p.what = MP_REPLY_END;
   p.tokens = r->got;
-  p.prefill = r->prefill_at;
+  p.prefill = r->prefill_engine;
   p.decode = r->decode.endpoint;
   p.ran = MP_RAN_YES;
   mp_token_text(&r->token, 0, p.id);
   r->ran = MP_RAN_YES;
   settle_claim(state, r, MP_RAN_YES);
-  mpcount(state, ANSWERED);
+  state_count(state, ANSWERED);
   log_end(state, r, MP_LOG_ANSWERED, "ok");
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
   r->decode.sent = 0; /* it ended by itself: nothing to cancel */
   free_request(state, r);
 }
@@ -158,7 +158,7 @@
 ** Ends a request for which no way is left, with an error that says whether it
 ** may have run and, where sending it again makes sense, after which time.
 */
-void flow_giveup(mp_State *state, Request *r) {
+void flow_give_up(mp_State *state, Request *r) {
   if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
                 mp_error_retry(MP_ERR_PLACE_AWAY));
@@ -170,7 +170,7 @@
 }
 
 /* Timer: the request's deadline passed. */
-void flow_late(mp_State *state, void *ud) {
+void flow_on_deadline(mp_State *state, void *ud) {
   flow_refuse(state, ud, MP_ERR_DEADLINE, mp_error_retry(MP_ERR_DEADLINE));
 }
 
@@ -183,20 +183,20 @@
 */
 
 /* Endpoints beyond the first MP_MAXTRIES are not remembered. */
-void flow_avoid(Request *r, mp_Addr a) {
-  if (r->navoid < MP_MAXTRIES)
-    r->avoid[r->navoid++] = a;
+void flow_avoid_endpoint(Request *r, mp_Addr a) {
+  if (r->avoid_count < MP_MAXTRIES)
+    r->avoid[r->avoid_count++] = a;
 }
 
 /* Timer: the wait before a step is over. */
 static void enter_next_step(mp_State *state, void *ud) {
   Request *r = ud;
-  flow_enter(state, r, r->next);
+  flow_enter_step(state, r, r->next);
 }
 
 /* Enters step 's' after 'wait' microseconds. */
-void flow_later(mp_State *state, Request *r, Step s, mp_Time wait) {
-  r->step = ST_WAIT;
+void flow_enter_step_after(mp_State *state, Request *r, Step s, mp_Time wait) {
+  r->step = FLOW_STEP_RETRY_WAIT;
   r->next = s;
   timer_arm(&state->timers, &r->timer, state->now + wait, enter_next_step, r);
 }
@@ -207,18 +207,18 @@
 ** says that the failed work was certainly not run, so that even a class whose
 ** work may not be repeated goes on.
 */
-void flow_again(mp_State *state, Request *r, Step s, int clean) {
+void flow_retry_step(mp_State *state, Request *r, Step s, int clean) {
   mp_Time wait;
   r->tries++;
   wait = retry_backoff(state, r->tries);
   if ((!clean && !r->repeatable) || r->tries >= MP_MAXTRIES ||
       state->now + wait >= r->deadline || !retry_budget_try_withdraw(state)) {
-    flow_giveup(state, r);
+    flow_give_up(state, r);
     return;
   }
   effect_log(state, MP_LOG_RETRY, " seq=%08x step=%d try=%u", r->token.seq,
              (int)s, r->tries);
-  flow_later(state, r, s, wait);
+  flow_enter_step_after(state, r, s, wait);
 }
 
 /*
@@ -226,16 +226,16 @@
 ** whose result cannot be used any more is ended first, since a request has one
 ** prefill attempt at a time.
 */
-Step flow_restart(mp_State *state, Request *r) {
+Step flow_restart_step(mp_State *state, Request *r) {
   if (r->plain)
-    return ST_PLAIN;
+    return FLOW_STEP_PLAIN;
   if (r->kv != NULL && flow_policy(state)->keep_prefill &&
-      state->now < r->kv_until)
-    return r->decode.granted ? ST_TRANSFER : ST_DECODE_SLOT;
-  flow_endattempt(state, r, &r->prefill);
+      state->now < r->kv_expires_at)
+    return r->decode.granted ? FLOW_STEP_TRANSFER : FLOW_STEP_RESERVE_DECODE;
+  flow_end_attempt(state, r, &r->prefill);
   if (!flow_policy(state)->decode_first || r->decode.granted)
-    return ST_PREFILL_SLOT;
-  return ST_DECODE_SLOT;
+    return FLOW_STEP_RESERVE_PREFILL;
+  return FLOW_STEP_RESERVE_DECODE;
 }
 
 /* }================================================================== */
--- a/core/flow.c
+++ b/core/flow.c
@@ -25,8 +25,8 @@
 /* Returns the step that comes after the claim. */
 static Step first_step(const mp_State *state, const Request *r) {
   if (r->plain)
-    return ST_PLAIN;
-  return flow_policy(state)->decode_first ? ST_DECODE_SLOT : ST_PREFILL_SLOT;
+    return FLOW_STEP_PLAIN;
+  return flow_policy(state)->decode_first ? FLOW_STEP_RESERVE_DECODE : FLOW_STEP_RESERVE_PREFILL;
 }
 
 /* Handles the home's answer to the claim on the request's ID. */
@@ -36,7 +36,7 @@
   r->asking = 0;
   if (v == MP_GRANTED) {
     r->claimed = 1;
-    flow_enter(state, r, first_step(state, r));
+    flow_enter_step(state, r, first_step(state, r));
     return;
   }
   if (v == MP_UNAVAILABLE) {
@@ -59,49 +59,49 @@
 static void request_claim(mp_State *state, Request *r) {
   mp_Time ttl = r->deadline - state->now + MP_CLAIM_GRACE;
   r->durable = !r->repeatable;
-  r->asking = claim_claim(state, r->id, &r->token, ttl, r->durable,
+  r->asking = claim_request(state, r->id, &r->token, ttl, r->durable,
                           on_claim_answer, r);
 }
 
 /*
-** Makes 's' the current step and starts it. ST_WAIT is not entered here but by
-** flow_later.
+** Makes 's' the current step and starts it. FLOW_STEP_RETRY_WAIT is not entered here but by
+** flow_enter_step_after.
 */
-void flow_enter(mp_State *state, Request *r, Step s) {
+void flow_enter_step(mp_State *state, Request *r, Step s) {
   r->step = s;
   effect_log(state, MP_LOG_STEP, " seq=%08x step=%d", r->token.seq, (int)s);
   switch (s) {
-  case ST_CLAIM:
+  case FLOW_STEP_CLAIM:
     request_claim(state, r);
     break;
-  case ST_DECODE_SLOT:
-    flow_decodeslot(state, r);
+  case FLOW_STEP_RESERVE_DECODE:
+    flow_reserve_decode(state, r);
     break;
-  case ST_PREFILL_SLOT:
-    flow_prefillslot(state, r);
+  case FLOW_STEP_RESERVE_PREFILL:
+    flow_reserve_prefill(state, r);
     break;
-  case ST_PREFILL:
-    flow_prefill(state, r);
+  case FLOW_STEP_PREFILL:
+    flow_start_prefill(state, r);
     break;
-  case ST_TRANSFER:
-    flow_transfer(state, r);
+  case FLOW_STEP_TRANSFER:
+    flow_start_transfer(state, r);
     break;
-  case ST_DECODE:
+  case FLOW_STEP_DECODE:
     r->resumed = 0;
-    flow_decode(state, r, MP_X_DECODE);
+    flow_start_decode(state, r, MP_X_DECODE);
     break;
-  case ST_PLAIN:
-    flow_plain(state, r);
+  case FLOW_STEP_PLAIN:
+    flow_start_plain(state, r);
     break;
-  case ST_WAIT:
+  case FLOW_STEP_RETRY_WAIT:
     g_assert_not_reached();
   }
 }
 
 /* A request whose caller gave no ID needs no claim. */
 void flow_begin(mp_State *state, Request *r) {
-  timer_arm(&state->timers, &r->limit, r->deadline, flow_late, r);
-  flow_enter(state, r, r->keyed ? ST_CLAIM : first_step(state, r));
+  timer_arm(&state->timers, &r->limit, r->deadline, flow_on_deadline, r);
+  flow_enter_step(state, r, r->keyed ? FLOW_STEP_CLAIM : first_step(state, r));
 }
 
 /* }================================================================== */
--- a/core/order.c
+++ b/core/order.c
@@ -68,7 +68,7 @@
 static int is_candidate(const mp_State *state) {
   return state->config != NULL && state->config->policy->role_orders &&
          !state->draining &&
-         member_among(state, CANDIDATE_KEY, CANDIDATES_MAX);
+         member_is_among_first(state, CANDIDATE_KEY, CANDIDATES_MAX);
 }
 
 static void format_lease_key(const mp_State *state, char out[96]) {
@@ -107,7 +107,7 @@
   char key[96];
   state->orders->is_store_call_open = 1;
   format_lease_key(state, key);
-  effect_store(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
+  effect_store_call(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
                on_lease_read, NULL);
 }
 
@@ -154,7 +154,7 @@
   mp_addr_text(state->self, who);
   state->orders->is_store_call_open = 1;
   state->orders->write_sent = state->now;
-  effect_store(state, MP_ST_PUT, key, state->orders->version, who, strlen(who),
+  effect_store_call(state, MP_ST_PUT, key, state->orders->version, who, strlen(who),
                MP_STORE_TIMEOUT, on_lease_written, NULL);
 }
 
@@ -191,8 +191,8 @@
   guint i;
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
-    if (e->dchash != state->dchash || e->role != role ||
-        !fleet_open(state, e) || strcmp(e->service, service) != 0)
+    if (e->dc_hash != state->dc_hash || e->role != role ||
+        !fleet_is_open(state, e) || strcmp(e->service, service) != 0)
       continue;
     p.engines++;
     p.pressure += engine_load(e);
@@ -263,7 +263,7 @@
                     "\"to\":%d,\"outcome\":\"%s\"}",
                     who, at, (int)orders->old_role, (int)orders->wanted_role,
                     outcome);
-  effect_store(state, MP_ST_PUT, key, 0, text, (size_t)length,
+  effect_store_call(state, MP_ST_PUT, key, 0, text, (size_t)length,
                MP_STORE_TIMEOUT, on_audit_written, NULL);
 }
 
@@ -291,7 +291,7 @@
 */
 static void on_order_timeout(mp_State *state, void *ud) {
   (void)ud;
-  effect_xabort(state, state->orders->xcall);
+  effect_endpoint_abort(state, state->orders->xcall);
   finish_order(state, 0);
 }
 
@@ -312,10 +312,10 @@
       (uint32_t)(MIN(MP_ORDER_MAX, orders->valid_until - state->now) / MP_MS);
   orders->target = e->addr;
   orders->old_role = e->role;
-  orders->xcall = effect_xcall(state, &x, on_order_event, NULL);
+  orders->xcall = effect_endpoint_call(state, &x, on_order_event, NULL);
   timer_arm(&state->timers, &orders->timeout, state->now + MP_ORDER_MAX,
             on_order_timeout, NULL);
-  mpcount(state, ORDERS);
+  state_count(state, ORDERS);
   effect_log(state, MP_LOG_ORDER_SENT,
              " endpoint=%s role=%d fence=%" G_GUINT64_FORMAT, e->name,
              (int)role, (guint64)orders->version);
--- a/core/quota.c
+++ b/core/quota.c
@@ -58,7 +58,7 @@
   unsigned i;
   for (i = 0; state->config != NULL && i < state->config->accounts_count;
        i++) {
-    if (state_hash(state->config->accounts[i].name) == hash)
+    if (state_name_hash(state->config->accounts[i].name) == hash)
       return &state->config->accounts[i];
   }
   return NULL;
@@ -74,14 +74,14 @@
   uint32_t dc = 0;
   unsigned i;
   for (i = 0; i < state->config->data_centres_count; i++) {
-    uint32_t d = state_hash(state->config->data_centres[i].name);
-    uint64_t w = member_weight(d, hash);
+    uint32_t d = state_name_hash(state->config->data_centres[i].name);
+    uint64_t w = member_hash_weight(d, hash);
     if (dc == 0 || w > best_weight) {
       dc = d;
       best_weight = w;
     }
   }
-  return member_reach(state, dc) ? member_home(state, dc, hash) : 0;
+  return member_is_dc_reachable(state, dc) ? member_home(state, dc, hash) : 0;
 }
 
 static void refill_bucket(const mp_State *state, Bucket *b,
@@ -97,22 +97,22 @@
   r.u.quota = m->u.quota;
   if (a == NULL || home_of(state, m->u.quota.account) != state->self) {
     r.u.quota.verdict = MP_WRONG_HOME;
-    effect_answer(state, from, m, &r);
+    effect_rpc_reply(state, from, m, &r);
     return;
   }
-  b = state_get(state->quotas->buckets, m->u.quota.account);
+  b = state_table_get(state->quotas->buckets, m->u.quota.account);
   if (b == NULL) {
     b = g_new0(Bucket, 1);
     b->level = a->requests_per_s; /* a new home starts without the burst */
     b->at = state->now;
-    state_set(state->quotas->buckets, m->u.quota.account, b);
+    state_table_set(state->quotas->buckets, m->u.quota.account, b);
   }
   refill_bucket(state, b, a);
   r.u.quota.given = (uint32_t)MIN((double)m->u.quota.want, b->level);
   b->level -= r.u.quota.given;
   r.u.quota.for_ms = MP_SLICE_TIME / MP_MS;
   r.u.quota.verdict = r.u.quota.given > 0 ? MP_GRANTED : MP_DENIED;
-  effect_answer(state, from, m, &r);
+  effect_rpc_reply(state, from, m, &r);
 }
 
 /* }================================================================== */
@@ -134,14 +134,14 @@
 ** one is added when there is none.
 */
 static Slice *get_slice(mp_State *state, const mp_Account *a) {
-  uint32_t h = state_hash(a->name);
-  Slice *s = state_get(state->quotas->slices, h);
+  uint32_t h = state_name_hash(a->name);
+  Slice *s = state_table_get(state->quotas->slices, h);
   if (s == NULL) {
     s = g_new0(Slice, 1);
     s->state = state;
     s->account = h;
     s->waiters = g_array_new(FALSE, FALSE, sizeof(Waiter));
-    state_set(state->quotas->slices, h, s);
+    state_table_set(state->quotas->slices, h, s);
   }
   s->limits.requests_per_s = a->requests_per_s;
   s->limits.burst = a->burst;
@@ -173,7 +173,7 @@
   const mp_Quota *q = m != NULL ? &m->u.quota : NULL;
   s->rpc = 0;
   if (q == NULL)
-    member_silent(state, from);
+    member_mark_unresponsive(state, from);
   if (q == NULL || q->verdict == MP_WRONG_HOME) {
     /*
     ** Without its home an account gets an even share of its limit: the rate
@@ -209,7 +209,7 @@
   m.kind = MP_MSG_QUOTA;
   m.u.quota.account = s->account;
   m.u.quota.want = (uint32_t)MAX(want, s->waiters->len + SLICE_REQUESTS_MIN);
-  s->rpc = effect_rpc(state, home, &m, 3 * MP_RPC_WAIT, on_slice_answer, s);
+  s->rpc = effect_rpc_call(state, home, &m, 3 * MP_RPC_WAIT, on_slice_answer, s);
 }
 
 /* Counts a request in 'recent_per_s', which sizes the next slice. */
@@ -258,8 +258,8 @@
 
 void quota_init(mp_State *state) {
   state->quotas = g_new0(Quotas, 1);
-  state->quotas->slices = state_table(free_slice);
-  state->quotas->buckets = state_table(g_free);
+  state->quotas->slices = state_table_new(free_slice);
+  state->quotas->buckets = state_table_new(g_free);
 }
 
 void quota_free(mp_State *state) {
--- a/core/retry.c
+++ b/core/retry.c
@@ -13,26 +13,26 @@
 
 /* Adds MP_RETRY_FLOOR retries for each second since the last time. */
 static void add_floor(mp_State *state) {
-  double seconds = (double)(state->now - state->retryat) / MP_SEC;
-  state->retryat = state->now;
-  state->retrybudget =
-      MIN(BUDGET_MAX, state->retrybudget + seconds * MP_RETRY_FLOOR);
+  double seconds = (double)(state->now - state->retry_budget_updated_at) / MP_SEC;
+  state->retry_budget_updated_at = state->now;
+  state->retry_tokens =
+      MIN(BUDGET_MAX, state->retry_tokens + seconds * MP_RETRY_FLOOR);
 }
 
 void retry_budget_deposit(mp_State *state) {
   add_floor(state);
-  state->retrybudget =
-      MIN(BUDGET_MAX, state->retrybudget + MP_RETRY_SHARE / 100.0);
+  state->retry_tokens =
+      MIN(BUDGET_MAX, state->retry_tokens + MP_RETRY_SHARE / 100.0);
 }
 
 int retry_budget_try_withdraw(mp_State *state) {
   add_floor(state);
-  if (state->retrybudget < 1) {
-    mpcount(state, RETRIES_DENIED);
+  if (state->retry_tokens < 1) {
+    state_count(state, RETRIES_DENIED);
     return 0;
   }
-  state->retrybudget -= 1;
-  mpcount(state, RETRIES);
+  state->retry_tokens -= 1;
+  state_count(state, RETRIES);
   return 1;
 }
 
--- a/core/route.c
+++ b/core/route.c
@@ -90,10 +90,10 @@
 
 int choice_is_allowed(const mp_State *state, const Request *r,
                       const Endpoint *e) {
-  const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
+  const mp_Rule *rule = place_find_rule(state->config, r->class_name, r->account);
   if (strcmp(e->service, r->service) != 0)
     return 0;
-  if (!place_runs(state->config, rule, e->dc))
+  if (!place_may_run(state->config, rule, e->dc))
     return 0;
   return pool_has_model(state, r, e->role);
 }
@@ -106,12 +106,12 @@
   const mp_Config *c = state->config;
   Scope s;
   unsigned i;
-  s.rule = place_rule(c, r->class_name, r->account);
+  s.rule = place_find_rule(c, r->class_name, r->account);
   s.n = 0;
   for (i = 0; i < c->data_centres_count; i++) {
     const char *dc = c->data_centres[i].name;
-    uint32_t h = state_hash(dc);
-    if (!place_runs(c, s.rule, dc) || !member_reach(state, h))
+    uint32_t h = state_name_hash(dc);
+    if (!place_may_run(c, s.rule, dc) || !member_is_dc_reachable(state, h))
       continue;
     s.name[s.n] = dc;
     s.dc[s.n++] = h;
@@ -130,7 +130,7 @@
 
 static int is_avoided(const Request *r, const Endpoint *e) {
   unsigned i;
-  for (i = 0; i < r->navoid; i++) {
+  for (i = 0; i < r->avoid_count; i++) {
     if (r->avoid[i] == e->addr)
       return 1;
   }
@@ -140,8 +140,8 @@
 /* Returns whether 'e' can take the request's work of this role now. */
 static int is_candidate(const mp_State *state, const Request *r,
                         const Scope *s, const Endpoint *e, mp_Role role) {
-  return e->role == role && is_in_scope(s, e->dchash) &&
-         fleet_open(state, e) && !is_avoided(r, e) &&
+  return e->role == role && is_in_scope(s, e->dc_hash) &&
+         fleet_is_open(state, e) && !is_avoided(r, e) &&
          strcmp(e->service, r->service) == 0;
 }
 
@@ -180,7 +180,7 @@
   for (i = 0; i < unnarrowed.n; i++) {
     for (k = 0; k < partners->len; k++) {
       const Endpoint *o = partners->pdata[k];
-      if (place_moves(state->config, s->rule,
+      if (place_may_move_kv(state->config, s->rule,
                       is_receiver ? o->dc : unnarrowed.name[i],
                       is_receiver ? unnarrowed.name[i] : o->dc))
         break;
@@ -201,7 +201,7 @@
                          int is_receiver) {
   unsigned i = 0;
   while (i < s->n) {
-    if (place_moves(state->config, s->rule, is_receiver ? dc : s->name[i],
+    if (place_may_move_kv(state->config, s->rule, is_receiver ? dc : s->name[i],
                     is_receiver ? s->name[i] : dc)) {
       i++;
       continue;
@@ -246,7 +246,7 @@
 
 /* 'pledged' counts the tokens sent there since the load was last reported. */
 uint32_t choice_prefill_ms(const Endpoint *e, uint32_t tokens) {
-  uint64_t sum = (uint64_t)tokens + e->pledged;
+  uint64_t sum = (uint64_t)tokens + e->reserved_since_load;
   return e->wait + (uint32_t)(sum * 1000 / prefill_rate(e));
 }
 
@@ -256,12 +256,12 @@
 ** milliseconds, for plain services the number of this instance's calls there.
 */
 static double load_score(const mp_State *state, const Endpoint *e) {
-  double adjustment = e->dchash != state->dchash ? REMOTE_PENALTY : 0;
+  double adjustment = e->dc_hash != state->dc_hash ? REMOTE_PENALTY : 0;
   switch (e->role) {
   case MP_ROLE_DECODE:
-    if (state_get(state->kept, e->addr) != NULL)
+    if (state_table_get(state->kept, e->addr) != NULL)
       adjustment -= KEPT_BONUS;
-    return ((double)e->used + e->pledged) / MAX(e->slots, 1) + adjustment;
+    return ((double)e->used + e->reserved_since_load) / MAX(e->slots, 1) + adjustment;
   case MP_ROLE_PREFILL:
     return choice_prefill_ms(e, 0);
   default:
@@ -312,7 +312,7 @@
   guint i;
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
-    if (state_get(state->kept, e->addr) != NULL &&
+    if (state_table_get(state->kept, e->addr) != NULL &&
         load_score(state, e) < load_score(state, best))
       best = e;
   }
@@ -327,7 +327,7 @@
   case MP_PICK_RANDOM:
     return pick_random(state, a);
   case MP_PICK_ROUND_ROBIN:
-    return a->pdata[state->robin++ % a->len];
+    return a->pdata[state->round_robin_next++ % a->len];
   case MP_PICK_LEAST_LOADED:
     return least_loaded(state, a);
   case MP_PICK_TWO_CHOICES:
@@ -391,7 +391,7 @@
   bound = MAX(bound + BOUND_SLACK_MIN_MS, bound * BOUND_PERCENT / 100);
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
-    uint64_t w = member_weight(e->addr, r->prefix);
+    uint64_t w = member_hash_weight(e->addr, r->prefix);
     if (prefill_cost_ms(state, r, e, dc) <= bound &&
         (best == NULL || w > best_weight)) {
       best = e;
@@ -404,7 +404,7 @@
 /* }================================================================== */
 
 Endpoint *choice_decode_endpoint(mp_State *state, const Request *r) {
-  const Endpoint *source = r->kv != NULL ? fleet_get(state, r->kv_at) : NULL;
+  const Endpoint *source = r->kv != NULL ? fleet_get(state, r->kv_source) : NULL;
   Scope s = find_scope(state, r);
   GPtrArray *a;
   Endpoint *e;
--- a/core/work.c
+++ b/core/work.c
@@ -24,7 +24,7 @@
 */
 
 /* Records that work is about to be sent: from here on it may have run. */
-void flow_dispatched(Request *r, Attempt *a) {
+void flow_mark_dispatched(Request *r, Attempt *a) {
   r->before = r->ran;
   if (r->ran == MP_RAN_NO)
     r->ran = MP_RAN_UNKNOWN;
@@ -36,7 +36,7 @@
 ** smaller 'priority' goes first at the engine: the class's time to the first
 ** token in milliseconds over its weight.
 */
-mp_Xcall flow_call(const Request *r, const Attempt *a, mp_XcallOp op) {
+mp_Xcall flow_make_endpoint_call(const Request *r, const Attempt *a, mp_XcallOp op) {
   mp_Xcall x = {0};
   x.op = op;
   x.endpoint = a->endpoint;
@@ -50,23 +50,23 @@
   return x;
 }
 
-/* Takes flow_dispatched back: the endpoint certainly did not run the work. */
-void flow_notrun(Request *r) {
+/* Takes flow_mark_dispatched back: the endpoint certainly did not run the work. */
+void flow_mark_not_run(Request *r) {
   r->ran = r->before;
 }
 
 /*
-** Returns the reason for a failed call. MP_EPF_REJECTED counts as WHY_BROKEN
+** Returns the reason for a failed call. MP_EPF_REJECTED counts as CALL_FAILURE_BROKEN
 ** here.
 */
-Why flow_whyof(const mp_EndpointEvent *e) {
+CallFailure flow_call_failure(const mp_EndpointEvent *e) {
   switch (e->fail) {
   case MP_EPF_CONNECT:
-    return WHY_CONNECT;
+    return CALL_FAILURE_CONNECT;
   case MP_EPF_REFUSED:
-    return WHY_REFUSED;
+    return CALL_FAILURE_REFUSED;
   default:
-    return WHY_BROKEN;
+    return CALL_FAILURE_BROKEN;
   }
 }
 
@@ -74,40 +74,40 @@
 ** Returns whether a call that failed for this reason certainly did not run the
 ** work.
 */
-int flow_clean(Why w) {
-  return w == WHY_REFUSED || w == WHY_CONNECT;
+int flow_is_not_run(CallFailure w) {
+  return w == CALL_FAILURE_REFUSED || w == CALL_FAILURE_CONNECT;
 }
 
 /*
 ** Ends an attempt that failed without an answer, and tries again at another
 ** endpoint where that is allowed. Work that was not run is not cancelled at
-** the endpoint, except in ST_DECODE: there the endpoint holds the imported KV,
+** the endpoint, except in FLOW_STEP_DECODE: there the endpoint holds the imported KV,
 ** which the cancel frees.
 */
-void flow_failed(mp_State *state, Request *r, Attempt *a, Why why) {
+void flow_attempt_failed(mp_State *state, Request *r, Attempt *a, CallFailure why) {
   static const char *const why_names[] = {"refused", "connect", "broken",
                                           "silent"};
   mp_Addr endpoint = a->endpoint;
-  int was_not_run = flow_clean(why);
+  int was_not_run = flow_is_not_run(why);
   char address[24];
   mp_addr_text(endpoint, address);
   effect_log(state, MP_LOG_FAILED, " seq=%08x endpoint=%s step=%d why=%s",
              r->token.seq, address, (int)r->step, why_names[why]);
   if (was_not_run) {
-    flow_notrun(r);
-    a->sent = a->role == MP_ROLE_DECODE && r->step == ST_DECODE;
+    flow_mark_not_run(r);
+    a->sent = a->role == MP_ROLE_DECODE && r->step == FLOW_STEP_DECODE;
   }
   /* An endpoint that refuses is healthy, but busy. */
-  if (why != WHY_REFUSED)
-    fleet_bad(state, endpoint);
-  flow_avoid(r, endpoint);
-  flow_endattempt(state, r, a);
-  flow_again(state, r, flow_restart(state, r), was_not_run);
+  if (why != CALL_FAILURE_REFUSED)
+    fleet_call_failed(state, endpoint);
+  flow_avoid_endpoint(r, endpoint);
+  flow_end_attempt(state, r, a);
+  flow_retry_step(state, r, flow_restart_step(state, r), was_not_run);
 }
 
 /* The endpoint found the request itself at fault; it was not run. */
-void flow_rejected(mp_State *state, Request *r) {
-  flow_notrun(r);
+void flow_request_rejected(mp_State *state, Request *r) {
+  flow_mark_not_run(r);
   flow_refuse(state, r, MP_ERR_REJECTED, 0);
 }
 
@@ -116,7 +116,7 @@
 ** attempt's endpoint, or NULL when it left the table or the request may not
 ** run there any more.
 */
-Endpoint *flow_gate(mp_State *state, const Request *r, const Attempt *a) {
+Endpoint *flow_check_place(mp_State *state, const Request *r, const Attempt *a) {
   Endpoint *e = fleet_get(state, a->endpoint);
   if (e == NULL || !choice_is_allowed(state, r, e))
     return NULL;
@@ -124,12 +124,12 @@
 }
 
 /*
-** Like flow_gate, for work that the endpoint has no part of yet: such work
+** Like flow_check_place, for work that the endpoint has no part of yet: such work
 ** does not go to an endpoint that is leaving or drained.
 */
 static Endpoint *gate_new_work(mp_State *state, const Request *r,
                                const Attempt *a) {
-  Endpoint *e = flow_gate(state, r, a);
+  Endpoint *e = flow_check_place(state, r, a);
   return e != NULL && !e->leaving && !e->drained ? e : NULL;
 }
 
@@ -139,16 +139,16 @@
 ** sent, so the retry counts as one of work that was not run. This holds for a
 ** stopped resume too, although an earlier call of the attempt may have run.
 */
-void flow_gated(mp_State *state, Request *r, Attempt *a) {
-  flow_avoid(r, a->endpoint);
-  flow_endattempt(state, r, a);
-  flow_again(state, r, flow_restart(state, r), 1);
+void flow_place_denied(mp_State *state, Request *r, Attempt *a) {
+  flow_avoid_endpoint(r, a->endpoint);
+  flow_end_attempt(state, r, a);
+  flow_retry_step(state, r, flow_restart_step(state, r), 1);
 }
 
 /* Timer: the prefill's endpoint has not answered in time. */
 static void on_prefill_timeout(mp_State *state, void *ud) {
   Request *r = ud;
-  flow_failed(state, r, &r->prefill, WHY_SILENT);
+  flow_attempt_failed(state, r, &r->prefill, CALL_FAILURE_TIMEOUT);
 }
 
 /*
@@ -161,18 +161,18 @@
   Attempt *a = &r->prefill;
   a->xcall = 0;
   timer_stop(&state->timers, &r->timer);
-  fleet_good(state, a->endpoint);
+  fleet_call_succeeded(state, a->endpoint);
   r->ran = MP_RAN_YES;
   r->kv = g_strndup(e->text, e->len);
-  r->kv_at = a->endpoint;
-  r->kv_until = state->now + (mp_Time)e->life_ms * MP_MS;
-  r->kv_used = 0;
+  r->kv_source = a->endpoint;
+  r->kv_expires_at = state->now + (mp_Time)e->life_ms * MP_MS;
+  r->is_kv_used = 0;
   r->kv_tokens = a->tokens - MIN(e->cached, a->tokens);
   r->tries = 0;
-  r->navoid = 0;
+  r->avoid_count = 0;
   state->count[MP_C_PREFILL_TOKENS] += r->kv_tokens;
   holder_release(state, r, a, 1);
-  flow_enter(state, r, r->decode.granted ? ST_TRANSFER : ST_DECODE_SLOT);
+  flow_enter_step(state, r, r->decode.granted ? FLOW_STEP_TRANSFER : FLOW_STEP_RESERVE_DECODE);
 }
 
 /* Handles what comes back from the prefill call. */
@@ -188,28 +188,28 @@
   r->prefill.xcall = 0;
   timer_stop(&state->timers, &r->timer);
   if (e->fail == MP_EPF_REJECTED)
-    flow_rejected(state, r);
+    flow_request_rejected(state, r);
   else
-    flow_failed(state, r, &r->prefill, flow_whyof(e));
+    flow_attempt_failed(state, r, &r->prefill, flow_call_failure(e));
 }
 
 /*
 ** Sends the prefill to the reserved endpoint. Its timeout is 4 times the
 ** estimated time plus MP_STALL_TIME.
 */
-void flow_prefill(mp_State *state, Request *r) {
+void flow_start_prefill(mp_State *state, Request *r) {
   Attempt *a = &r->prefill;
   Endpoint *e = gate_new_work(state, r, a);
   mp_Xcall x;
   mp_Time expected;
   if (e == NULL) {
-    flow_gated(state, r, a);
+    flow_place_denied(state, r, a);
     return;
   }
-  x = flow_call(r, a, MP_X_PREFILL);
-  flow_dispatched(r, a);
-  mpcount(state, PREFILLS);
-  a->xcall = effect_xcall(state, &x, on_prefill_event, r);
+  x = flow_make_endpoint_call(r, a, MP_X_PREFILL);
+  flow_mark_dispatched(r, a);
+  state_count(state, PREFILLS);
+  a->xcall = effect_endpoint_call(state, &x, on_prefill_event, r);
   expected = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
   timer_arm(&state->timers, &r->timer,
             state->now + 4 * expected + MP_STALL_TIME, on_prefill_timeout, r);
@@ -228,8 +228,8 @@
 ** with a new prefill. The first one ran, so only a repeatable class may.
 */
 static void restart_without_kv(mp_State *state, Request *r) {
-  r->kv_until = 0;
-  flow_again(state, r, flow_restart(state, r), 0);
+  r->kv_expires_at = 0;
+  flow_retry_step(state, r, flow_restart_step(state, r), 0);
 }
 
 /*
@@ -237,30 +237,30 @@
 ** than the engine has. The KV result is there, so the request queues for a
 ** slot again, at another engine first, for as long as the result lives. With
 ** the policy 'keep_prefill' off, or when the result or the request would
-** expire during the wait, it tries again from the step that flow_restart
+** expire during the wait, it tries again from the step that flow_restart_step
 ** names.
 */
 static void requeue_for_decode_slot(mp_State *state, Request *r) {
   mp_Addr endpoint = r->decode.endpoint;
   mp_Time wait = retry_backoff(state, 1);
-  flow_notrun(r);
+  flow_mark_not_run(r);
   r->decode.sent = 0;
-  r->navoid = 0;
-  flow_avoid(r, endpoint);
-  flow_endattempt(state, r, &r->decode);
+  r->avoid_count = 0;
+  flow_avoid_endpoint(r, endpoint);
+  flow_end_attempt(state, r, &r->decode);
   if (!flow_policy(state)->keep_prefill ||
-      state->now + wait >= MIN(r->kv_until, r->deadline)) {
-    flow_again(state, r, flow_restart(state, r), 1);
+      state->now + wait >= MIN(r->kv_expires_at, r->deadline)) {
+    flow_retry_step(state, r, flow_restart_step(state, r), 1);
     return;
   }
-  flow_later(state, r, ST_DECODE_SLOT, wait);
+  flow_enter_step_after(state, r, FLOW_STEP_RESERVE_DECODE, wait);
 }
 
 /* Timer: the decode endpoint has not finished the import in time. */
 static void on_import_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   link_release(state, r);
-  flow_failed(state, r, &r->decode, WHY_SILENT);
+  flow_attempt_failed(state, r, &r->decode, CALL_FAILURE_TIMEOUT);
 }
 
 /* Handles what comes back from the import call. */
@@ -274,8 +274,8 @@
   timer_stop(&state->timers, &r->timer);
   link_release(state, r);
   if (e->what == MP_EP_DONE) {
-    mpcount(state, TRANSFERS);
-    flow_enter(state, r, ST_DECODE);
+    state_count(state, TRANSFERS);
+    flow_enter_step(state, r, FLOW_STEP_DECODE);
   } else if (e->fail == MP_EPF_REJECTED) {
     /*
     ** The source does not know this KV, so the target holds nothing that a
@@ -286,7 +286,7 @@
   } else if (e->fail == MP_EPF_REFUSED)
     requeue_for_decode_slot(state, r);
   else
-    flow_failed(state, r, a, flow_whyof(e));
+    flow_attempt_failed(state, r, a, flow_call_failure(e));
 }
 
 /*
@@ -299,26 +299,26 @@
   Request *r = ud;
   Attempt *a = &r->decode;
   const Endpoint *target = gate_new_work(state, r, a);
-  const Endpoint *source = fleet_get(state, r->kv_at);
-  const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
+  const Endpoint *source = fleet_get(state, r->kv_source);
+  const mp_Rule *rule = place_find_rule(state->config, r->class_name, r->account);
   mp_Xcall x;
   mp_Time expected;
   if (target == NULL || source == NULL ||
-      !place_moves(state->config, rule, source->dc, target->dc)) {
+      !place_may_move_kv(state->config, rule, source->dc, target->dc)) {
     link_release(state, r);
-    flow_gated(state, r, a);
+    flow_place_denied(state, r, a);
     return;
   }
-  x = flow_call(r, a, MP_X_IMPORT);
+  x = flow_make_endpoint_call(r, a, MP_X_IMPORT);
   x.kv = r->kv;
-  x.kv_from = r->kv_at;
-  flow_dispatched(r, a);
-  a->xcall = effect_xcall(state, &x, on_import_event, r);
+  x.kv_from = r->kv_source;
+  flow_mark_dispatched(r, a);
+  a->xcall = effect_endpoint_call(state, &x, on_import_event, r);
   expected = link_transfer_time(state, source->dc, target->dc,
                                 choice_kv_bytes(state, r));
   timer_arm(&state->timers, &r->timer,
             MIN(state->now + 4 * expected + MP_STALL_TIME / 2,
-                MAX(r->kv_until, state->now) + MP_SEC / 2),
+                MAX(r->kv_expires_at, state->now) + MP_SEC / 2),
             on_import_timeout, r);
 }
 
@@ -326,21 +326,21 @@
 ** Asks for the link to the decode endpoint, unless the KV result would expire
 ** before its transfer ended.
 */
-void flow_transfer(mp_State *state, Request *r) {
+void flow_start_transfer(mp_State *state, Request *r) {
   const Endpoint *target = fleet_get(state, r->decode.endpoint);
-  const Endpoint *source = fleet_get(state, r->kv_at);
+  const Endpoint *source = fleet_get(state, r->kv_source);
   uint64_t bytes = choice_kv_bytes(state, r);
   if (target == NULL) {
-    flow_gated(state, r, &r->decode);
+    flow_place_denied(state, r, &r->decode);
     return;
   }
   if (source == NULL ||
       state->now + link_transfer_time(state, source->dc, target->dc, bytes) >
-          r->kv_until) {
+          r->kv_expires_at) {
     restart_without_kv(state, r);
     return;
   }
-  link_request(state, source->dc, target->dc, bytes, r->kv_until, start_import,
+  link_request(state, source->dc, target->dc, bytes, r->kv_expires_at, start_import,
                r);
 }
 
