--- a/core/slots.c
+++ b/core/slots.c
@@ -128,7 +128,7 @@
 }
 
 void flow_on_reservation(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
-                   uint32_t wait_ms) {
+                         uint32_t wait_ms) {
   Step s =
       a == &r->prefill ? FLOW_STEP_RESERVE_PREFILL : FLOW_STEP_RESERVE_DECODE;
   g_assert(a->no != 0);
