--- a/router/retry_exchange.c
+++ b/router/retry_exchange.c
@@ -134,12 +134,12 @@
 
 gboolean retry_exchange_left(Router *router, const char *service, gint64 now) {
   RetrySharers sharers = sharers_of(router, now);
-  return retry_budget_left(router_budget(router, service), &router->retry,
-                           &sharers, now);
+  return retry_budget_left(router_retry_budget(router, service),
+                           &router->retry, &sharers, now);
 }
 
 gboolean retry_exchange_take(Router *router, const char *service, gint64 now) {
   RetrySharers sharers = sharers_of(router, now);
-  return retry_budget_take(router_budget(router, service), &router->retry,
-                           &sharers, now);
+  return retry_budget_take(router_retry_budget(router, service),
+                           &router->retry, &sharers, now);
 }
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -149,7 +149,7 @@
 m r-fence "ONE: a newer fence stops all orders" router/stages.c \
   'outcome->status == 412)' 'outcome->status == 1412)'
 m r-named "a changing engine gets no work" router/endpoint_table.c \
-  '!endpoint_changing(table, endpoint, now);' '1;'
+  '!endpoint_is_changing_stage(table, endpoint, now);' '1;'
 m r-settle "nothing is ordered before the use has settled" router/stages.c \
   'now - average->used_from < SETTLE' '0'
 m r-capped "no more change than a digest names" router/stages.c \
@@ -202,7 +202,7 @@
   'if (waits_with_handle(router, request, now) ||' \
   'if ((0 && waits_with_handle(router, request, now)) ||'
 m r-reader "a prompt is read again by its reader" router/path.c \
-  'prefill_again(router, request, now))
+  'prefill_repeat(router, request, now))
     return;' '0)
     return;'
 m r-again "BUDGET: a second reading is charged" router/path.c \
@@ -210,7 +210,7 @@
 m r-failed "a reader that failed is not asked again" router/prefill.c \
   ' || path_is_excluded(request, request->read_by))' ')'
 m r-home "a resumed caller's prompt is read at home" router/prefill.c \
-  'wish.at_home = request->resumes;' 'wish.at_home = FALSE;'
+  'wish.affinity_overrides_load = request->resumes;' 'wish.affinity_overrides_load = FALSE;'
 m n-fresh "relays: one that the store does not answer does not count" \
   router/relay_group.c 'before.fresh += is_fresh(group, relay, now);' \
   'before.fresh += is_heard(relay, now);'
@@ -230,7 +230,8 @@
   'is_same;'
 m n-noroute "router: old news say nothing of a route they lack" \
   router/router.c \
-  'return router->news_bound > 0 && news_age(router, now) > router->news_bound;' \
+  'return router->news_age_max > 0 &&
+         news_age(router, now) > router->news_age_max;' \
   'return FALSE;'
 m n-lacks "router: one that lacks a change says nothing of a route" \
   router/router.c 'router->news->lags_since != 0)' \
@@ -325,7 +326,7 @@
 m a-again "accounts: age and key are asked before each run" router/path.c \
   'return accounts_may_dispatch(router, request, why, now) &&' 'return'
 m a-read "accounts, holds: and before each reading" router/prefill.c \
-  'if (!path_may_send(router, request, &why, now))' 'if (FALSE)'
+  'if (!path_may_dispatch(router, request, &why, now))' 'if (FALSE)'
 m a-key "accounts: a key is not passed on" platform/endpoints.c \
   '"Api-Key",' ''
 m a-back "accounts: what did not run is given back" router/finish.c \
@@ -360,7 +361,7 @@
 m q-silent "crash: silence proves no end" router/crash_watch.c \
   'now - watched->checked_at < REFUSED_WITHIN' 'TRUE'
 m q-leaving "crash: one that was leaving ends by plan" router/crash_watch.c \
-  'if (endpoint_leaves(endpoint))' 'if (FALSE)'
+  'if (endpoint_is_leaving(endpoint))' 'if (FALSE)'
 m q-life "crash: of this life" router/crash_watch.c \
   'watched->life == life &&' ''
 m q-once "hold: an end counts once" router/quarantine.c \
@@ -393,8 +394,8 @@
 m v-hash "lives: told apart in digests" router/endpoint_table.c \
   'seed = (guint64)record->born_unix_ms;' 'seed = 0;'
 m v-loads "lives: loads of an earlier one are not the later's" router/path.c \
-  'return endpoint_table_get_life(router->endpoints, open->endpoint,
-                                 open->life);' \
+  'return endpoint_table_get_incarnation(router->endpoints, open->endpoint,
+                                        open->life);' \
   'return endpoint_table_get(router->endpoints, open->endpoint);'
 m i-item "store: an object that can't be read is known by its name" \
   platform/store.c 'is_whole ? read_content(span) : g_strdup("");' \
@@ -416,7 +417,7 @@
 m c-boot "clock: suspended time counts" io/clock.c 'CLOCK_BOOTTIME' \
   'CLOCK_MONOTONIC'
 m o-first "admission: time counts from the first try" router/admission.c \
-  'request->first_try -= usual - patience;' '{}'
+  'request->first_attempt_at -= usual - patience;' '{}'
 m o-late "admission: late ones take what is left over" router/admission.c \
   'run_some(router, TRUE, now) == 0)' \
   'run_some(router, TRUE, now) != G_MAXUINT)'
@@ -424,7 +425,7 @@
   router/admission.c 'place + peer_loads_in_time(router->endpoints->peers)' \
   'place'
 m o-ends "admission: ends at all instances make room" router/admission.c \
-  'router->end_interval / router->near' 'router->end_interval'
+  'router->mean_end_interval / router->near' 'router->mean_end_interval'
 m o-usual "admission: what others have tells who came back" \
   router/admission.c 'usual = MIN(usual, route->timeout);' \
   'usual = route->timeout;'
@@ -471,15 +472,15 @@
   '        !takes_more(table, wish, endpoint, now))' \
   '        FALSE)'
 m r-counted "rates: a run is counted once" router/prefill.c \
-  '    if (request->decode_counted)
+  '    if (request->is_decode_counted)
       rate_limits_return(router->rates, endpoint->hash);' \
   ''
 m r-reserve "rates: a place is counted when it is reserved" router/prefill.c \
-  'request->decode_counted = rate_limits_sent(router->rates, decode->hash);' \
-  'request->decode_counted = FALSE;'
+  'request->is_decode_counted = rate_limits_sent(router->rates, decode->hash);' \
+  'request->is_decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
-  'router->shortage_look_at = now + LOOK_AGAIN;' \
-  'router->shortage_look_at = 0;'
+  'router->shortage_recheck_at = now + LOOK_AGAIN;' \
+  'router->shortage_recheck_at = 0;'
 m r-life "rates: a later life has none" router/lives.c \
   '  if (news == ENDPOINT_RESTARTED)
     rates_endpoints_changed(router);' \
@@ -489,7 +490,7 @@
   rates_endpoints_changed(router);' \
   '  endpoint_table_remove(router->endpoints, id, now);'
 m r-refuse "rates: a shortage is told as one" router/path.c \
-  'shortage_note(router, request, now);' \
+  'shortage_record(router, request, now);' \
   ''
 m r-silent "rates: a failure without one ends none" io/endpoint_call.c \
   'return status >= 200 && status < 300 && !call->facts.not_run &&' \
@@ -540,7 +541,7 @@
   's[strspn(s, "0123456789.:")] != '"'"'\0'"'"' ||' \
   ''
 m g-round "gate: a caller goes round it" router/path.c \
-  'gate_ask(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
+  'gate_check(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
     return NULL;' \
   'FALSE)
     return NULL;'
@@ -560,8 +561,8 @@
   '  endpoint->misses = 0;
   endpoint->availability.rest_until = 0;'
 m g-doubtful "gate: choice, and the fallback to a doubtful one, ask it" router/endpoint_table.c \
-  'gate_ask(endpoint, DISPATCH_RUN,' \
-  'gate_ask(endpoint, DISPATCH_CHECK,'
+  'gate_check(endpoint, DISPATCH_RUN,' \
+  'gate_check(endpoint, DISPATCH_CHECK,'
 m g-inherit "words: a later life has none" router/endpoint_table.c \
   '  if (news == ENDPOINT_RESTARTED)
     drop(table, endpoint);
@@ -576,19 +577,19 @@
   '  known->rest_until = MAX(known->rest_until, until);' \
   '  known->rest_until = until;'
 m g-margin "rest: the margin of its own clock" router/availability.c \
-  '+ REST_MARGIN' \
+  '+ REST_CLOCK_MARGIN' \
   ''
 m g-most "rest: a very long one is believed for a time" router/availability.c \
-  'MIN(time, REST_MOST)' \
+  'MIN(time, REST_DURATION_MAX)' \
   'time'
 m g-release "rest: one release in it" router/dispatcher.c \
-  '    endpoint->availability.is_disturbed = TRUE;' \
+  '    endpoint->availability.has_dispatch_in_rest = TRUE;' \
   ''
 m g-spread "rest: callers come back spread" router/shortage.c \
   '(gint64)(spread * (double)MAX(wait, SPREAD_LEAST))' \
   '0'
 m g-atonce "rest: callers of engines hear at once" router/admission.c \
-  'if (shortage_lasts(router, request, most_patience(request, now), now)) {' \
+  'if (shortage_outlasts(router, request, most_patience(request, now), now)) {' \
   'if (FALSE) {'
 m g-look "rest: who waits looks again" router/shortage.c \
   'router_resting_endpoints(router, now) > 0' \
@@ -600,18 +601,18 @@
   return;
   if (count'
 m g-crash "leaving: its end is no crash" router/crash_watch.c \
-  'if (endpoint_leaves(endpoint))' \
+  'if (endpoint_is_leaving(endpoint))' \
   'if (!endpoint->record.ready)'
 m g-502 "answers: no time to come back after an unknown outcome" router/finish.c \
   '&& promises_not_run(kind)' \
   ''
 m g-avoid "rest: it is no endpoint out of reach" router/signals.c \
-  '  if (!availability_rest(known, time, now))
+  '  if (!availability_extend_rest(known, time, now))
     return;' \
   '  endpoint->avoid_until = now + time;
   return;'
 m g-setready "leaving: it is no older entry of the list" router/signals.c \
-  '  if (!availability_leave(&endpoint->availability, now))
+  '  if (!availability_set_leaving(&endpoint->availability, now))
     return FALSE;' \
   '  endpoint->record.ready = FALSE;
   return TRUE;'
