--- a/router/admission.c
+++ b/router/admission.c
@@ -102,9 +102,9 @@
 
 static Endpoint *engine_with_room(Router *router, const Request *request,
                                   gint64 now) {
-  EndpointQuery wish = path_query(router, request, STAGE_DECODE, now);
-  wish.must_fit = TRUE;
-  return endpoint_table_choose(router->endpoints, &wish, now);
+  EndpointQuery query = path_query(router, request, STAGE_DECODE, now);
+  query.must_fit = TRUE;
+  return endpoint_table_choose(router->endpoints, &query, now);
 }
 
 static gint64 come_back(Router *router, const Request *request) {
@@ -218,8 +218,8 @@
 
 /* how long a request waits for its turn, now that there is some room */
 static gint64 turn_wait(Router *router, const Request *request, gint64 now) {
-  EndpointQuery wish = path_query(router, request, STAGE_DECODE, now);
-  guint rooms = endpoint_table_count_fitting(router->endpoints, &wish, now);
+  EndpointQuery query = path_query(router, request, STAGE_DECODE, now);
+  guint rooms = endpoint_table_count_fitting(router->endpoints, &query, now);
   gint64 turn = TURN_LEAST + TURN_PER_INSTANCE * router->near;
   return ahead_of(router, request, now) / MAX(rooms, 1) * turn;
 }
--- a/router/availability.c
+++ b/router/availability.c
@@ -1,6 +1,6 @@
 /*
 ** availability.c
-** What one life of an endpoint has said about taking requests
+** What one incarnation of an endpoint has announced about accepting requests
 */
 
 #include "router/availability.h"
@@ -14,13 +14,13 @@
 
 gboolean availability_extend_rest(Availability *known, gint64 time,
                                   gint64 now) {
-  gboolean rested = known->rest_until > now;
+  gboolean was_resting = known->rest_until > now;
   gint64 until =
       time > 0 ? now + MIN(time, REST_DURATION_MAX) + REST_CLOCK_MARGIN : now;
   known->rest_until = MAX(known->rest_until, until);
-  if (!rested)
+  if (!was_resting)
     known->has_dispatch_in_rest = FALSE;
-  return !rested && known->rest_until > now;
+  return !was_resting && known->rest_until > now;
 }
 
 gint64 availability_rest_remaining(const Availability *known, gint64 now) {
--- a/router/connections.c
+++ b/router/connections.c
@@ -1,26 +1,32 @@
 /*
 ** connections.c
-** Connections at plain endpoints: whose resting ones the others have to know
+** Decides which idle connections to plain endpoints are reported
 */
 
 #include <string.h>
 
 #include "router/connections.h"
 
-/* shares of what an endpoint takes, from which on resting ones are told: of
-** what it has if all instances have as many as this one, and of what is known
-** to be there */
-#define USUAL_SHARE 0.4
-#define KNOWN_SHARE 0.3
+/* Idle connections are reported once an endpoint has this share of its limit
+** or more. The first share applies to the estimate, which assumes that every
+** instance has as many connections as this one; the second applies to the
+** connections that are known from this instance and from the digests. */
+#define ESTIMATE_REPORT_SHARE 0.4
+#define KNOWN_REPORT_SHARE 0.3
 
-static guint most_of(const Router *router, const char *name) {
+/* Returns how many connections each endpoint of the service accepts from all
+** instances together; 0 when that is unlimited or the service is unknown or
+** has engines. */
+static guint endpoint_limit_of(const Router *router, const char *name) {
   const Service *service = router->routes != NULL
                                ? route_table_service(router->routes, name)
                                : NULL;
   return service != NULL && !service->is_engine ? service->max_connections : 0;
 }
 
-static double usual(const Router *router, const char *service) {
+/* Returns the connections of all instances at one endpoint of the service,
+** taking the mean of this instance for every other one. */
+static double estimate_connections(const Router *router, const char *service) {
   const GPtrArray *all = router->endpoints->all;
   guint own = 0;
   guint count = 0;
@@ -36,13 +42,15 @@
   return (double)own * router->instances / MAX(count, 1);
 }
 
-static void look_at(const Router *router, const char *service,
-                    ConnectionsView *view) {
+/* Fills the view in for the service, unless it holds that service already. */
+static void view_service(const Router *router, const char *service,
+                         ConnectionsView *view) {
   if (view->service != NULL && strcmp(view->service, service) == 0)
     return;
   view->service = service;
-  view->most = most_of(router, service);
-  view->usual = view->most > 0 ? usual(router, service) : 0;
+  view->endpoint_limit = endpoint_limit_of(router, service);
+  view->estimate =
+      view->endpoint_limit > 0 ? estimate_connections(router, service) : 0;
 }
 
 gboolean connections_must_report(const Router *router,
@@ -51,10 +59,10 @@
   guint known;
   if (endpoint->connections == 0 || endpoint->record.stage != STAGE_NONE)
     return FALSE;
-  look_at(router, endpoint->record.service, view);
-  if (view->most == 0)
+  view_service(router, endpoint->record.service, view);
+  if (view->endpoint_limit == 0)
     return FALSE;
   known = endpoint_connections(router->endpoints, endpoint);
-  return view->usual >= USUAL_SHARE * view->most ||
-         known >= KNOWN_SHARE * view->most;
+  return view->estimate >= ESTIMATE_REPORT_SHARE * view->endpoint_limit ||
+         known >= KNOWN_REPORT_SHARE * view->endpoint_limit;
 }
--- a/router/dispatcher.c
+++ b/router/dispatcher.c
@@ -1,28 +1,31 @@
 /*
 ** dispatcher.c
-** The one place from which dispatches go out
+** Sends dispatches; no other file calls RouterHost.dispatch
 **
-** Invariant: nothing is sent to an endpoint that the gate (gate.h) forbids. An
-** endpoint is chosen by the same gate, so that a dispatch that is held back
-** here means that a choice went round it: E2016 shows which.
+** Invariant: a dispatch that the gate (gate.h) forbids is not sent. Endpoints
+** are chosen by the same gate, so a dispatch that is held back here shows that
+** a choice did not ask it; the event E2016 names the dispatch.
 */
 
 #include "router/gate.h"
 #include "router/state.h"
 
+/* Returns the name of a kind, as logs have it. */
 static const char *kind_name(DispatchKind kind) {
   static const char *const names[] = {"run",    "prefill", "release",
                                       "report", "check",   "order"};
   return names[kind];
 }
 
-/* memory that is not freed now lapses by itself */
+/* Returns TRUE if the dispatch may be left out silently: an engine frees the
+** memory by itself when the handle expires. */
 static gboolean is_optional(const Dispatch *dispatch) {
   return dispatch->kind == DISPATCH_RELEASE;
 }
 
-static void hold_back(Router *router, const Dispatch *dispatch,
-                      const Endpoint *endpoint, GateVerdict verdict) {
+/* Counts and logs a dispatch that the gate forbids, unless it is optional. */
+static void report_held_back(Router *router, const Dispatch *dispatch,
+                             const Endpoint *endpoint, GateVerdict verdict) {
   if (is_optional(dispatch))
     return;
   router_count(router, HELD_BACK);
@@ -36,7 +39,7 @@
                         gint64 now) {
   GateVerdict verdict = gate_check(endpoint, dispatch->kind, now);
   if (verdict != GATE_OPEN) {
-    hold_back(router, dispatch, endpoint, verdict);
+    report_held_back(router, dispatch, endpoint, verdict);
     return 0;
   }
   dispatch->number = ++router->last_dispatch;
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -1,6 +1,6 @@
 /*
 ** endpoint_table.c
-** The endpoints that an instance knows, and which one takes a dispatch
+** The endpoints that an instance knows, and the choice among them
 */
 
 #include <math.h>
@@ -12,62 +12,76 @@
 #include "router/endpoint_table.h"
 #include "router/gate.h"
 
-/* ids up to so many bytes: a seed is mixed into the hash of one so short by
-** XOR alone, and ids and seeds that differ in the same bits share a hash */
-#define SHORT_ID 8
-/* an endpoint out of reach is left alone this long, doubled each time */
-#define AVOID_FIRST (500 * MP_MS)
-#define AVOID_MOST (4 * MP_SEC)
-/* recent failures lose their weight with this time constant */
-#define FAILURE_MEMORY (3.0 * MP_SEC)
-/* weight of one dispatch among the recent ones */
+/* Ids of up to this many bytes are hashed together with the start time as one
+** message. XXH3 mixes a seed into so short an input by XOR alone, so ids and
+** seeds that differ in the same bits would share a hash. */
+#define SHORT_ID_BYTES 8
+/* An unreachable endpoint is avoided for AVOID_TIME_MIN, which doubles with
+** each further attempt in a row up to AVOID_TIME_MAX. */
+#define AVOID_TIME_MIN (500 * MP_MS)
+#define AVOID_TIME_MAX (4 * MP_SEC)
+/* time constant of the exponential decay of the failure rate */
+#define FAILURE_DECAY (3.0 * MP_SEC)
+/* weight of the newest dispatch in the moving failure rate */
 #define FAILURE_STEP 0.3
 
-/* scores are in open dispatches of a service with few slots */
+/* The costs below are added up to a score; the endpoint with the lowest one is
+** chosen. Their unit is one open dispatch at a service with few slots. */
+/* the endpoint is in another data centre than preferred */
 #define COST_OTHER_ZONE 1.5
-/* an engine elsewhere: moving a prompt's memory there takes twice as long. 3
-** in place of 1.5 earned +0.007 to +0.022 of the worth on three deployments
-** of 7 to 9 instances (20 days each, paired) */
+/* The same of an engine. 3, because moving a prompt's memory to another data
+** centre takes twice as long; 3 in place of 1.5 raised the worth (the score of
+** a simulated day) by 0.007 to 0.022 on three deployments of 7 to 9 instances
+** (20 days each, paired). */
 #define COST_OTHER_ZONE_ENGINE 3.0
-/* the same where loads elsewhere are known from summaries alone, some tenths
-** of a second late: engines there are promised twice. 8 in place of 1.5
-** earned +0.03 to +0.09 of the worth on three deployments of 58 to 68
-** instances (five days each, paired) and +0.15 on a day of 295; 16 no more
-** than that. Where all loads are heard at once, 8 lost 0.06 on the
-** deployment with four engines a data centre */
+/* The same of a decode engine where loads in other data centres are known from
+** summaries alone, some tenths of a second late, so that several instances
+** promise the same memory. 8 in place of 1.5 raised the worth by 0.03 to 0.09
+** on three deployments of 58 to 68 instances (five days each, paired) and by
+** 0.15 on a day of 295 instances; 16 gained no more. Where all loads are known
+** at once, 8 lost 0.06 on the deployment with four engines in a data centre.
+*/
 #define COST_OTHER_ZONE_LATE 8.0
+/* per unit of the failure rate that this instance saw */
 #define COST_FAILURES 12.0
-/* what others saw of an endpoint, together, up to so many of them: one
-** that stands alone may have a bad path of its own */
+/* Per unit of the failure rates that the other instances saw, added up to a
+** sum of at most PEERS_FAILURES_MAX. It weighs less than an instance's own
+** view, because a single instance may have a bad network path of its own. */
 #define COST_PEERS_FAILURES 6.0
-#define MOST_PEERS_FAILURES 4.0
+#define PEERS_FAILURES_MAX 4.0
+/* the endpoint is still warming up */
 #define COST_COLD 3.0
-/* an engine's share of memory in use, as open dispatches */
+/* an engine whose memory is all in use; in proportion below that */
 #define COST_MEMORY 12.0
-/* an engine's memory is planned up to this share of what it has */
-#define MEMORY_FILL 1.0
-/* engines within this of the best are equals: many instances choose at the
-** same moment from the same loads */
-#define SPREAD_REACH 1.0
-/* affinity turns the choice while the load is within this of the best */
-#define AFFINITY_REACH 1.6
-
-/* what a life has said is kept so long after the list lost it: while the store
-** is away entries lapse, and come back, of endpoints that serve on */
-#define UNLISTED_KEPT (600 * MP_SEC)
-#define UNLISTED_MOST 1024
-/* one that had gone, and that a restored store lists again, is left alone for
-** so long: whoever removed it does so again within this */
-#define RETURN_DOUBTED (2500 * MP_MS)
-
-/* a life that is not listed now */
-typedef struct UnlistedLife {
+/* share of an engine's memory up to which it is planned */
+#define PLANNED_MEMORY_SHARE 1.0
+/* Engines whose cost is at most this much above the lowest count as equal and
+** are chosen at random, because many instances choose at the same moment from
+** the same loads. */
+#define SPREAD_COST_RANGE 1.0
+/* Affinity decides among endpoints whose cost is at most this much above the
+** lowest. */
+#define AFFINITY_COST_RANGE 1.6
+
+/* What an incarnation has announced is kept this long after the list has lost
+** it, because entries of endpoints that go on serving expire and come back
+** while the store is unreachable. */
+#define UNLISTED_KEEP_TIME (600 * MP_SEC)
+/* the most such incarnations kept; those that have announced nothing get half
+** of this */
+#define UNLISTED_MAX 1024
+/* An endpoint that had been removed and that a restored store lists again is
+** avoided for this long: whoever removed it does so again within this time. */
+#define RETURN_DOUBT_TIME (2500 * MP_MS)
+
+/* an incarnation that is not listed now */
+typedef struct UnlistedIncarnation {
   gint64 born_unix_ms;
-  StorePosition position; /* as in its last record */
-  gboolean ready;         /* likewise */
+  StorePosition position; /* of its last record */
+  gboolean ready;         /* in its last record */
   Availability availability;
-  gint64 since;
-} UnlistedLife;
+  gint64 since; /* when the list lost it */
+} UnlistedIncarnation;
 
 static void endpoint_free(gpointer p) {
   Endpoint *endpoint = p;
@@ -109,13 +123,14 @@
   gsize size = strlen(record->id);
   guint64 seed = (guint64)record->born_unix_ms;
   guint64 message[2] = {0};
-  if (size > SHORT_ID)
+  if (size > SHORT_ID_BYTES)
     return (guint32)XXH3_64bits_withSeed(record->id, size, seed);
   memcpy(message, record->id, size);
   message[1] = seed;
   return (guint32)XXH3_64bits(message, sizeof message);
 }
 
+/* Replaces '*to', which is freed, by a deep copy. */
 static void record_copy(EndpointRecord *to, const EndpointRecord *from) {
   endpoint_record_clear(to);
   *to = *from;
@@ -124,9 +139,9 @@
   to->zone = g_strdup(from->zone);
 }
 
-/* a start that is not said tells nothing of another life */
-static gboolean is_same_life(const EndpointRecord *one,
-                             const EndpointRecord *other) {
+/* Returns TRUE unless both start times are known and differ. */
+static gboolean is_same_incarnation(const EndpointRecord *one,
+                                    const EndpointRecord *other) {
   return one->born_unix_ms == 0 || other->born_unix_ms == 0 ||
          one->born_unix_ms == other->born_unix_ms;
 }
@@ -138,11 +153,12 @@
 }
 
 /*
-** The store's position tells which of two records is later. A start is told by
-** the endpoint's own clock, or by another writer: it tells lives apart, and
-** orders those alone whose positions are not known, or that a restored store
-** has from its copy. (Ordered by it, an endpoint whose clock stood ahead at
-** its first start was locked out for as long as its id was listed.)
+** Returns TRUE if the record is at least as new as the known one. The position
+** in the store decides. The start time comes from the endpoint's own clock or
+** from another writer, so it tells incarnations apart but orders only records
+** whose position is unknown or that a restored store has from its copy. If it
+** decided always, an endpoint whose clock ran ahead at its first start would
+** be locked out for as long as its id is listed.
 */
 static gboolean is_later(const EndpointRecord *record,
                          const EndpointRecord *known) {
@@ -151,7 +167,7 @@
       !endpoint_record_is_restored(record, known))
     return !store_position_is_before(record->position, known->position);
   return record->born_unix_ms >= known->born_unix_ms ||
-         is_same_life(record, known);
+         is_same_incarnation(record, known);
 }
 
 EndpointComparison endpoint_table_compare(const EndpointTable *table,
@@ -161,70 +177,78 @@
     return ENDPOINT_NEW;
   if (!is_later(record, &known->record))
     return ENDPOINT_OUTDATED;
-  return is_same_life(record, &known->record) ? ENDPOINT_SAME
-                                              : ENDPOINT_RESTARTED;
+  return is_same_incarnation(record, &known->record) ? ENDPOINT_SAME
+                                                     : ENDPOINT_RESTARTED;
 }
 
 /*
 ** {==================================================================
-** Lives that the list has lost
+** Incarnations that the list has lost
 ** ===================================================================
 */
 
-static gboolean has_said_something(const Availability *known) {
+/* Returns TRUE if anything was announced. */
+static gboolean has_announced(const Availability *known) {
   return known->leaving_since != 0 || known->rest_until != 0;
 }
 
-static gboolean is_outlived(gpointer id, gpointer life, gpointer now) {
+/* Matches entries that have been kept long enough. */
+static gboolean is_expired(gpointer id, gpointer lost, gpointer now) {
   (void)id;
-  return *(gint64 *)now - ((UnlistedLife *)life)->since >= UNLISTED_KEPT;
+  return *(gint64 *)now - ((UnlistedIncarnation *)lost)->since >=
+         UNLISTED_KEEP_TIME;
 }
 
-/* the endpoint goes off the list, which proves no end: what this life has said
-** holds on if the list has it again */
+/* Keeps what the incarnation has announced. That the list has lost it does not
+** prove that it ended, and its announcements hold if it is listed again. */
 static void keep_unlisted(EndpointTable *table, const Endpoint *endpoint,
                           gint64 now) {
-  gboolean is_silent = !has_said_something(&endpoint->availability);
-  guint most = is_silent ? UNLISTED_MOST / 2 : UNLISTED_MOST;
-  UnlistedLife *life;
+  gboolean is_silent = !has_announced(&endpoint->availability);
+  guint most = is_silent ? UNLISTED_MAX / 2 : UNLISTED_MAX;
+  UnlistedIncarnation *lost;
   if (is_silent && store_position_is_none(endpoint->record.position))
     return;
-  g_hash_table_foreach_remove(table->unlisted, is_outlived, &now);
+  g_hash_table_foreach_remove(table->unlisted, is_expired, &now);
   if (g_hash_table_size(table->unlisted) >= most)
     return;
-  life = g_new(UnlistedLife, 1);
-  life->born_unix_ms = endpoint->record.born_unix_ms;
-  life->position = endpoint->record.position;
-  life->ready = endpoint->record.ready;
-  life->availability = endpoint->availability;
-  life->since = now;
-  g_hash_table_insert(table->unlisted, g_strdup(endpoint->record.id), life);
-}
-
-/* a restored store lists it from before it went: it is used again if nobody
-** has removed it by then, unless it had said that it leaves */
-static void doubt_return(Endpoint *endpoint, const UnlistedLife *life,
+  lost = g_new(UnlistedIncarnation, 1);
+  lost->born_unix_ms = endpoint->record.born_unix_ms;
+  lost->position = endpoint->record.position;
+  lost->ready = endpoint->record.ready;
+  lost->availability = endpoint->availability;
+  lost->since = now;
+  g_hash_table_insert(table->unlisted, g_strdup(endpoint->record.id), lost);
+}
+
+/* Handles an endpoint that a restored store lists from a time before it was
+** removed. It is used again after RETURN_DOUBT_TIME if nobody has removed it
+** by then, unless its last record said that it was leaving. */
+static void doubt_return(Endpoint *endpoint, const UnlistedIncarnation *lost,
                          gint64 now) {
-  if (!life->ready)
+  if (!lost->ready)
     availability_set_leaving(&endpoint->availability, now);
   else
-    availability_extend_rest(&endpoint->availability, RETURN_DOUBTED, now);
+    availability_extend_rest(&endpoint->availability, RETURN_DOUBT_TIME, now);
 }
 
+/* Gives a listed endpoint back what its incarnation had announced before the
+** list lost it. */
 static void restore_unlisted(EndpointTable *table, Endpoint *endpoint,
                              const EndpointRecord *record, gint64 now) {
-  const UnlistedLife *life = g_hash_table_lookup(table->unlisted, record->id);
-  if (life != NULL && (life->born_unix_ms == record->born_unix_ms ||
-                       life->born_unix_ms == 0 || record->born_unix_ms == 0)) {
-    endpoint->availability = life->availability;
-    if (record->position.era > life->position.era)
-      doubt_return(endpoint, life, now);
+  const UnlistedIncarnation *lost =
+      g_hash_table_lookup(table->unlisted, record->id);
+  if (lost != NULL && (lost->born_unix_ms == record->born_unix_ms ||
+                       lost->born_unix_ms == 0 || record->born_unix_ms == 0)) {
+    endpoint->availability = lost->availability;
+    if (record->position.era > lost->position.era)
+      doubt_return(endpoint, lost, now);
   }
   g_hash_table_remove(table->unlisted, record->id);
 }
 
 /* }================================================================== */
 
+/* Adds an endpoint without its record. */
 static Endpoint *add(EndpointTable *table, const EndpointRecord *record,
                      gint64 now) {
   Endpoint *endpoint = g_new0(Endpoint, 1);
@@ -233,6 +257,7 @@
   return endpoint;
 }
 
+/* Removes and frees an endpoint. */
 static void drop(EndpointTable *table, Endpoint *endpoint) {
   g_hash_table_remove(table->by_id, endpoint->record.id);
   g_ptr_array_remove(table->all, endpoint);
@@ -293,10 +318,10 @@
 ** ===================================================================
 */
 
-static gboolean is_excluded(const EndpointQuery *wish, const char *id) {
+static gboolean is_excluded(const EndpointQuery *query, const char *id) {
   guint i;
-  for (i = 0; i < wish->excluded_count; i++) {
-    if (strcmp(wish->excluded[i], id) == 0)
+  for (i = 0; i < query->excluded_count; i++) {
+    if (strcmp(query->excluded[i], id) == 0)
       return TRUE;
   }
   return FALSE;
@@ -308,9 +333,11 @@
          peer_loads_changing(table->peers, endpoint->hash);
 }
 
-/* no rate is asked: that is done last, for it draws */
-static gboolean fits(const EndpointTable *table, const Endpoint *endpoint,
-                     const char *service, EndpointStage stage, gint64 now) {
+/* Returns TRUE if the endpoint may run a dispatch, apart from the limits that
+** all instances share: they are checked last, because that check draws. */
+static gboolean is_eligible(const EndpointTable *table,
+                            const Endpoint *endpoint, const char *service,
+                            EndpointStage stage, gint64 now) {
   return endpoint->record.stage == stage &&
          strcmp(endpoint->record.service, service) == 0 &&
          gate_check(endpoint, DISPATCH_RUN, now) == GATE_OPEN &&
@@ -320,8 +347,8 @@
 double endpoint_failure_rate(const Endpoint *endpoint, gint64 now) {
   double age = (double)(now - endpoint->failed_at);
   if (endpoint->failures == 0)
-    return 0; /* most endpoints, asked with each choice and each digest */
-  return endpoint->failures * exp(-age / FAILURE_MEMORY);
+    return 0; /* the common case, in each choice and each digest */
+  return endpoint->failures * exp(-age / FAILURE_DECAY);
 }
 
 guint64 endpoint_tokens(const EndpointTable *table, const Endpoint *endpoint) {
@@ -340,49 +367,55 @@
   return endpoint->open + peer_loads_open(table->peers, endpoint->hash);
 }
 
-static gboolean has_room(const EndpointTable *table, const EndpointQuery *wish,
+/* Returns TRUE if the query's tokens fit into the engine's memory, or its size
+** is not known. */
+static gboolean has_room(const EndpointTable *table,
+                         const EndpointQuery *query,
                          const Endpoint *endpoint) {
-  double planned = (double)(endpoint_tokens(table, endpoint) + wish->tokens);
-  return wish->capacity == 0 ||
-         planned <= MEMORY_FILL * (double)wish->capacity;
+  double planned = (double)(endpoint_tokens(table, endpoint) + query->tokens);
+  return query->capacity == 0 ||
+         planned <= PLANNED_MEMORY_SHARE * (double)query->capacity;
 }
 
-static gboolean takes_more(const EndpointTable *table,
-                           const EndpointQuery *wish, const Endpoint *endpoint,
-                           gint64 now) {
-  return gate_check_limits(table, endpoint, &wish->limits, now) == GATE_OPEN;
+/* Returns TRUE if the limits that all instances share allow one more. */
+static gboolean is_within_limits(const EndpointTable *table,
+                                 const EndpointQuery *query,
+                                 const Endpoint *endpoint, gint64 now) {
+  return gate_check_limits(table, endpoint, &query->limits, now) == GATE_OPEN;
 }
 
-static double cost_of_distance(const EndpointTable *table,
-                               const EndpointQuery *wish) {
-  if (wish->capacity == 0)
+/* Returns the cost of an endpoint in another data centre. */
+static double distance_cost(const EndpointTable *table,
+                            const EndpointQuery *query) {
+  if (query->capacity == 0)
     return COST_OTHER_ZONE;
-  if (wish->stage == STAGE_PREFILL || !table->is_late)
+  if (query->stage == STAGE_PREFILL || !table->is_late)
     return COST_OTHER_ZONE_ENGINE;
   return COST_OTHER_ZONE_LATE;
 }
 
-/* smaller is better */
-static double cost(const EndpointTable *table, const EndpointQuery *wish,
+/* Returns the cost of choosing the endpoint; lower is better. */
+static double cost(const EndpointTable *table, const EndpointQuery *query,
                    const Endpoint *endpoint, gint64 now) {
-  const char *zone = wish->zone != NULL ? wish->zone : table->zone;
+  const char *zone = query->zone != NULL ? query->zone : table->zone;
   double sum = endpoint_open_count(table, endpoint);
-  if (wish->capacity > 0)
+  if (query->capacity > 0)
     sum = COST_MEMORY *
-          (double)(endpoint_tokens(table, endpoint) + wish->tokens) /
-          (double)wish->capacity;
+          (double)(endpoint_tokens(table, endpoint) + query->tokens) /
+          (double)query->capacity;
   if (strcmp(endpoint->record.zone, zone) != 0)
-    sum += cost_of_distance(table, wish);
+    sum += distance_cost(table, query);
   if (endpoint->record.cold_left > 0)
     sum += COST_COLD;
   sum += COST_FAILURES * endpoint_failure_rate(endpoint, now);
   sum += COST_PEERS_FAILURES *
          MIN(peer_loads_failing(table->peers, endpoint->hash),
-             MOST_PEERS_FAILURES);
+             PEERS_FAILURES_MAX);
   return sum;
 }
 
-/* rendezvous hash: the endpoint with the largest weight is the home */
+/* Returns the endpoint's weight in rendezvous hashing: the endpoint with the
+** largest one is preferred for this affinity. */
 static guint64 affinity_weight(const Endpoint *endpoint, guint64 affinity) {
   return XXH3_64bits_withSeed(endpoint->record.id, strlen(endpoint->record.id),
                               affinity);
@@ -393,35 +426,42 @@
   double cost;
 } Candidate;
 
+/* Returns the endpoints that the query may choose, with their costs; the
+ *caller
+ ** frees the array. 'avoided_too' includes those that are avoided after they
+ ** were unreachable. */
 static GArray *candidates(const EndpointTable *table,
-                          const EndpointQuery *wish, gboolean avoided_too,
+                          const EndpointQuery *query, gboolean avoided_too,
                           gint64 now) {
   GArray *found = g_array_new(FALSE, FALSE, sizeof(Candidate));
   guint i;
   for (i = 0; i < table->all->len; i++) {
     Endpoint *endpoint = table->all->pdata[i];
     Candidate candidate;
-    if (!fits(table, endpoint, wish->service, wish->stage, now) ||
-        is_excluded(wish, endpoint->record.id))
+    if (!is_eligible(table, endpoint, query->service, query->stage, now) ||
+        is_excluded(query, endpoint->record.id))
       continue;
     if (!avoided_too && endpoint->avoid_until > now)
       continue;
-    if ((wish->must_fit && !has_room(table, wish, endpoint)) ||
-        !takes_more(table, wish, endpoint, now))
+    if ((query->must_fit && !has_room(table, query, endpoint)) ||
+        !is_within_limits(table, query, endpoint, now))
       continue;
     candidate.endpoint = endpoint;
-    candidate.cost = cost(table, wish, endpoint, now);
+    candidate.cost = cost(table, query, endpoint, now);
     g_array_append_val(found, candidate);
   }
   return found;
 }
 
-static Endpoint *best_of(const GArray *found, const EndpointQuery *wish) {
-  double reach = wish->affinity_overrides_load ? HUGE_VAL
-                 : wish->affinity != 0         ? AFFINITY_REACH
-                 : wish->must_fit              ? SPREAD_REACH
-                                               : 0.01;
-  guint64 seed = wish->affinity != 0 ? wish->affinity : wish->spread;
+/* Returns the candidate with the largest rendezvous weight among those whose
+** cost is at most a range above the lowest one; NULL if there is no candidate.
+*/
+static Endpoint *best_of(const GArray *found, const EndpointQuery *query) {
+  double cost_range = query->affinity_overrides_load ? HUGE_VAL
+                      : query->affinity != 0         ? AFFINITY_COST_RANGE
+                      : query->must_fit              ? SPREAD_COST_RANGE
+                                                     : 0.01;
+  guint64 seed = query->affinity != 0 ? query->affinity : query->spread;
   double least = HUGE_VAL;
   Endpoint *best = NULL;
   guint64 best_weight = 0;
@@ -431,7 +471,7 @@
   for (i = 0; i < found->len; i++) {
     const Candidate *candidate = &g_array_index(found, Candidate, i);
     guint64 weight = affinity_weight(candidate->endpoint, seed);
-    if (candidate->cost > least + reach)
+    if (candidate->cost > least + cost_range)
       continue;
     if (best == NULL || weight > best_weight) {
       best = candidate->endpoint;
@@ -442,39 +482,44 @@
 }
 
 Endpoint *endpoint_table_choose(const EndpointTable *table,
-                                const EndpointQuery *wish, gint64 now) {
-  GArray *found = candidates(table, wish, FALSE, now);
+                                const EndpointQuery *query, gint64 now) {
+  GArray *found = candidates(table, query, FALSE, now);
   Endpoint *best;
-  if (found->len == 0 && !wish->must_fit) { /* better a doubtful one */
+  if (found->len == 0 &&
+      !query->must_fit) { /* an avoided endpoint is better than none */
     g_array_free(found, TRUE);
-    found = candidates(table, wish, TRUE, now);
+    found = candidates(table, query, TRUE, now);
   }
-  best = best_of(found, wish);
+  best = best_of(found, query);
   g_array_free(found, TRUE);
   return best;
 }
 
-static guint rooms_at(const EndpointTable *table, const EndpointQuery *wish,
-                      const Endpoint *endpoint, guint64 planned, gint64 now) {
-  guint64 rooms = (wish->capacity - planned) / MAX(wish->tokens, 1);
-  if (wish->limits.rates != NULL &&
-      rate_limits_of(wish->limits.rates, endpoint->hash) >= 0)
-    rooms = MIN(rooms, takes_more(table, wish, endpoint, now) ? 1 : 0);
-  return (guint)rooms;
+/* Returns how many dispatches like the query's fit at an engine with 'planned'
+** tokens; at most one if the engine names a rate. */
+static guint count_fitting_at(const EndpointTable *table,
+                              const EndpointQuery *query,
+                              const Endpoint *endpoint, guint64 planned,
+                              gint64 now) {
+  guint64 count = (query->capacity - planned) / MAX(query->tokens, 1);
+  if (query->limits.rates != NULL &&
+      rate_limits_of(query->limits.rates, endpoint->hash) >= 0)
+    count = MIN(count, is_within_limits(table, query, endpoint, now) ? 1 : 0);
+  return (guint)count;
 }
 
 guint endpoint_table_count_fitting(const EndpointTable *table,
-                                   const EndpointQuery *wish, gint64 now) {
-  guint rooms = 0;
+                                   const EndpointQuery *query, gint64 now) {
+  guint count = 0;
   guint i;
   for (i = 0; i < table->all->len; i++) {
     const Endpoint *endpoint = table->all->pdata[i];
     guint64 planned = endpoint_tokens(table, endpoint);
-    if (fits(table, endpoint, wish->service, wish->stage, now) &&
-        endpoint->avoid_until <= now && planned < wish->capacity)
-      rooms += rooms_at(table, wish, endpoint, planned, now);
+    if (is_eligible(table, endpoint, query->service, query->stage, now) &&
+        endpoint->avoid_until <= now && planned < query->capacity)
+      count += count_fitting_at(table, query, endpoint, planned, now);
   }
-  return rooms;
+  return count;
 }
 
 gboolean endpoint_table_has_usable(const EndpointTable *table,
@@ -483,7 +528,7 @@
   guint i;
   for (i = 0; i < table->all->len; i++) {
     const Endpoint *endpoint = table->all->pdata[i];
-    if (fits(table, endpoint, service, stage, now) &&
+    if (is_eligible(table, endpoint, service, stage, now) &&
         endpoint->avoid_until <= now)
       return TRUE;
   }
@@ -496,6 +541,7 @@
   return !endpoint->record.ready || endpoint->availability.leaving_since != 0;
 }
 
+/* Updates the moving failure rate; 'failed' is 1 or 0. */
 static void count_failure(Endpoint *endpoint, double failed, gint64 now) {
   double recent = endpoint_failure_rate(endpoint, now);
   endpoint->failures = recent + FAILURE_STEP * (failed - recent);
@@ -513,7 +559,7 @@
 }
 
 void endpoint_note_unreachable(Endpoint *endpoint, gint64 now) {
-  gint64 wait = AVOID_FIRST << MIN(endpoint->misses, 3);
+  gint64 wait = AVOID_TIME_MIN << MIN(endpoint->misses, 3);
   endpoint->misses++;
-  endpoint->avoid_until = now + MIN(wait, AVOID_MOST);
+  endpoint->avoid_until = now + MIN(wait, AVOID_TIME_MAX);
 }
--- a/router/endpoint_table.h
+++ b/router/endpoint_table.h
@@ -1,9 +1,21 @@
 /*
 ** endpoint_table.h
-** The endpoints that an instance knows, and which one takes a dispatch
+** The endpoints that an instance knows, and the choice among them
 **
-** What the platform lists (EndpointRecord) stands beside what this
-** instance has seen itself: its own open dispatches and recent failures.
+** An endpoint is an engine or a process of a plain service. The table holds
+** one Endpoint for each id, which combines what the platform lists
+** (EndpointRecord), what this instance has seen itself (its open dispatches
+** and recent failures), and, by way of 'peers', what the other instances have
+** open there. An incarnation is one run of the endpoint's process: id and
+** start time (born_unix_ms) together identify it.
+**
+** The table owns its endpoints. An Endpoint pointer is valid until the next
+** call that sets or removes that endpoint; callers that keep one in mind store
+** the id and Endpoint.hash and look it up again.
+**
+** All times are microseconds of the router's steady clock unless a name says
+** otherwise. Nothing here fails; lookups return NULL when there is nothing.
+** Used by all files of the router; stages.c and lives.c change endpoints too.
 */
 
 #ifndef ROUTER_ENDPOINT_TABLE_H
@@ -14,127 +26,164 @@
 #include "router/rate_limits.h"
 #include "router/records.h"
 
-/* most endpoints that one request leaves out after they failed it */
+/* The most endpoints that one request avoids because they failed it. */
 #define EXCLUDED_ENDPOINTS_MAX 8
 
+/* One incarnation of an endpoint. */
 typedef struct Endpoint {
-  EndpointRecord record;
-  guint32 hash;              /* of its id and life, as digests name it */
-  guint open;                /* this instance's dispatches there */
-  guint connections;         /* this instance's, resting ones too */
-  guint resting;             /* of them */
-  guint64 tokens;            /* prompt and output tokens of those */
-  double failures;           /* recent share of failed dispatches, 0 to 1 */
-  gint64 failed_at;          /* when 'failures' was last changed */
-  gint64 avoid_until;        /* out of reach: not chosen before then */
-  unsigned misses;           /* out of reach so many times in a row */
-  Availability availability; /* what this life of it has said */
-  EndpointStage changing_to; /* ordered by this instance */
-  gint64 changing_until;     /* such an order counts until then; 0: none */
-  gint64 no_order_before;    /* it gets no order before then */
+  EndpointRecord record; /* as the platform listed it last; owned */
+  guint32 hash;          /* endpoint_incarnation_hash of the record: names the
+                         ** incarnation in digests */
+  guint open;            /* open dispatches of this instance */
+  guint connections;     /* of this instance, idle ones too */
+  guint resting;         /* the idle ones among them */
+  guint64 tokens;        /* engines: memory planned for this instance's open
+                         ** dispatches and reservations, in tokens */
+  double failures;       /* moving share of failed dispatches, 0 to 1, as of
+                         ** 'failed_at' */
+  gint64 failed_at;      /* when 'failures' was last updated */
+  gint64 avoid_until;    /* after unreachable attempts: chosen before then only
+                         ** if nothing else is left, and never by a query with
+                         ** 'must_fit' */
+  unsigned misses;       /* unreachable attempts in a row */
+  Availability availability; /* what this incarnation has announced */
+  EndpointStage changing_to; /* stage to which this instance changes it,
+                              ** or did last */
+  gint64 changing_until;  /* the change counts as under way until then; 0: none
+                          ** is */
+  gint64 no_order_before; /* this instance orders no change before then */
 } Endpoint;
 
 typedef struct EndpointTable {
-  GHashTable *by_id;    /* id -> Endpoint */
-  GHashTable *unlisted; /* id -> UnlistedLife */
-  GPtrArray *all;       /* Endpoint, in the order they came */
-  char *zone;           /* this instance's */
-  PeerLoads *peers;     /* what the other instances have open */
-  gboolean is_late;     /* loads in other zones are known late */
+  GHashTable *by_id; /* record.id (borrowed) -> Endpoint (borrowed) */
+  GHashTable
+      *unlisted;  /* id -> UnlistedIncarnation, for incarnations that the list
+                  ** has lost; both owned */
+  GPtrArray *all; /* Endpoint, in order of arrival; owned */
+  char *zone;     /* the data centre of this instance; owned */
+  PeerLoads *peers; /* what the other instances have open; owned */
+  gboolean is_late; /* loads in other data centres are known only from
+                    ** delayed summaries */
 } EndpointTable;
 
-/* what all instances together may send to the endpoints of a service */
+/* Limits on what all instances together may send to the endpoints of one
+** service. */
 typedef struct GateLimits {
-  RateLimits *rates;     /* NULL: no endpoint names one */
-  guint connections_max; /* at each endpoint; 0: none is near what it takes */
-  RateSharers sharers;   /* of both; not filled in where there is neither */
-  guint64 seed;          /* another one at each instance */
+  RateLimits *rates;     /* NULL: no endpoint names a rate */
+  guint connections_max; /* at each endpoint; 0: unlimited, or no endpoint is
+                         ** near its limit */
+  RateSharers sharers;   /* who shares these limits; unset if there are none */
+  guint64 seed;          /* differs between instances */
 } GateLimits;
 
-/* what is asked of an endpoint */
+/* What an endpoint is wanted for. */
 typedef struct EndpointQuery {
   const char *service;
   EndpointStage stage;
-  const char *zone; /* preferred; NULL: this instance's */
-  guint64 affinity; /* equal ones meet the same endpoint; 0: none */
-  gboolean affinity_overrides_load; /* affinity turns the choice whatever the
-                                       load */
-  guint64 spread;    /* random: tells equals apart where there is none */
-  guint64 capacity;  /* engines: tokens of memory, 0: unknown */
-  guint64 tokens;    /* tokens that the dispatch adds */
-  gboolean must_fit; /* only where these find room now */
+  const char *zone; /* preferred data centre; NULL: this instance's */
+  guint64 affinity; /* queries with the same value prefer the same endpoint;
+                    ** 0: no preference */
+  gboolean affinity_overrides_load; /* the preferred endpoint is chosen even if
+                                    ** others have less load */
+  guint64 spread;    /* random; breaks ties where there is no affinity */
+  guint64 capacity;  /* engines: memory of one engine, in tokens; 0: unknown or
+                     ** no engine */
+  guint64 tokens;    /* engines: tokens that the dispatch adds */
+  gboolean must_fit; /* choose only where 'tokens' fit into 'capacity' now */
   GateLimits limits;
-  const char *const *excluded; /* ids */
+  const char *const *excluded; /* ids of endpoints to leave out; borrowed */
   guint excluded_count;
 } EndpointQuery;
 
+/* Creates an empty table; 'zone' is copied. Free it with
+** endpoint_table_free. */
 EndpointTable *endpoint_table_new(const char *zone);
 void endpoint_table_free(EndpointTable *table);
 
-/* what a record is to what was known of the endpoint */
+/* How a record compares to the endpoint of the same id in the table. */
 typedef enum EndpointComparison {
-  ENDPOINT_NEW,
-  ENDPOINT_SAME,      /* the same life; it may say something else */
-  ENDPOINT_RESTARTED, /* a later life: what was held of the earlier is gone */
-  ENDPOINT_OUTDATED   /* of an earlier life: it changes nothing */
+  ENDPOINT_NEW,       /* the id is not in the table */
+  ENDPOINT_SAME,      /* the same incarnation, perhaps with other content */
+  ENDPOINT_RESTARTED, /* a later incarnation: the state kept of the earlier one
+                      ** is void */
+  ENDPOINT_OUTDATED   /* older than what is known: it must change nothing */
 } EndpointComparison;
 
 EndpointComparison endpoint_table_compare(const EndpointTable *table,
                                           const EndpointRecord *record);
-/* as compared: an outdated one is left out */
+/* Applies a record, which is copied, as endpoint_table_compare classifies it;
+** an outdated one is ignored. */
 void endpoint_table_set(EndpointTable *table, const EndpointRecord *record,
                         gint64 now);
-/* it was ENDPOINT_OUTDATED: what the store writes after it is later */
+/* Advances the store position of a known endpoint to that of a record that was
+** ENDPOINT_OUTDATED, so that later writes of the store still compare as later.
+** The id must be in the table. */
 void endpoint_table_advance_position(EndpointTable *table,
                                      const EndpointRecord *record);
-/* does it stem from a newer era of the store than the one known? Its content
-** may be older all the same */
+/* Returns TRUE if the record comes from a newer era of the store (the store
+ *was
+ ** restored from a copy) than the known one. Its content may be older even
+ ** so. */
 gboolean endpoint_record_is_restored(const EndpointRecord *record,
                                      const EndpointRecord *known);
-/* the list has lost it; what its life has said is kept for a while, in case
-** the list has it again */
+/* Removes an endpoint that is no longer listed. What its incarnation has
+** announced is kept for a while, in case it is listed again. An unknown id is
+** ignored. */
 void endpoint_table_remove(EndpointTable *table, const char *id, gint64 now);
-/* the same of every endpoint whose id is no key of 'names' */
+/* Removes, in the same way, each endpoint whose id is not a key of 'names'. */
 void endpoint_table_keep(EndpointTable *table, GHashTable *names, gint64 now);
 
-/* of an id and the start of a life, as digests name it */
+/* Returns the hash of a record's id and start time, which names the
+** incarnation in digests. */
 guint32 endpoint_incarnation_hash(const EndpointRecord *record);
-/* NULL when it is not listed (any more) */
+/* Returns the endpoint with this id, or NULL if it is not listed. */
 Endpoint *endpoint_table_get(const EndpointTable *table, const char *id);
-/* the same, and NULL when another life of it is listed (Endpoint.hash) */
+/* Returns the same, or NULL if it is not listed or another incarnation of it
+** is (other Endpoint.hash). */
 Endpoint *endpoint_table_get_incarnation(const EndpointTable *table,
                                          const char *id, guint32 hash);
 
-/* the best endpoint for a wish, or NULL */
+/* Returns the best endpoint for a query, or NULL if there is none. */
 Endpoint *endpoint_table_choose(const EndpointTable *table,
-                                const EndpointQuery *wish, gint64 now);
-/* how many such dispatches would find room now, over all endpoints */
+                                const EndpointQuery *query, gint64 now);
+/* Returns how many dispatches like the query's would fit now, summed over all
+** endpoints; 'excluded' is not considered. */
 guint endpoint_table_count_fitting(const EndpointTable *table,
-                                   const EndpointQuery *wish, gint64 now);
-/* are there endpoints of this service and stage that could be chosen? */
+                                   const EndpointQuery *query, gint64 now);
+/* Returns TRUE if there is an endpoint of this service and stage that can be
+** chosen and was not unreachable lately. Rates and load are not considered. */
 gboolean endpoint_table_has_usable(const EndpointTable *table,
                                    const char *service, EndpointStage stage,
                                    gint64 now);
 
-/* tokens and dispatches of all instances at an endpoint */
+/* Return the planned tokens and the open dispatches of all instances at an
+** endpoint. */
 guint64 endpoint_tokens(const EndpointTable *table, const Endpoint *endpoint);
 guint endpoint_open_count(const EndpointTable *table,
                           const Endpoint *endpoint);
-/* connections of all instances at a plain endpoint, resting ones too */
+/* Returns the connections of all instances to a plain endpoint, idle ones
+** too. */
 guint endpoint_connections(const EndpointTable *table,
                            const Endpoint *endpoint);
 
-/* is it changing its stage, on this or another instance's order? */
+/* Returns TRUE if the endpoint is changing its stage by the order of this or
+** another instance. */
 gboolean endpoint_is_changing_stage(const EndpointTable *table,
                                     const Endpoint *endpoint, gint64 now);
 
-/* does it leave, by its own answers or by the list? */
+/* Returns TRUE if the endpoint is leaving: its answers said so, or the list
+** does not have it ready. */
 gboolean endpoint_is_leaving(const Endpoint *endpoint);
 
-/* recent share of failures that this instance saw, 0 to 1 */
+/* Returns the recent share of failed dispatches that this instance saw, 0 to
+ *1;
+ ** it decays with time. */
 double endpoint_failure_rate(const Endpoint *endpoint, gint64 now);
 
-/* what became of a dispatch */
+/* Record how a dispatch ended. A success lowers the failure rate and clears
+** 'avoid_until'; a failure only raises the failure rate; an unreachable
+*endpoint is avoided for a time that
+** doubles with each attempt in a row. */
 void endpoint_note_success(Endpoint *endpoint, gint64 now);
 void endpoint_note_failure(Endpoint *endpoint, gint64 now);
 void endpoint_note_unreachable(Endpoint *endpoint, gint64 now);
--- a/router/estimate.c
+++ b/router/estimate.c
@@ -1,29 +1,32 @@
 /*
 ** estimate.c
-** What a run will take of an engine, from the runs of its service so far
+** Estimates the memory that a run will take at an engine, from the earlier
+** prompts and streams of its service
 */
 
 #include "router/state.h"
 
-/* a run is given room to grow by this share of the usual output */
+/* Memory is planned for the output so far and this share of the mean output
+** more. */
 #define GROWTH_SHARE 0.3
-/* the usual output, while no stream has ended: share of the announced */
+/* Until a stream of the service has ended, its mean output is taken for this
+** share of the most that the request may generate. */
 #define FIRST_OUTPUT_SHARE 0.4
-/* weight of the newest output in the mean */
+/* weight of the newest output in the moving mean */
 #define OUTPUT_STEP 0.05
-/* weight of the newest prompt in the mean */
+/* weight of the newest prompt in the moving mean */
 #define PROMPT_STEP 0.1
 
 guint64 estimate_memory(Router *router, const Request *request) {
   const ServiceState *state =
       router_service_state(router, request->service->name);
-  double usual = state->mean_output;
-  double grown;
-  if (usual <= 0)
-    usual = FIRST_OUTPUT_SHARE * request->output_tokens;
-  grown = request->made + GROWTH_SHARE * usual;
+  double mean = state->mean_output;
+  double output;
+  if (mean <= 0)
+    mean = FIRST_OUTPUT_SHARE * request->output_tokens;
+  output = request->made + GROWTH_SHARE * mean;
   return request->prompt_tokens +
-         (guint64)MIN(grown, (double)request->output_tokens);
+         (guint64)MIN(output, (double)request->output_tokens);
 }
 
 double estimate_mean_memory(Router *router, const Service *service) {
@@ -31,7 +34,6 @@
   return state->mean_prompt + state->mean_output / 2;
 }
 
-/* learn how long the streams of a service are */
 void estimate_observe_output(Router *router, const Request *request) {
   ServiceState *state = router_service_state(router, request->service->name);
   if (request->made == 0)
--- a/router/finish.c
+++ b/router/finish.c
@@ -1,18 +1,20 @@
 /*
 ** finish.c
-** How a request ends
-** Invariant: a caller is told "not run" only while no dispatch of the
-** request has perhaps run, and none can any more.
+** Ends requests: answers, refusals and broken answers
+**
+** Invariant: a caller is told "not run" only if no dispatch of its request may
+** have run and none can run any more.
 */
 
 #include "router/state.h"
 
-/* when a refused caller may come back */
+/* after how long a refused caller is told to come back, in ms */
 #define RETRY_AFTER_BUSY_MS 400
 #define RETRY_AFTER_ABSENT_MS 700
 #define RETRY_AFTER_DRAINING_MS 50
 
-static void forget(Router *router, Request *request) {
+/* Frees the request and everything that it holds elsewhere. */
+static void request_drop(Router *router, Request *request) {
   path_close_dispatch(router, request, TRUE);
   admission_leave(router, request);
   prefill_release_reservation(router, request);
@@ -24,7 +26,7 @@
   router_count(router, ANSWERED);
   router->host.answer(router->host.data, request->number, outcome);
   path_close_dispatch(router, request, FALSE);
-  forget(router, request);
+  request_drop(router, request);
 }
 
 gint64 finish_default_retry_ms(RefusalKind kind) {
@@ -42,7 +44,7 @@
   case REFUSAL_DRAINING:
     return RETRY_AFTER_DRAINING_MS;
   case REFUSAL_HELD:
-  case REFUSAL_SUSPECTED: /* the request says when: suspects_may_dispatch */
+  case REFUSAL_SUSPECTED: /* Request.come_back says when */
   default:
     return 0;
   }
@@ -67,16 +69,17 @@
   return names[kind];
 }
 
-/* the caller is told that it did not run, so it spent nothing */
-static gboolean promises_not_run(RefusalKind kind) {
+/* Returns TRUE if the refusal tells the caller that the request did not run,
+** so that its account is charged nothing. */
+static gboolean is_told_not_run(RefusalKind kind) {
   return kind != REFUSAL_OUTCOME_UNKNOWN && kind != REFUSAL_TIMEOUT;
 }
 
 void finish_refuse(Router *router, Request *request, RefusalKind kind) {
   Refusal refusal = {kind, finish_default_retry_ms(kind)};
-  if (promises_not_run(kind))
+  if (is_told_not_run(kind))
     accounts_refund(router, request);
-  if (request->come_back != 0 && promises_not_run(kind))
+  if (request->come_back != 0 && is_told_not_run(kind))
     refusal.retry_after_ms = request->come_back / MP_MS;
   router_count(router, REFUSED);
   if (kind == REFUSAL_HELD)
@@ -90,9 +93,10 @@
              request->arrivals, request->unreachable, request->content);
   path_close_dispatch(router, request, TRUE);
   router->host.refuse(router->host.data, request->number, &refusal);
-  forget(router, request);
+  request_drop(router, request);
 }
 
+/* Ends an answer that has begun, so that the caller sees it is incomplete. */
 static void break_off(Router *router, Request *request, const char *reason) {
   router_count(router, BROKEN_OFF);
   router_log(router, MP_LOG_ROUTE_BROKEN_OFF,
@@ -101,7 +105,7 @@
              request->last_event != NULL ? request->last_event : "-");
   path_close_dispatch(router, request, TRUE);
   router->host.break_off(router->host.data, request->number);
-  forget(router, request);
+  request_drop(router, request);
 }
 
 void finish_give_up(Router *router, Request *request, gint64 now) {
@@ -118,18 +122,18 @@
     finish_refuse(router, request, REFUSAL_NO_ENDPOINT);
 }
 
-/* a run that is still out may be at work, or begin to */
+/* Returns TRUE if the request may have run, or its open dispatch may run. */
 static gboolean may_have_run(const Request *request) {
   return request->runs > 0 ||
          (request->phase == PHASE_RUN && request->open.number != 0);
 }
 
 void finish_expire(Router *router, Request *request, gint64 now) {
-  gboolean may = may_have_run(request);
+  gboolean may_run = may_have_run(request);
   prefill_drop_handle(router, request, now);
   if (request->head_sent)
     break_off(router, request, "timeout");
-  else if (may)
+  else if (may_run)
     finish_refuse(router, request, REFUSAL_TIMEOUT);
   else
     finish_refuse(router, request, REFUSAL_NOT_RUN);
@@ -154,5 +158,5 @@
              request->id, (int)((now - request->arrived) / MP_MS),
              request->runs);
   prefill_drop_handle(router, request, now);
-  forget(router, request);
+  request_drop(router, request);
 }
--- a/router/gate.c
+++ b/router/gate.c
@@ -1,6 +1,6 @@
 /*
 ** gate.c
-** May something be sent to an endpoint now?
+** Decides whether a dispatch may go to an endpoint now
 */
 
 #define XXH_INLINE_ALL
@@ -8,17 +8,22 @@
 
 #include "router/gate.h"
 
-/* of the connections that an endpoint takes, new ones are opened up to this
-** share: others open some before this instance hears of them */
-#define OPENED_SHARE 0.92
-/* beyond this share, instances keep no more than an even part of it */
-#define KEPT_SHARE 0.7
+/* New connections are opened while the endpoint has less than this share of
+** the connections that it accepts, because other instances open some before
+** this one hears of them. */
+#define OPEN_NEW_SHARE 0.92
+/* While an endpoint has more than this share of the connections that it
+** accepts, each instance keeps at most an equal part of that share. */
+#define KEEP_ALL_SHARE 0.7
 
-static gboolean may_leave(DispatchKind kind) {
+/* Returns TRUE if a dispatch of this kind may go to a leaving endpoint. */
+static gboolean may_send_while_leaving(DispatchKind kind) {
   return kind == DISPATCH_RELEASE || kind == DISPATCH_CHECK;
 }
 
-static gboolean may_disturb(const Availability *known, DispatchKind kind) {
+/* Returns TRUE if a dispatch of this kind may go to a resting endpoint. */
+static gboolean may_send_in_rest(const Availability *known,
+                                 DispatchKind kind) {
   return kind == DISPATCH_CHECK ||
          (kind == DISPATCH_RELEASE && !known->has_dispatch_in_rest);
 }
@@ -26,16 +31,19 @@
 GateVerdict gate_check(const Endpoint *endpoint, DispatchKind kind,
                        gint64 now) {
   const Availability *known = &endpoint->availability;
-  if (endpoint_is_leaving(endpoint) && !may_leave(kind))
+  if (endpoint_is_leaving(endpoint) && !may_send_while_leaving(kind))
     return GATE_LEAVING;
-  if (availability_rest_remaining(known, now) > 0 && !may_disturb(known, kind))
+  if (availability_rest_remaining(known, now) > 0 &&
+      !may_send_in_rest(known, kind))
     return GATE_RESTING;
   return GATE_OPEN;
 }
 
-/* from 0 to 1; another one for each connection, and after each delay */
-static double draw(const Endpoint *endpoint, const GateLimits *limits,
-                   gint64 now) {
+/* Returns a pseudo-random number from 0 to less than 1. It depends on the
+** instance (by the seed), on the endpoint and on the connections that this
+** instance has there, and changes once in each period of sharers.delay. */
+static double draw_fraction(const Endpoint *endpoint, const GateLimits *limits,
+                            gint64 now) {
   guint64 from[3] = {endpoint->hash, endpoint->connections,
                      (guint64)(now / limits->sharers.delay)};
   guint64 drawn = XXH3_64bits_withSeed(from, sizeof from, limits->seed);
@@ -43,26 +51,28 @@
 }
 
 /*
-** A resting connection of ours is used; a new one must find room among those
-** of all instances. While others may open some before this instance hears of
-** it, it takes its part of the room by chance, as with named rates.
+** Returns TRUE if a dispatch may use a connection to the endpoint. An idle
+** connection of this instance may be used always; a new one must fit among
+** those of all instances. Other instances may open connections before this one
+** hears of them, so it takes a random share of the remaining room, as it does
+** with named rates (router/rate_limits.h).
 */
-static gboolean may_connect(const EndpointTable *table,
-                            const Endpoint *endpoint, const GateLimits *limits,
-                            gint64 now) {
-  double room;
+static gboolean may_use_connection(const EndpointTable *table,
+                                   const Endpoint *endpoint,
+                                   const GateLimits *limits, gint64 now) {
+  double remaining;
   if (limits->connections_max == 0 || endpoint->resting > 0)
     return TRUE;
-  room = OPENED_SHARE * limits->connections_max -
-         endpoint_connections(table, endpoint);
-  return room > 0 &&
-         draw(endpoint, limits, now) < room / (1 + limits->sharers.rivals);
+  remaining = OPEN_NEW_SHARE * limits->connections_max -
+              endpoint_connections(table, endpoint);
+  return remaining > 0 && draw_fraction(endpoint, limits, now) <
+                              remaining / (1 + limits->sharers.rivals);
 }
 
 GateVerdict gate_check_limits(const EndpointTable *table,
                               const Endpoint *endpoint,
                               const GateLimits *limits, gint64 now) {
-  if (!may_connect(table, endpoint, limits, now))
+  if (!may_use_connection(table, endpoint, limits, now))
     return GATE_CONNECTIONS;
   if (limits->rates == NULL ||
       rate_limits_allow(limits->rates, endpoint->hash, &limits->sharers, now))
@@ -73,7 +83,7 @@
 gboolean gate_keeps_connection(const EndpointTable *table,
                                const Endpoint *endpoint, guint connections_max,
                                guint instances) {
-  double most = KEPT_SHARE * connections_max;
+  double most = KEEP_ALL_SHARE * connections_max;
   if (connections_max == 0 ||
       endpoint_connections(table, endpoint) <= (guint)most)
     return TRUE;
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -83,16 +83,16 @@
 
 /* is there an endpoint beside those that failed and the open run's own? */
 static gboolean has_elsewhere(Router *router, Request *request, gint64 now) {
-  EndpointQuery wish =
+  EndpointQuery query =
       path_query(router, request, path_run_stage(request), now);
   const char *others[EXCLUDED_ENDPOINTS_MAX + 1];
   guint i;
   for (i = 0; i < request->excluded_count; i++)
     others[i] = request->excluded[i];
   others[i++] = request->open.endpoint;
-  wish.excluded = others;
-  wish.excluded_count = i;
-  return endpoint_table_choose(router->endpoints, &wish, now) != NULL;
+  query.excluded = others;
+  query.excluded_count = i;
+  return endpoint_table_choose(router->endpoints, &query, now) != NULL;
 }
 
 /*
--- a/router/path.c
+++ b/router/path.c
@@ -24,16 +24,16 @@
 
 EndpointQuery path_query(Router *router, const Request *request,
                          EndpointStage stage, gint64 now) {
-  EndpointQuery wish = {0};
-  wish.service = request->service->name;
-  wish.stage = stage;
-  wish.capacity = request->service->kv_tokens;
-  wish.tokens = estimate_memory(router, request);
-  wish.excluded = (const char *const *)request->excluded;
-  wish.excluded_count = request->excluded_count;
-  wish.spread = (guint64)g_rand_int(router->random) + 1;
-  wish.limits = rates_limits(router, request->service, now);
-  return wish;
+  EndpointQuery query = {0};
+  query.service = request->service->name;
+  query.stage = stage;
+  query.capacity = request->service->kv_tokens;
+  query.tokens = estimate_memory(router, request);
+  query.excluded = (const char *const *)request->excluded;
+  query.excluded_count = request->excluded_count;
+  query.spread = (guint64)g_rand_int(router->random) + 1;
+  query.limits = rates_limits(router, request->service, now);
+  return query;
 }
 
 void path_exclude(Request *request, const char *endpoint) {
@@ -178,16 +178,16 @@
 static Endpoint *choose_with_room(Router *router, const Request *request,
                                   gint64 now) {
   EndpointStage stage = path_run_stage(request);
-  EndpointQuery wish = path_query(router, request, stage, now);
+  EndpointQuery query = path_query(router, request, stage, now);
   Endpoint *endpoint = reserved_decode(router, request, now);
   if (endpoint != NULL && !is_overbooked(router, request, endpoint))
     return endpoint;
-  wish.must_fit = stage == STAGE_DECODE;
-  return endpoint_table_choose(router->endpoints, &wish, now);
+  query.must_fit = stage == STAGE_DECODE;
+  return endpoint_table_choose(router->endpoints, &query, now);
 }
 
 static Endpoint *choose(Router *router, const Request *request, gint64 now) {
-  EndpointQuery wish =
+  EndpointQuery query =
       path_query(router, request, path_run_stage(request), now);
   Endpoint *endpoint = reserved_decode(router, request, now);
   Endpoint *other = choose_with_room(router, request, now);
@@ -195,8 +195,8 @@
     return other;
   if (endpoint != NULL)
     return endpoint;
-  wish.must_fit = FALSE;
-  return endpoint_table_choose(router->endpoints, &wish, now);
+  query.must_fit = FALSE;
+  return endpoint_table_choose(router->endpoints, &query, now);
 }
 
 /*
--- a/router/patience.c
+++ b/router/patience.c
@@ -1,19 +1,20 @@
 /*
 ** patience.c
-** How long callers wait for an answer, by route
+** The longest request timeout that callers of a route had lately
 */
 
 #include "router/patience.h"
 
-/* the longest time in this window and in the one before */
+/* The longest patience of a route in the current window and in the one before
+** it, in microseconds. */
 typedef struct Row {
-  gint64 began; /* this window */
-  gint64 longest;
-  gint64 before;
+  gint64 began;    /* start of the current window */
+  gint64 longest;  /* in the current window */
+  gint64 previous; /* in the window before; 0: none */
 } Row;
 
 struct PatienceTable {
-  GHashTable *rows; /* name of a route -> Row */
+  GHashTable *rows; /* route name (owned) -> Row (owned) */
 };
 
 PatienceTable *patience_table_new(void) {
@@ -27,26 +28,31 @@
   g_free(table);
 }
 
-static gboolean is_over(gpointer name, gpointer value, gpointer now) {
+/* Matches rows whose window began two windows ago or earlier: nothing in them
+** counts any more. */
+static gboolean is_stale(gpointer name, gpointer value, gpointer now) {
   const Row *row = value;
   (void)name;
   return *(gint64 *)now - row->began >= 2 * PATIENCE_WINDOW;
 }
 
-/* routes come and go: a new one takes those along that nobody asks for */
+/* Adds a row for the route. Rows of routes that get no requests any more are
+** removed on this occasion, so the table does not grow as routes come and go.
+*/
 static Row *row_new(PatienceTable *table, const char *route, gint64 now) {
   Row *row = g_new0(Row, 1);
-  g_hash_table_foreach_remove(table->rows, is_over, &now);
+  g_hash_table_foreach_remove(table->rows, is_stale, &now);
   row->began = now;
   g_hash_table_insert(table->rows, g_strdup(route), row);
   return row;
 }
 
-static void turn(Row *row, gint64 now) {
+/* Starts a new window if the current one is PATIENCE_WINDOW old. */
+static void rotate_window(Row *row, gint64 now) {
   gint64 age = now - row->began;
   if (age < PATIENCE_WINDOW)
     return;
-  row->before = age < 2 * PATIENCE_WINDOW ? row->longest : 0;
+  row->previous = age < 2 * PATIENCE_WINDOW ? row->longest : 0;
   row->longest = 0;
   row->began = now;
 }
@@ -56,7 +62,7 @@
   Row *row = g_hash_table_lookup(table->rows, route);
   if (row == NULL)
     row = row_new(table, route, now);
-  turn(row, now);
+  rotate_window(row, now);
   row->longest = MAX(row->longest, patience);
-  return MAX(row->longest, row->before);
+  return MAX(row->longest, row->previous);
 }
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -114,7 +114,7 @@
 }
 
 gboolean prefill_begin(Router *router, Request *request, gint64 now) {
-  EndpointQuery wish = path_query(router, request, STAGE_PREFILL, now);
+  EndpointQuery query = path_query(router, request, STAGE_PREFILL, now);
   const Endpoint *decode =
       request->decode != NULL
           ? endpoint_table_get(router->endpoints, request->decode)
@@ -129,13 +129,13 @@
       !endpoint_table_has_usable(router->endpoints, request->service->name,
                                  STAGE_PREFILL, now))
     return FALSE;
-  wish.tokens = request->prompt_tokens;
-  wish.zone = decode != NULL ? decode->record.zone : NULL;
-  wish.affinity = request->session;
-  wish.affinity_overrides_load = request->resumes;
+  query.tokens = request->prompt_tokens;
+  query.zone = decode != NULL ? decode->record.zone : NULL;
+  query.affinity = request->session;
+  query.affinity_overrides_load = request->resumes;
   prefill = earlier_reader(router, request, now);
   if (prefill == NULL)
-    prefill = endpoint_table_choose(router->endpoints, &wish, now);
+    prefill = endpoint_table_choose(router->endpoints, &query, now);
   if (prefill == NULL || !path_send(router, request, DISPATCH_PREFILL, prefill,
                                     request->prompt_tokens, now))
     return FALSE;
--- a/router/shortage.c
+++ b/router/shortage.c
@@ -1,11 +1,12 @@
 /*
 ** shortage.c
-** Endpoints want fewer requests than there are
+** Handles a shortage: endpoints accept fewer requests than there are
 **
-** They ask for rest, or name a rate. Who can't be served for it hears so at
-** once, with when an endpoint is likely to take a request; callers who are
-** told the same moment come back spread over as long as they were held off, so
-** that they do not meet the endpoints as one wave.
+** Endpoints announce a rest (router/availability.h) or name a rate
+** (router/rate_limits.h). A caller that cannot be served for this reason is
+** refused at once and told when an endpoint is likely to accept a request.
+** These times are spread at random over about as long as the caller has to
+** wait, so that the callers do not come back to the endpoints in one wave.
 */
 
 #include <string.h>
@@ -13,23 +14,27 @@
 #include "router/gate.h"
 #include "router/state.h"
 
-/* requests that wait for an engine look again this often while one of them
-** rests or names a rate: that ends with time alone */
-#define LOOK_AGAIN (50 * MP_MS)
-/* who is refused comes back after this at least, and each at another moment */
-#define COME_BACK_LEAST (100 * MP_MS)
-#define SPREAD_LEAST (400 * MP_MS)
+/* Requests that wait for an engine are checked again this often while any
+** endpoint rests or names a rate: no event tells when that ends. */
+#define RECHECK_INTERVAL (50 * MP_MS)
+/* A refused caller is told to come back after the expected wait, at least
+** RETRY_AFTER_MIN, plus a random part of that wait or of RETRY_SPREAD_MIN,
+** whichever is longer. */
+#define RETRY_AFTER_MIN (100 * MP_MS)
+#define RETRY_SPREAD_MIN (400 * MP_MS)
 
-/* an endpoint that could run the request, but for what it said */
-static gboolean is_member(const Endpoint *endpoint, const Request *request) {
+/* Returns TRUE if the endpoint could run the request, apart from its rest,
+** rate and connections. */
+static gboolean could_run(const Endpoint *endpoint, const Request *request) {
   return strcmp(endpoint->record.service, request->service->name) == 0 &&
          endpoint->record.stage == path_run_stage(request) &&
          !endpoint_is_leaving(endpoint);
 }
 
-/* until the endpoint is likely to take a request; 0: it said nothing */
-static gint64 wait_at(Router *router, const Endpoint *endpoint,
-                      const GateLimits *limits, gint64 now) {
+/* Returns for how long the endpoint is likely to accept no request, in us; 0
+** if it has announced neither a rest nor a rate that forbids one now. */
+static gint64 endpoint_wait(Router *router, const Endpoint *endpoint,
+                            const GateLimits *limits, gint64 now) {
   gint64 wait = availability_rest_remaining(&endpoint->availability, now);
   if (limits->rates == NULL ||
       rate_limits_of(limits->rates, endpoint->hash) < 0)
@@ -38,31 +43,33 @@
                                     &limits->sharers, now));
 }
 
-/* the endpoint that is likely to take a request first, of those that said
-** something; NULL: none did */
-static const Endpoint *first_to_take(Router *router, const Request *request,
-                                     gint64 *wait, gint64 now) {
+/* Returns the endpoint that is likely to accept a request first, and sets
+** '*wait' to the time until then, among those that make the request wait; NULL
+** if none does. */
+static const Endpoint *first_to_accept(Router *router, const Request *request,
+                                       gint64 *wait, gint64 now) {
   GateLimits limits = rates_limits(router, request->service, now);
   const GPtrArray *all = router->endpoints->all;
   const Endpoint *first = NULL;
   guint i;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    gint64 own;
-    if (!is_member(endpoint, request))
+    gint64 own_wait;
+    if (!could_run(endpoint, request))
       continue;
-    own = wait_at(router, endpoint, &limits, now);
-    if (own == 0 || (first != NULL && own >= *wait))
+    own_wait = endpoint_wait(router, endpoint, &limits, now);
+    if (own_wait == 0 || (first != NULL && own_wait >= *wait))
       continue;
     first = endpoint;
-    *wait = own;
+    *wait = own_wait;
   }
   return first;
 }
 
-/* does an endpoint that could run it take no more connections? */
-static gboolean is_crowded(Router *router, const Request *request,
-                           gint64 now) {
+/* Returns TRUE if an endpoint that could run the request accepts no more
+** connections. */
+static gboolean has_full_endpoint(Router *router, const Request *request,
+                                  gint64 now) {
   GateLimits limits = rates_limits(router, request->service, now);
   const GPtrArray *all = router->endpoints->all;
   guint i;
@@ -70,7 +77,7 @@
     return FALSE;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    if (is_member(endpoint, request) &&
+    if (could_run(endpoint, request) &&
         gate_check_limits(router->endpoints, endpoint, &limits, now) ==
             GATE_CONNECTIONS)
       return TRUE;
@@ -80,33 +87,33 @@
 
 void shortage_record(Router *router, Request *request, gint64 now) {
   gint64 wait = 0;
-  const Endpoint *first = first_to_take(router, request, &wait, now);
+  const Endpoint *first = first_to_accept(router, request, &wait, now);
   double spread = g_rand_double(router->random);
   request->has_shortage = first != NULL;
   if (first == NULL) {
-    request->was_rejected |= is_crowded(router, request, now);
+    request->was_rejected |= has_full_endpoint(router, request, now);
     return;
   }
   request->shortage_reason =
       availability_rest_remaining(&first->availability, now) > 0
           ? REFUSAL_REST
           : REFUSAL_RATE;
-  request->come_back = MAX(wait, COME_BACK_LEAST) +
-                       (gint64)(spread * (double)MAX(wait, SPREAD_LEAST));
+  request->come_back = MAX(wait, RETRY_AFTER_MIN) +
+                       (gint64)(spread * (double)MAX(wait, RETRY_SPREAD_MIN));
 }
 
 gboolean shortage_outlasts(const Router *router, const Request *request,
-                           gint64 span, gint64 now) {
+                           gint64 duration, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   gboolean found = FALSE;
-  gint64 left;
+  gint64 remaining;
   guint i;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    if (!is_member(endpoint, request))
+    if (!could_run(endpoint, request))
       continue;
-    left = availability_rest_remaining(&endpoint->availability, now);
-    if (left == 0 || left <= span)
+    remaining = availability_rest_remaining(&endpoint->availability, now);
+    if (remaining == 0 || remaining <= duration)
       return FALSE;
     found = TRUE;
   }
@@ -120,5 +127,5 @@
   if (!needed)
     router->shortage_recheck_at = 0;
   else if (router->shortage_recheck_at <= now)
-    router->shortage_recheck_at = now + LOOK_AGAIN;
+    router->shortage_recheck_at = now + RECHECK_INTERVAL;
 }
--- a/router/stage_plan.h
+++ b/router/stage_plan.h
@@ -1,11 +1,16 @@
 /*
 ** stage_plan.h
-** How many engines of a service should read prompts, how many decode
+** Computes how many engines of a service should change their stage
 **
-** Both stages should run full at the same load: then none of them stands
-** idle while requests wait for the other. What one decode engine, full,
-** asks of the prefill engines is measured, so the plan does not depend on
-** how much traffic there is, only on its mix of prompts and answers.
+** An engine is in one of two stages: it either prefills (reads prompts) or
+** decodes (generates tokens). The plan aims at filling both stages at the same
+** load, so that neither is idle while requests wait for the other. It uses the
+** measured work that one full decode engine causes at the prefill engines;
+** therefore it depends only on the mix of prompts and answers and not on the
+** amount of traffic.
+**
+** stages.c calls this with the averaged use of a service. The function has no
+** state and does not fail.
 */
 
 #ifndef ROUTER_STAGE_PLAN_H
@@ -13,22 +18,24 @@
 
 #include <glib.h>
 
-/* how the engines of a service are used */
+/* How the engines of one service are used. */
 typedef struct StageUse {
-  guint prefill;       /* engines that read prompts, or soon will */
-  guint decode;        /* engines that decode, or soon will */
-  guint zones;         /* data centres that have engines */
-  double prefill_busy; /* engines reading a prompt, on average */
-  double prompts;      /* at prefill engines, waiting ones too, on average */
-  double decode_used;  /* memory of runs, in whole engines, on average */
-  gboolean waiting;    /* requests wait for room */
+  guint prefill;       /* engines that prefill, or will after a change that is
+                       ** under way */
+  guint decode;        /* likewise engines that decode */
+  guint zones;         /* data centres that have engines of the service */
+  double prefill_busy; /* engines that are reading a prompt; stages.c gives the
+                       ** slowly falling peak of the average */
+  double prompts;      /* prompts at the prefill engines, queued ones too;
+                       ** averaged */
+  double decode_used;  /* memory of the runs, in units of the memory of one
+                       ** engine; averaged */
+  gboolean waiting;    /* requests wait for room at a decode engine */
 } StageUse;
 
-/*
-** Engines that should change their stage: as many (positive) from prefill
-** to decode, or (negative) from decode to prefill; 0 when a change would
-** gain nothing.
-*/
+/* Returns how many engines should change their stage: a positive number from
+** prefill to decode, a negative one from decode to prefill, 0 if no change is
+** worth it. */
 int stage_plan(const StageUse *use);
 
 #endif
--- a/router/stages.c
+++ b/router/stages.c
@@ -1,6 +1,6 @@
 /*
 ** stages.c
-** Orders to engines to change their stage
+** Changes the stages of engines: plans changes and orders them
 */
 
 #include <math.h>
@@ -11,62 +11,79 @@
 #include "router/stages.h"
 #include "router/state.h"
 
-/* instances that watch the use of the engines: the rest only if these fail */
-#define CANDIDATES 5
-/* below so many engines' worth of runs a service counts as idle */
-#define LEAST_USE 0.3
-/* time between two looks at the use, and over which it is averaged */
-#define LOOK (200 * MP_MS)
-#define AVERAGE (4 * MP_SEC)
-/* the use of the prefill stage counts from its peak, which falls so slowly:
-** when requests stop coming it is idle at once, while the runs they left go
-** on for seconds, and the ratio of the two says nothing (after 4 s without
-** the store 7 prefill engines were taken away, and prompts then queued 1.3 to
-** 2.1 s instead of 0.2 s until 12 s later) */
+/* Only this many live instances with the smallest addresses review the use of
+** the engines; others do so if these fail. */
+#define REVIEWERS_MAX 5
+/* A service whose runs use less memory than this, in units of one engine's,
+** counts as idle. */
+#define USED_ENGINES_MIN 0.3
+/* interval between two reviews of the use */
+#define REVIEW_INTERVAL (200 * MP_MS)
+/* time constant of the averages of the use */
+#define AVERAGE_TIME (4 * MP_SEC)
+/* The use of the prefill stage counts by its peak, which decays with this time
+** constant. When requests stop coming, prefill engines are idle at once while
+** the runs that they started go on for seconds, so the ratio of the two means
+** nothing. Without the peak, 4 s without the store took 7 prefill engines
+** away, and prompts then queued for 1.3 to 2.1 s instead of 0.2 s until 12 s
+** later. */
 #define PEAK_DECAY (10 * MP_SEC)
-/* a need must last so long, and longer for each candidate before this one */
-#define NEED_LASTS (600 * MP_MS)
-#define NEED_LASTS_BACK (1500 * MP_MS)
-#define NEED_LASTS_EACH (1500 * MP_MS)
-/* the others hear of a change before it is ordered */
-#define ANNOUNCE (200 * MP_MS)
-/* most engines that change at a time: a digest names no more of them */
-#define MOST_MOVES MP_DIGEST_CHANGING
-/* rest after a round of orders, until its effect shows */
-#define ROUND_REST (2 * MP_SEC)
-/* streams must have run so long before their use says anything: it lags
-** behind that of the prefill engines by the length of a stream */
-#define SETTLE (3 * MP_SEC)
-/* an engine that did not take an order is left alone so long */
-#define REFUSED_REST (10 * MP_SEC)
-/* time to connect to an engine; the lease must last longer than that */
-#define ORDER_CONNECT (400 * MP_MS)
+/* A need to change engines from prefill to decode (NEED_TIME_MIN) or from
+** decode to prefill (NEED_TIME_MIN_BACK) must last this long before an
+*instance acts,
+** and NEED_TIME_PER_INSTANCE longer for each live instance with a smaller
+*address. */
+#define NEED_TIME_MIN (600 * MP_MS)
+#define NEED_TIME_MIN_BACK (1500 * MP_MS)
+#define NEED_TIME_PER_INSTANCE (1500 * MP_MS)
+/* An engine is asked for its state this long after it was named in the load
+** digests, so that the other instances know of the change before. */
+#define ANNOUNCE_TIME (200 * MP_MS)
+/* the most engines that change at a time, because a digest names no more */
+#define CHANGES_MAX MP_DIGEST_CHANGING
+/* pause after a round of changes, until its effect shows */
+#define ROUND_PAUSE (2 * MP_SEC)
+/* A service must have been in use this long before its use is acted on: the
+** use of the decode engines lags behind that of the prefill engines by the
+** length of a stream. */
+#define SETTLE_TIME (3 * MP_SEC)
+/* An engine whose change was abandoned, for example because it rejected the
+** order, gets no order from this instance for this long. */
+#define REJECTED_PAUSE (10 * MP_SEC)
+/* Timeout for connecting to an engine; the lease must be held for
+** ORDER_MARGIN more when an order is sent, which is longer. */
+#define ORDER_CONNECT_TIMEOUT (400 * MP_MS)
 #define ORDER_MARGIN (600 * MP_MS)
-/* the lease must last for a whole round */
+/* The lease must be held for this much longer when a round begins. */
 #define ROUND_MARGIN (1500 * MP_MS)
-/* a change that is not listed after so many switch times, and this, failed */
-#define SWITCH_PATIENCE 2
+/* A change counts as failed if the platform does not list the new stage after
+** SWITCH_TIMES_MAX times Service.switch_time plus SWITCH_GRACE. */
+#define SWITCH_TIMES_MAX 2
 #define SWITCH_GRACE (5 * MP_SEC)
 
-typedef enum MoveStep { MOVE_NAMED, MOVE_ASKED, MOVE_ORDERED } MoveStep;
+typedef enum ChangeStep {
+  CHANGE_NAMED,  /* named in the digests; nothing is sent yet */
+  CHANGE_ASKED,  /* a REPORT dispatch is open */
+  CHANGE_ORDERED /* an ORDER dispatch is open */
+} ChangeStep;
 
-/* one engine on its way to another stage */
-typedef struct Move {
+/* The change of one engine to another stage, until its order is answered. */
+typedef struct StageChange {
   char *endpoint;
   EndpointStage to;
   gint64 switch_time;
-  MoveStep step;
-  gint64 due; /* NAMED: ask then */
-  guint64 dispatch;
-} Move;
+  ChangeStep step;
+  gint64 due;       /* NAMED: when to ask for the state */
+  guint64 dispatch; /* ASKED, ORDERED: the open dispatch */
+} StageChange;
 
-/* averages of one service's use */
+/* Averages of one service's use; units as in StageUse. */
 typedef struct UseAverage {
   double prefill_busy, prompts, decode_used;
-  double prefill_peak; /* of prefill_busy, lately */
-  gint64 looked_at;
-  gint64 used_from;   /* the service has been in use since then */
-  gint64 needed_from; /* a change has been due since then; 0: none is */
+  double prefill_peak; /* decaying peak of the average prefill_busy */
+  gint64 updated_at;   /* when the averages were last updated */
+  gint64 used_from;    /* since when the service has been in use */
+  gint64 needed_from;  /* since when a change has been needed; 0: none is */
 } UseAverage;
 
 struct Stages {
@@ -74,21 +91,21 @@
   mp_Addr self;
   char *holder;
   Lease lease;
-  LeaseRecord record; /* of the call that is out */
-  GHashTable *uses;   /* service -> UseAverage */
-  GPtrArray *moves;   /* Move */
-  gint64 next_look;
-  gint64 rest_until;
+  LeaseRecord record; /* of the open call to the store */
+  GHashTable *uses;   /* service name -> UseAverage; both owned */
+  GPtrArray *changes; /* StageChange; owned */
+  gint64 next_review; /* time of the next review of the use */
+  gint64 pause_until; /* end of the pause after a round of changes */
 };
 
 static const char *stage_name(EndpointStage stage) {
   return stage == STAGE_DECODE ? "decode" : "prefill";
 }
 
-static void move_free(gpointer p) {
-  Move *move = p;
-  g_free(move->endpoint);
-  g_free(move);
+static void change_free(gpointer p) {
+  StageChange *change = p;
+  g_free(change->endpoint);
+  g_free(change);
 }
 
 Stages *stages_new(Router *router, const char *holder, mp_Addr self,
@@ -100,17 +117,17 @@
   lease_init(&stages->lease, holder, lease_length, now);
   stages->uses =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  stages->moves = g_ptr_array_new_with_free_func(move_free);
+  stages->changes = g_ptr_array_new_with_free_func(change_free);
   /* a young instance has not heard of the others yet */
-  stages->rest_until = now + ROUND_REST;
-  stages->next_look = lease_length > 0 ? now : G_MAXINT64;
+  stages->pause_until = now + ROUND_PAUSE;
+  stages->next_review = lease_length > 0 ? now : G_MAXINT64;
   return stages;
 }
 
 void stages_free(Stages *stages) {
   lease_clear(&stages->lease);
   g_hash_table_destroy(stages->uses);
-  g_ptr_array_free(stages->moves, TRUE);
+  g_ptr_array_free(stages->changes, TRUE);
   g_free(stages->holder);
   g_free(stages);
 }
@@ -121,24 +138,26 @@
 ** ===================================================================
 */
 
-/* the stage that it has, or will have */
-static EndpointStage coming_stage(const Stages *stages,
-                                  const Endpoint *endpoint, gint64 now) {
+/* Returns the stage that the engine has after the change that is under way, if
+** there is one. */
+static EndpointStage planned_stage(const Stages *stages,
+                                   const Endpoint *endpoint, gint64 now) {
   EndpointStage stage = endpoint->record.stage;
   if (!endpoint_is_changing_stage(stages->router->endpoints, endpoint, now))
     return stage;
   return stage == STAGE_PREFILL ? STAGE_DECODE : STAGE_PREFILL;
 }
 
+/* Returns TRUE if the endpoint is an engine of the service and not leaving. */
 static gboolean is_counted(const Endpoint *endpoint, const Service *service) {
   return !endpoint_is_leaving(endpoint) &&
          endpoint->record.stage != STAGE_NONE &&
          strcmp(endpoint->record.service, service->name) == 0;
 }
 
-/* what the engines do at this moment */
-static StageUse look(const Stages *stages, const Service *service,
-                     gint64 now) {
+/* Returns the use of the engines at this moment. */
+static StageUse current_use(const Stages *stages, const Service *service,
+                            gint64 now) {
   const EndpointTable *table = stages->router->endpoints;
   GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
   double run_share = estimate_mean_memory(stages->router, service) /
@@ -150,7 +169,7 @@
     if (!is_counted(endpoint, service))
       continue;
     g_hash_table_add(zones, endpoint->record.zone);
-    if (coming_stage(stages, endpoint, now) == STAGE_PREFILL)
+    if (planned_stage(stages, endpoint, now) == STAGE_PREFILL)
       use.prefill++;
     else
       use.decode++;
@@ -167,29 +186,30 @@
   return use;
 }
 
+/* Returns the averages of a service; new ones are all zero. */
 static UseAverage *average_of(Stages *stages, const Service *service,
                               gint64 now) {
   UseAverage *average = g_hash_table_lookup(stages->uses, service->name);
   if (average == NULL) {
     average = g_new0(UseAverage, 1);
-    average->looked_at = now;
+    average->updated_at = now;
     average->used_from = now;
     g_hash_table_insert(stages->uses, g_strdup(service->name), average);
   }
   return average;
 }
 
-/* the present use goes into the averages, and they into it */
-static void smooth(UseAverage *average, StageUse *use, gint64 now) {
-  double age = (double)(now - average->looked_at);
-  double weight = 1 - exp(-age / AVERAGE);
+/* Updates the averages with the current use, then replaces it by them. */
+static void update_average(UseAverage *average, StageUse *use, gint64 now) {
+  double age = (double)(now - average->updated_at);
+  double weight = 1 - exp(-age / AVERAGE_TIME);
   average->prefill_busy +=
       weight * (use->prefill_busy - average->prefill_busy);
   average->prompts += weight * (use->prompts - average->prompts);
   average->decode_used += weight * (use->decode_used - average->decode_used);
   average->prefill_peak = MAX(average->prefill_busy,
                               average->prefill_peak * exp(-age / PEAK_DECAY));
-  average->looked_at = now;
+  average->updated_at = now;
   use->prefill_busy = average->prefill_peak;
   use->prompts = average->prompts;
   use->decode_used = average->decode_used;
@@ -203,17 +223,17 @@
 ** ===================================================================
 */
 
-static gboolean is_moving(const Stages *stages, const char *endpoint) {
+static gboolean has_change(const Stages *stages, const char *endpoint) {
   guint i;
-  for (i = 0; i < stages->moves->len; i++) {
-    if (strcmp(((const Move *)stages->moves->pdata[i])->endpoint, endpoint) ==
-        0)
+  for (i = 0; i < stages->changes->len; i++) {
+    if (strcmp(((const StageChange *)stages->changes->pdata[i])->endpoint,
+               endpoint) == 0)
       return TRUE;
   }
   return FALSE;
 }
 
-/* engines of that stage in a zone */
+/* Returns how many engines of a data centre have or will have that stage. */
 static guint count_in_zone(const Stages *stages, const Service *service,
                            EndpointStage stage, const char *zone, gint64 now) {
   const EndpointTable *table = stages->router->endpoints;
@@ -223,14 +243,16 @@
     const Endpoint *endpoint = table->all->pdata[i];
     count += is_counted(endpoint, service) &&
              strcmp(endpoint->record.zone, zone) == 0 &&
-             coming_stage(stages, endpoint, now) == stage;
+             planned_stage(stages, endpoint, now) == stage;
   }
   return count;
 }
 
-/* the best engine to change: of the zone that has most, least at work */
-static Endpoint *pick(const Stages *stages, const Service *service,
-                      EndpointStage from, gint64 now) {
+/* Returns the best engine to change: in the data centre that has most engines
+** of the stage, the one with the fewest planned tokens. The last engine of a
+** stage in a data centre is never chosen. NULL if there is none. */
+static Endpoint *choose_engine(const Stages *stages, const Service *service,
+                               EndpointStage from, gint64 now) {
   const EndpointTable *table = stages->router->endpoints;
   Endpoint *best = NULL;
   guint best_count = 0;
@@ -244,7 +266,7 @@
         endpoint_is_changing_stage(table, endpoint, now) ||
         endpoint->avoid_until > now || endpoint->no_order_before > now ||
         gate_check(endpoint, DISPATCH_REPORT, now) != GATE_OPEN ||
-        is_moving(stages, endpoint->record.id))
+        has_change(stages, endpoint->record.id))
       continue;
     count = count_in_zone(stages, service, from, endpoint->record.zone, now);
     if (count < 2 ||
@@ -258,94 +280,102 @@
   return best;
 }
 
-static void name_move(Stages *stages, Endpoint *endpoint, EndpointStage to,
-                      const Service *service, gint64 now) {
-  Move *move = g_new0(Move, 1);
-  move->endpoint = g_strdup(endpoint->record.id);
-  move->to = to;
-  move->switch_time = service->switch_time;
-  move->due = now + ANNOUNCE;
+/* Begins the change of an engine: names it in the digests. */
+static void start_change(Stages *stages, Endpoint *endpoint, EndpointStage to,
+                         const Service *service, gint64 now) {
+  StageChange *change = g_new0(StageChange, 1);
+  change->endpoint = g_strdup(endpoint->record.id);
+  change->to = to;
+  change->switch_time = service->switch_time;
+  change->due = now + ANNOUNCE_TIME;
   endpoint->changing_to = to;
   endpoint->changing_until =
-      now + SWITCH_PATIENCE * service->switch_time + SWITCH_GRACE;
-  g_ptr_array_add(stages->moves, move);
+      now + SWITCH_TIMES_MAX * service->switch_time + SWITCH_GRACE;
+  g_ptr_array_add(stages->changes, change);
   stages->router->load_version++;
 }
 
+/* Begins changes of up to 'wanted' engines: from prefill to decode if it is
+** positive, else from decode to prefill. */
 static void begin_round(Stages *stages, const Service *service, int wanted,
                         gint64 now) {
   EndpointStage from = wanted > 0 ? STAGE_PREFILL : STAGE_DECODE;
   EndpointStage to = wanted > 0 ? STAGE_DECODE : STAGE_PREFILL;
-  guint32 hashes[MOST_MOVES];
-  guint changing = stages_list_changing(stages, hashes, MOST_MOVES, now);
-  guint count = MIN((guint)ABS(wanted), MOST_MOVES - changing);
+  guint32 hashes[CHANGES_MAX];
+  guint changing = stages_list_changing(stages, hashes, CHANGES_MAX, now);
+  guint count = MIN((guint)ABS(wanted), CHANGES_MAX - changing);
   guint named = 0;
   Endpoint *endpoint;
   while (named < count &&
-         (endpoint = pick(stages, service, from, now)) != NULL) {
-    name_move(stages, endpoint, to, service, now);
+         (endpoint = choose_engine(stages, service, from, now)) != NULL) {
+    start_change(stages, endpoint, to, service, now);
     named++;
   }
   router_log(stages->router, MP_LOG_ORDER_ROUND,
              " service=%s to=%s wanted=%d named=%u fence=%" G_GINT64_FORMAT,
              service->name, stage_name(to), ABS(wanted), named,
              lease_fence(&stages->lease));
-  stages->rest_until = now + ROUND_REST;
+  stages->pause_until = now + ROUND_PAUSE;
 }
 
-static void take_lease(Stages *stages, gint64 now) {
+/* Tries to acquire the lease, unless a call to the store is open. */
+static void acquire_lease(Stages *stages, gint64 now) {
   StoreCall call;
   if (lease_step(&stages->lease, &call, &stages->record, now))
     stages->router->host.lease_call(stages->router->host.data, &call);
 }
 
-/* how long a need must last until this candidate acts on it */
-static gint64 patience(int wanted, guint before) {
-  gint64 least = wanted < 0 ? NEED_LASTS_BACK : NEED_LASTS;
-  return least + before * NEED_LASTS_EACH;
+/* Returns how long a need must last before this instance acts on it; 'before'
+** live instances have smaller addresses. */
+static gint64 need_time(int wanted, guint before) {
+  gint64 least = wanted < 0 ? NEED_TIME_MIN_BACK : NEED_TIME_MIN;
+  return least + before * NEED_TIME_PER_INSTANCE;
 }
 
-/* since when there are runs at all */
-static void settle(UseAverage *average, const StageUse *use, gint64 now) {
-  if (use->decode_used < LEAST_USE)
+/* Restarts the time in use while the service is idle. */
+static void reset_idle_time(UseAverage *average, const StageUse *use,
+                            gint64 now) {
+  if (use->decode_used < USED_ENGINES_MIN)
     average->used_from = now;
 }
 
-static void look_at(Stages *stages, const Service *service, guint before,
-                    gint64 now) {
+/* Reviews the use of a service and begins a round of changes, or acquires the
+** lease for it, if a need has lasted long enough. */
+static void review_service(Stages *stages, const Service *service,
+                           guint before, gint64 now) {
   UseAverage *average = average_of(stages, service, now);
-  StageUse use = look(stages, service, now);
+  StageUse use = current_use(stages, service, now);
   int wanted;
-  smooth(average, &use, now);
+  update_average(average, &use, now);
   wanted = stage_plan(&use);
-  settle(average, &use, now);
-  if (wanted == 0 || now < stages->rest_until ||
-      now - average->used_from < SETTLE) {
+  reset_idle_time(average, &use, now);
+  if (wanted == 0 || now < stages->pause_until ||
+      now - average->used_from < SETTLE_TIME) {
     average->needed_from = 0;
     return;
   }
   if (average->needed_from == 0)
     average->needed_from = now;
-  if (now - average->needed_from < patience(wanted, before))
+  if (now - average->needed_from < need_time(wanted, before))
     return;
   if (lease_held(&stages->lease, ROUND_MARGIN, now))
     begin_round(stages, service, wanted, now);
   else
-    take_lease(stages, now);
+    acquire_lease(stages, now);
 }
 
-static void look_at_all(Stages *stages, gint64 now) {
+static void review_all(Stages *stages, gint64 now) {
   const RouteTable *routes = stages->router->routes;
   guint before =
       peer_loads_before(stages->router->endpoints->peers, stages->self, now);
   guint i;
-  if (routes == NULL || before >= CANDIDATES || stages->router->stopping)
+  if (routes == NULL || before >= REVIEWERS_MAX || stages->router->stopping)
     return;
   for (i = 0; i < routes->services->len; i++) {
     const Service *service = routes->services->pdata[i];
     if (service->is_engine && service->switch_time > 0 &&
         service->kv_tokens > 0)
-      look_at(stages, service, before, now);
+      review_service(stages, service, before, now);
   }
 }
 
@@ -357,107 +387,117 @@
 ** ===================================================================
 */
 
-static Endpoint *endpoint_of(const Stages *stages, const Move *move) {
-  return endpoint_table_get(stages->router->endpoints, move->endpoint);
+static Endpoint *endpoint_of(const Stages *stages, const StageChange *change) {
+  return endpoint_table_get(stages->router->endpoints, change->endpoint);
 }
 
-/* give the change up; the engine may be sent work again */
-static void give_up(Stages *stages, Move *move, gint64 now) {
-  Endpoint *endpoint = endpoint_of(stages, move);
+/* Ends the change without effect; the engine may be sent work again. */
+static void abandon_change(Stages *stages, StageChange *change, gint64 now) {
+  Endpoint *endpoint = endpoint_of(stages, change);
   if (endpoint != NULL) {
     endpoint->changing_until = 0;
-    endpoint->no_order_before = now + REFUSED_REST;
+    endpoint->no_order_before = now + REJECTED_PAUSE;
   }
   stages->router->load_version++;
-  g_ptr_array_remove(stages->moves, move);
+  g_ptr_array_remove(stages->changes, change);
 }
 
+/* Returns TRUE if the endpoint is listed and the gate allows the dispatch. */
 static gboolean may_send(const Endpoint *endpoint, DispatchKind kind,
                          gint64 now) {
   return endpoint != NULL && gate_check(endpoint, kind, now) == GATE_OPEN;
 }
 
-static void send(Stages *stages, Move *move, Endpoint *endpoint,
+/* Sends an order, or a request for the engine's state if 'order' is NULL. */
+static void send(Stages *stages, StageChange *change, Endpoint *endpoint,
                  const StageOrder *order, gint64 now) {
   Dispatch dispatch = {0};
   dispatch.kind = order != NULL ? DISPATCH_ORDER : DISPATCH_REPORT;
-  dispatch.connect_timeout = ORDER_CONNECT;
+  dispatch.connect_timeout = ORDER_CONNECT_TIMEOUT;
   dispatch.order = order;
-  move->dispatch = dispatcher_send(stages->router, &dispatch, endpoint, now);
+  change->dispatch = dispatcher_send(stages->router, &dispatch, endpoint, now);
 }
 
-static void ask(Stages *stages, Move *move, gint64 now) {
-  Endpoint *endpoint = endpoint_of(stages, move);
+/* Asks a named engine for its state. */
+static void request_report(Stages *stages, StageChange *change, gint64 now) {
+  Endpoint *endpoint = endpoint_of(stages, change);
   if (!may_send(endpoint, DISPATCH_REPORT, now)) {
-    give_up(stages, move, now);
+    abandon_change(stages, change, now);
     return;
   }
-  move->step = MOVE_ASKED;
-  send(stages, move, endpoint, NULL, now);
+  change->step = CHANGE_ASKED;
+  send(stages, change, endpoint, NULL, now);
 }
 
-static void log_order(const Stages *stages, const Move *move,
+static void log_order(const Stages *stages, const StageChange *change,
                       mp_EventNo number, const char *outcome, int status) {
   router_log(stages->router, number,
              " endpoint=%s to=%s outcome=%s status=%d fence=%" G_GINT64_FORMAT,
-             move->endpoint, stage_name(move->to), outcome, status,
+             change->endpoint, stage_name(change->to), outcome, status,
              lease_fence(&stages->lease));
 }
 
-/* the engine has told its state */
-static void asked(Stages *stages, Move *move, const EngineReport *report,
-                  gint64 now) {
-  Endpoint *endpoint = endpoint_of(stages, move);
-  StageOrder order = {move->to, stages->holder, lease_fence(&stages->lease),
+/* Handles the engine's state; 'report' is NULL if there was no answer. Sends
+ *the
+ ** order if the engine can still carry it out and the lease is held, and
+ ** abandons the change if not. */
+static void handle_report(Stages *stages, StageChange *change,
+                          const EngineReport *report, gint64 now) {
+  Endpoint *endpoint = endpoint_of(stages, change);
+  StageOrder order = {change->to, stages->holder, lease_fence(&stages->lease),
                       0};
   if (!may_send(endpoint, DISPATCH_ORDER, now) || report == NULL ||
-      report->busy || report->stage == move->to ||
+      report->busy || report->stage == change->to ||
       !lease_held(&stages->lease, ORDER_MARGIN, now)) {
-    log_order(stages, move, MP_LOG_ORDER_FAIL, "not_sent", 0);
-    give_up(stages, move, now);
+    log_order(stages, change, MP_LOG_ORDER_FAIL, "not_sent", 0);
+    abandon_change(stages, change, now);
     return;
   }
   order.sequence = report->sequence;
-  move->step = MOVE_ORDERED;
+  change->step = CHANGE_ORDERED;
   router_count(stages->router, ORDERS);
-  log_order(stages, move, MP_LOG_ORDER_SENT, "-", 0);
-  send(stages, move, endpoint, &order, now);
+  log_order(stages, change, MP_LOG_ORDER_SENT, "-", 0);
+  send(stages, change, endpoint, &order, now);
 }
 
-/* a newer holder is at work: what is not sent yet is never sent */
-static void stop_all(Stages *stages, gint64 now) {
+/* Gives up the lease and all changes, because a newer holder has been seen at
+** work. */
+static void abandon_all(Stages *stages, gint64 now) {
   lease_lose(&stages->lease, now);
-  while (stages->moves->len > 0)
-    give_up(stages, stages->moves->pdata[0], now);
-}
-
-/* an order without an answer may have been taken, now or later */
-static void ordered(Stages *stages, Move *move, const Outcome *outcome,
-                    gint64 now) {
-  gboolean taken = outcome->kind == OUTCOME_ANSWER &&
-                   (outcome->status == 200 || outcome->status == 202);
-  log_order(stages, move, taken ? MP_LOG_ORDER_DONE : MP_LOG_ORDER_FAIL,
+  while (stages->changes->len > 0)
+    abandon_change(stages, stages->changes->pdata[0], now);
+}
+
+/* Handles the outcome of an order. An order without an answer may have been
+** accepted, or be accepted later, so the engine counts as changing still. */
+static void handle_order_outcome(Stages *stages, StageChange *change,
+                                 const Outcome *outcome, gint64 now) {
+  gboolean is_accepted = outcome->kind == OUTCOME_ANSWER &&
+                         (outcome->status == 200 || outcome->status == 202);
+  log_order(stages, change,
+            is_accepted ? MP_LOG_ORDER_DONE : MP_LOG_ORDER_FAIL,
             outcome_name(outcome->kind), outcome->status);
   if (outcome->kind == OUTCOME_ANSWER && outcome->status == 412)
-    stop_all(stages, now);
-  else if (taken || outcome->kind == OUTCOME_BROKEN)
-    g_ptr_array_remove(stages->moves, move);
+    abandon_all(stages, now);
+  else if (is_accepted || outcome->kind == OUTCOME_BROKEN)
+    g_ptr_array_remove(stages->changes, change);
   else
-    give_up(stages, move, now);
+    abandon_change(stages, change, now);
 }
 
 gboolean stages_handle_outcome(Stages *stages, const Outcome *outcome,
                                gint64 now) {
   guint i;
-  for (i = 0; i < stages->moves->len; i++) {
-    Move *move = stages->moves->pdata[i];
-    if (move->dispatch != outcome->dispatch || move->step == MOVE_NAMED)
+  for (i = 0; i < stages->changes->len; i++) {
+    StageChange *change = stages->changes->pdata[i];
+    if (change->dispatch != outcome->dispatch || change->step == CHANGE_NAMED)
       continue;
-    if (move->step == MOVE_ASKED)
-      asked(stages, move,
-            outcome->kind == OUTCOME_ANSWER ? outcome->report : NULL, now);
+    if (change->step == CHANGE_ASKED)
+      handle_report(stages, change,
+                    outcome->kind == OUTCOME_ANSWER ? outcome->report : NULL,
+                    now);
     else
-      ordered(stages, move, outcome, now);
+      handle_order_outcome(stages, change, outcome, now);
     return TRUE;
   }
   return FALSE;
@@ -467,10 +507,10 @@
 
 void stages_drop_changes(Stages *stages, const char *endpoint) {
   guint i = 0;
-  while (i < stages->moves->len) {
-    const Move *move = stages->moves->pdata[i];
-    if (strcmp(move->endpoint, endpoint) == 0)
-      g_ptr_array_remove_index(stages->moves, i);
+  while (i < stages->changes->len) {
+    const StageChange *change = stages->changes->pdata[i];
+    if (strcmp(change->endpoint, endpoint) == 0)
+      g_ptr_array_remove_index(stages->changes, i);
     else
       i++;
   }
@@ -485,37 +525,38 @@
   if (lease_held(&stages->lease, 0, now))
     router_log(stages->router, MP_LOG_LEASE_HELD, " fence=%" G_GINT64_FORMAT,
                lease_fence(&stages->lease));
-  stages->next_look = now;
+  stages->next_review = now;
 }
 
-/* the first that is due; asking may remove it */
-static Move *due_move(const Stages *stages, gint64 now) {
+/* Returns the first change whose engine is to be asked now; asking may remove
+** it from the list. */
+static StageChange *due_change(const Stages *stages, gint64 now) {
   guint i;
-  for (i = 0; i < stages->moves->len; i++) {
-    Move *move = stages->moves->pdata[i];
-    if (move->step == MOVE_NAMED && move->due <= now)
-      return move;
+  for (i = 0; i < stages->changes->len; i++) {
+    StageChange *change = stages->changes->pdata[i];
+    if (change->step == CHANGE_NAMED && change->due <= now)
+      return change;
   }
   return NULL;
 }
 
 void stages_tick(Stages *stages, gint64 now) {
-  Move *move;
-  while ((move = due_move(stages, now)) != NULL)
-    ask(stages, move, now);
-  if (now < stages->next_look)
+  StageChange *change;
+  while ((change = due_change(stages, now)) != NULL)
+    request_report(stages, change, now);
+  if (now < stages->next_review)
     return;
-  stages->next_look = now + LOOK;
-  look_at_all(stages, now);
+  stages->next_review = now + REVIEW_INTERVAL;
+  review_all(stages, now);
 }
 
 gint64 stages_next_tick(const Stages *stages) {
-  gint64 next = stages->next_look;
+  gint64 next = stages->next_review;
   guint i;
-  for (i = 0; i < stages->moves->len; i++) {
-    const Move *move = stages->moves->pdata[i];
-    if (move->step == MOVE_NAMED)
-      next = MIN(next, move->due);
+  for (i = 0; i < stages->changes->len; i++) {
+    const StageChange *change = stages->changes->pdata[i];
+    if (change->step == CHANGE_NAMED)
+      next = MIN(next, change->due);
   }
   return next;
 }
