--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -151,9 +151,9 @@
 m r-named "a changing engine gets no work" router/endpoint_table.c \
   '!endpoint_is_changing_stage(table, endpoint, now);' '1;'
 m r-settle "nothing is ordered before the use has settled" router/stages.c \
-  'now - average->used_from < SETTLE' '0'
+  'now - average->used_from < SETTLE_TIME' '0'
 m r-capped "no more change than a digest names" router/stages.c \
-  'MOST_MOVES - changing' 'MOST_MOVES + 40 + 0 * changing'
+  'CHANGES_MAX - changing' 'CHANGES_MAX + 40 + 0 * changing'
 m r-note "reserved room counts until the next digest" router/peer_loads.c \
   'peer->sequence != note->after' '1'
 m r-again "an overbooked room is left" router/path.c \
@@ -173,7 +173,7 @@
 m r-leaving "DRAIN: a leaving endpoint is not chosen" router/endpoint_table.c \
   'return !endpoint->record.ready ||' 'return'
 m r-room "a run starts only where there is room" router/endpoint_table.c \
-  '(wish->must_fit && !has_room(table, wish, endpoint)) ||' ''
+  '(query->must_fit && !has_room(table, query, endpoint)) ||' ''
 m r-late "an overtaken digest changes nothing" router/peer_loads.c \
   'return behind < REORDER_WINDOW;' 'return 0;'
 m r-newer "CONFIG: an older revision takes no effect" router/follower.c \
@@ -210,7 +210,8 @@
 m r-failed "a reader that failed is not asked again" router/prefill.c \
   ' || path_is_excluded(request, request->read_by))' ')'
 m r-home "a resumed caller's prompt is read at home" router/prefill.c \
-  'wish.affinity_overrides_load = request->resumes;' 'wish.affinity_overrides_load = FALSE;'
+  'query.affinity_overrides_load = request->resumes;' \
+  'query.affinity_overrides_load = FALSE;'
 m n-fresh "relays: one that the store does not answer does not count" \
   router/relay_group.c 'before.fresh += is_fresh(group, relay, now);' \
   'before.fresh += is_heard(relay, now);'
@@ -330,7 +331,7 @@
 m a-key "accounts: a key is not passed on" platform/endpoints.c \
   '"Api-Key",' ''
 m a-back "accounts: what did not run is given back" router/finish.c \
-  'if (promises_not_run(kind))' 'if (FALSE)'
+  'if (is_told_not_run(kind))' 'if (FALSE)'
 m p-arrival "proof: a heartbeat counts from when it was sent" \
   router/config_proof.c \
   'at = (gint64)beat->sent_us + clock->behind -' 'at = now -'
@@ -469,7 +470,7 @@
   'age > TELL_OVER' \
   TRUE
 m r-choice "rates: choice leaves those out that take no more" router/endpoint_table.c \
-  '        !takes_more(table, wish, endpoint, now))' \
+  '        !is_within_limits(table, query, endpoint, now))' \
   '        FALSE)'
 m r-counted "rates: a run is counted once" router/prefill.c \
   '    if (request->is_decode_counted)
@@ -479,7 +480,7 @@
   'request->is_decode_counted = rate_limits_sent(router->rates, decode->hash);' \
   'request->is_decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
-  'router->shortage_recheck_at = now + LOOK_AGAIN;' \
+  'router->shortage_recheck_at = now + RECHECK_INTERVAL;' \
   'router->shortage_recheck_at = 0;'
 m r-life "rates: a later life has none" router/lives.c \
   '  if (news == ENDPOINT_RESTARTED)
@@ -586,7 +587,7 @@
   '    endpoint->availability.has_dispatch_in_rest = TRUE;' \
   ''
 m g-spread "rest: callers come back spread" router/shortage.c \
-  '(gint64)(spread * (double)MAX(wait, SPREAD_LEAST))' \
+  '(gint64)(spread * (double)MAX(wait, RETRY_SPREAD_MIN))' \
   '0'
 m g-atonce "rest: callers of engines hear at once" router/admission.c \
   'if (shortage_outlasts(router, request, most_patience(request, now), now)) {' \
@@ -604,7 +605,7 @@
   'if (endpoint_is_leaving(endpoint))' \
   'if (!endpoint->record.ready)'
 m g-502 "answers: no time to come back after an unknown outcome" router/finish.c \
-  '&& promises_not_run(kind)' \
+  '&& is_told_not_run(kind)' \
   ''
 m g-avoid "rest: it is no endpoint out of reach" router/signals.c \
   '  if (!availability_extend_rest(known, time, now))
