--- a/router/router.h
+++ b/router/router.h
@@ -1,16 +1,33 @@
 /*
 ** router.h
-** The decisions about routed requests, without input or output
+** The routing decisions of one instance, without input or output
 **
-** A Router belongs to one instance. Its host (io/gateway.c, or a test)
-** tells it what happened, with the time, and performs what it asks for
-** through RouterHost. Every duration and time is in microseconds of a
-** steady clock unless a name says otherwise.
+** A Router belongs to one instance of the program. Its host (io/gateway.c, or
+** a test) reports events together with the current time, and carries out what
+** the router asks for through RouterHost. The router does no I/O, reads no
+** clock and starts no thread.
 **
-** Words: a caller sends a request; an endpoint (an engine or a plain
-** service's process) is sent dispatches for it. A dispatch has perhaps
-** run from the moment its first byte was sent, unless its endpoint says
-** otherwise.
+** Terms:
+**   caller       sends requests to this instance
+**   endpoint     an engine, or a process of a plain service, that can run a
+**                request
+**   dispatch     one message to an endpoint, for a request or for the router
+**                itself
+**   incarnation  one run of an endpoint's process; Endpoint.hash names it
+**                (router/endpoint_table.h). Members called 'life' hold it.
+**   handle       names a prompt's KV memory at the engine that prefilled it
+**   near         the instances that exchange load digests with this one; other
+**                data centres are known from the summaries of their relays
+**   era          a number of the store that grows when it is restored from a
+**                copy
+**
+** A RUN dispatch may have run from the moment when its first byte was sent,
+** unless its endpoint states that it did not run it.
+**
+** Times and durations are microseconds of the host's steady clock unless a
+** name says otherwise. The router copies all texts that it is given, and what
+** it passes to RouterHost is valid only during that call. Its functions do not
+** fail: unknown requests, dispatches and endpoints are ignored.
 */
 
 #ifndef ROUTER_H
@@ -29,280 +46,319 @@
 
 typedef struct Router Router;
 
-/* a caller's request as its dialect read it; texts are copied */
+/* A caller's request as its dialect parsed it. */
 typedef struct CallerRequest {
-  guint64 number; /* the host's; unique while the request is open */
+  guint64 number; /* chosen by the host; unique while the request is open */
   const char *id; /* the caller's own id for this attempt */
   const char *host;
   const char *path;
-  guint64 content;        /* digest of what it asks for (http/content.h) */
-  gint64 deadline_ms;     /* how long the caller will wait; 0: not said */
-  guint32 prompt_tokens;  /* 0: not said */
-  guint32 output_tokens;  /* the most that may be generated */
-  guint64 session;        /* hash of the prompt's last part; 0: none */
+  guint64 content;       /* digest of what it asks for (http/content.h) */
+  gint64 deadline_ms;    /* for how long the caller will wait, in ms from now;
+                         ** 0: not given */
+  guint32 prompt_tokens; /* 0: not given */
+  guint32 output_tokens; /* the most tokens that may be generated */
+  guint64 session; /* hash of the last part of the prompt; requests with the
+                   ** same one prefer the same prefill engine; 0: none */
   guint32 session_tokens; /* tokens of that part */
-  gboolean resumes;       /* goes on with a stream that the caller lost */
+  gboolean resumes;       /* continues a stream whose connection the caller
+                          ** lost */
   const char *key;        /* of a client account; NULL: none */
-  unsigned keys;          /* that the request carries: one is right */
+  unsigned keys; /* number of keys that the request carries; only exactly one
+                 ** can be valid */
 } CallerRequest;
 
 typedef enum DispatchKind {
-  DISPATCH_RUN,     /* the request itself */
-  DISPATCH_PREFILL, /* read the prompt and keep it under a handle */
-  DISPATCH_RELEASE, /* free a handle */
-  DISPATCH_REPORT,  /* an engine tells its state */
-  DISPATCH_CHECK,   /* does it take connections? One is kept if it does */
-  DISPATCH_ORDER    /* an engine changes its stage */
+  DISPATCH_RUN,     /* run the request */
+  DISPATCH_PREFILL, /* read the prompt and keep the result under a handle */
+  DISPATCH_RELEASE, /* free the memory of a handle */
+  DISPATCH_REPORT,  /* ask an engine for its state */
+  DISPATCH_CHECK,   /* open a connection to see whether the endpoint accepts
+                    ** one; it is kept if it does */
+  DISPATCH_ORDER    /* order an engine to change its stage */
 } DispatchKind;
 
-/* an order to an engine to change its stage */
+/* An order to an engine to change its stage. */
 typedef struct StageOrder {
-  EndpointStage stage;
-  const char *holder; /* who gives it: this instance */
-  gint64 fence;       /* of the holder's lease; engines refuse older ones */
-  gint64 sequence;    /* orders that the engine must have taken before */
+  EndpointStage stage; /* the new one */
+  const char *holder;  /* the instance that holds the lease: this one */
+  gint64 fence;        /* of the holder's lease; engines reject older ones */
+  gint64 sequence;     /* the number of orders that the engine must have
+                       ** accepted before this one */
 } StageOrder;
 
-/* the state of an engine as it told it, some hundred milliseconds old */
+/* The state of an engine as it reported it, some hundred ms ago. */
 typedef struct EngineReport {
   EndpointStage stage;
-  gboolean busy;   /* an order is being carried out */
-  gint64 sequence; /* orders taken in this life */
+  gboolean busy;   /* it is carrying an order out */
+  gint64 sequence; /* orders accepted by this incarnation */
 } EngineReport;
 
-/* work for an endpoint */
+/* A dispatch that the host has to send. */
 typedef struct Dispatch {
-  guint64 number; /* the router's; named again in the outcome */
+  guint64 number; /* chosen by the router; Outcome.dispatch names it */
   DispatchKind kind;
-  guint64 request; /* the caller's; 0 for what no caller asked for */
+  guint64 request; /* CallerRequest.number; 0: sent for no request */
   mp_Addr address;
-  const char *endpoint;    /* the endpoint's id: no other one may run it */
-  guint32 life;            /* of it: Endpoint.hash */
-  const char *account;     /* RUN, PREFILL: whose request it is, or NULL */
-  gint64 deadline_ms;      /* what is left of the caller's time */
-  const char *handle;      /* RUN: where to continue; RELEASE: what to free */
-  mp_Addr handle_address;  /* RUN with a handle: who holds it */
-  const char *last_event;  /* RUN: resume behind this event, or NULL */
-  gboolean stream;         /* the answer comes in pieces */
-  gint64 connect_timeout;  /* then the endpoint counts as out of reach */
+  const char *endpoint;    /* id; no other endpoint may execute it */
+  guint32 life;            /* the endpoint's incarnation: Endpoint.hash */
+  const char *account;     /* RUN, PREFILL: the request's account, or NULL */
+  gint64 deadline_ms;      /* RUN, PREFILL: what is left of the caller's time,
+                           ** in ms */
+  const char *handle;      /* RUN: the prefilled prompt to fetch, or NULL;
+                           ** RELEASE: the handle to free */
+  mp_Addr handle_address;  /* RUN with a handle: the engine that holds it */
+  const char *last_event;  /* RUN: resume after this event, or NULL */
+  gboolean stream;         /* RUN: the answer comes in pieces */
+  gint64 connect_timeout;  /* without a connection after this the outcome is
+                           ** OUTCOME_UNREACHABLE */
   const StageOrder *order; /* ORDER */
 } Dispatch;
 
-/* why a caller gets an answer of the router's own */
+/* Why the router itself answers a caller. "Not run" means that the request
+** has certainly not run. */
 typedef enum RefusalKind {
-  REFUSAL_NO_CONFIGURATION,
-  REFUSAL_NO_ROUTE,
-  REFUSAL_NO_ENDPOINT,       /* not run: nobody is there to run it */
-  REFUSAL_BUSY,              /* not run: endpoints turned it away */
+  REFUSAL_NO_CONFIGURATION,  /* not run: no configuration is known yet */
+  REFUSAL_NO_ROUTE,          /* not run: no route matches */
+  REFUSAL_NO_ENDPOINT,       /* not run: no endpoint is available */
+  REFUSAL_BUSY,              /* not run: endpoints rejected it or have no
+                              ** room */
   REFUSAL_NOT_RUN,           /* not run: its time passed while it waited */
-  REFUSAL_DRAINING,          /* not run: this instance is leaving */
+  REFUSAL_DRAINING,          /* not run: this instance is shutting down */
   REFUSAL_OUTCOME_UNKNOWN,   /* it may have run */
   REFUSAL_TIMEOUT,           /* it may have run; its time passed */
   REFUSAL_KEY,               /* not run: no account has its key */
   REFUSAL_LIMIT,             /* not run: its account's limit is used up */
-  REFUSAL_OLD_CONFIGURATION, /* not run: its key may have been taken away, or
-                             ** its route have come, since the configuration */
-  REFUSAL_HELD, /* not run: endpoints end under it (router/quarantine.h) */
-  REFUSAL_RATE, /* not run: endpoints take no more by the rates they name */
+  REFUSAL_OLD_CONFIGURATION, /* not run: since the configuration known here its
+                             ** key may have been revoked, or its key or route
+                             ** added */
+  REFUSAL_HELD, /* not run: endpoints crash under it (router/quarantine.h) */
+  REFUSAL_RATE, /* not run: the rates that endpoints name are used up */
   REFUSAL_REST, /* not run: endpoints want no request for a while */
-  REFUSAL_SUSPECTED /* not run: endpoints may have ended under it */
+  REFUSAL_SUSPECTED /* not run: endpoints may have crashed under it */
 } RefusalKind;
 
 typedef struct Refusal {
   RefusalKind kind;
-  gint64 retry_after_ms; /* 0: say nothing */
+  gint64 retry_after_ms; /* when the caller may retry; 0: not told */
 } Refusal;
 
-/* does an answer carry a signal? */
+/* Whether an answer carries a signal. */
 typedef enum SignalState {
   SIGNAL_ABSENT,
   SIGNAL_GIVEN,
-  SIGNAL_UNREADABLE /* it stands there, and its value means nothing */
+  SIGNAL_UNREADABLE /* it is there, but its value is invalid */
 } SignalState;
 
 /*
-** What an endpoint tells about itself with the head of an answer
-** (router/signals.c). Whom each of them binds:
+** What an endpoint announces about itself in the head of an answer
+** (router/signals.c), and which instances have to obey it:
 **   rate     all instances together
-**   leaving  all instances, until a later life of the endpoint
-**   rest     the instance that had the answer
+**   leaving  all instances, until a later incarnation of the endpoint
+**   rest     the instance that got the answer
 */
 typedef struct EndpointSignals {
   SignalState rate;
-  double rate_per_second; /* rate GIVEN: requests that it takes */
-  SignalState leaving;    /* it is about to end */
+  double rate_per_second; /* rate GIVEN: requests that it accepts */
+  SignalState leaving;    /* it is about to shut down */
   SignalState rest;
-  gint64 rest_time;    /* rest GIVEN: it wants no request for so long */
-  const char *unknown; /* name of a field that is not known, or NULL: told
-                       ** to the operators alone */
-  gboolean served;     /* the answer served the request: that it names no rate
-                       ** counts as well */
+  gint64 rest_time;    /* rest GIVEN: for how long it wants no request */
+  const char *unknown; /* name of a field that is not known here, or NULL; it
+                       ** is logged for operators and has no other effect */
+  gboolean served; /* the answer served the request, so that the absence of a
+                   ** rate counts too: it ends the rate named before */
 } EndpointSignals;
 
-/* how a dispatch ended, or where it stands */
+/* How a dispatch ended, or how far it has come. */
 typedef enum OutcomeKind {
   OUTCOME_UNREACHABLE, /* no connection: certainly not run */
-  OUTCOME_NOT_RUN,     /* the endpoint said that it did not run it */
-  OUTCOME_BROKEN,      /* no whole answer: it may have run */
-  OUTCOME_ANSWER,      /* a whole answer */
-  OUTCOME_STREAM_HEAD, /* a good head; pieces follow */
+  OUTCOME_NOT_RUN,     /* the endpoint stated that it did not run it */
+  OUTCOME_BROKEN,      /* no complete answer: it may have run */
+  OUTCOME_ANSWER,      /* a complete answer */
+  OUTCOME_STREAM_HEAD, /* the head of a successful stream; pieces follow */
   OUTCOME_STREAM_PIECE,
-  OUTCOME_STREAM_END /* the stream ended as a whole */
+  OUTCOME_STREAM_END /* the stream is complete */
 } OutcomeKind;
 
-/* the name of an outcome, as logs have it */
+/* Returns the static name of an outcome, as logs have it. */
 const char *outcome_name(OutcomeKind kind);
 
 typedef struct Outcome {
-  guint64 dispatch;
+  guint64 dispatch; /* Dispatch.number */
   OutcomeKind kind;
-  int status;                 /* ANSWER */
+  int status;                 /* ANSWER: HTTP status */
   gboolean misdirected;       /* NOT_RUN: another endpoint has the address */
-  const char *event;          /* STREAM_PIECE: id of its last event */
-  void *payload;              /* the host's own: passed on to 'answer' */
-  const char *handle;         /* ANSWER of a prefill */
-  gint64 handle_life;         /* ANSWER of a prefill; 0: the service's */
-  const EngineReport *report; /* ANSWER of a report */
+  const char *event;          /* STREAM_PIECE: id of its last event, or NULL */
+  void *payload;              /* the host's own; passed on to 'answer' */
+  const char *handle;         /* ANSWER of a prefill; NULL: none was given */
+  gint64 handle_life;         /* ANSWER of a prefill: for how long the handle
+                              ** is kept; 0: Service.handle_life */
+  const EngineReport *report; /* ANSWER of a report; NULL: unreadable */
 } Outcome;
 
-/* what the router asks of its host; nothing here may call back at once */
+/* What the router asks of its host. These functions must not call the router
+** back before they return. */
 typedef struct RouterHost {
-  void *data;
+  void *data; /* passed to each of them */
+  /* Sends a dispatch; router_outcome reports what becomes of it. */
   void (*dispatch)(void *data, const Dispatch *dispatch);
-  /* forget a dispatch; its connection is closed */
+  /* Drops a dispatch and closes its connection; its outcome is not wanted any
+  ** more. */
   void (*cancel)(void *data, guint64 dispatch);
-  /* pass an endpoint's answer, or a part of it, to the caller */
+  /* Passes an endpoint's answer, or a part of it, on to the caller. */
   void (*answer)(void *data, guint64 request, const Outcome *outcome);
-  /* end the request with an answer of our own */
+  /* Answers the request with a refusal, which ends it. */
   void (*refuse)(void *data, guint64 request, const Refusal *refusal);
-  /* end an answer that has begun so that it cannot look whole */
+  /* Ends an answer that has begun in a way that shows it is incomplete. */
   void (*break_off)(void *data, guint64 request);
+  /* Logs an event; 'fields' is a text of key=value items. */
   void (*log)(void *data, mp_EventNo number, const char *fields);
-  /* room was reserved at an engine: the others should know at once */
+  /* Tells the near instances at once that 'tokens' of memory were reserved at
+  ** an engine (Endpoint.hash). */
   void (*note)(void *data, guint32 endpoint, guint32 tokens);
-  /* a call to the store for a lease; router_lease_reply answers it */
+  /* Calls the store for a lease; router_lease_reply reports the reply. */
   void (*lease_call)(void *data, const StoreCall *call);
 } RouterHost;
 
 typedef struct RouterOptions {
-  const char *zone;
-  guint64 seed;
-  double retry_ratio;  /* extra arrivals allowed per request */
-  guint32 retry_slack; /* and beside those, over all instances */
-  gint64 retry_window;
+  const char *zone;      /* this instance's data centre */
+  guint64 seed;          /* of all random choices */
+  double retry_ratio;    /* retries allowed for each request */
+  guint32 retry_slack;   /* retries allowed on top, over all instances */
+  gint64 retry_window;   /* time over which both are counted */
   const char *instance;  /* this instance's name */
-  mp_Addr self;          /* the address that its load digests come from */
-  gint64 lease_length;   /* of orders to engines; 0: none are given */
+  mp_Addr self;          /* the address from which its load digests come */
+  gint64 lease_length;   /* of the lease for orders to engines; 0: no orders
+                         ** are given */
   LimitTolerance limits; /* of client accounts */
-  gint64 news_age_max;   /* older news say nothing of a route that they lack;
-                          ** 0: at any age (relay_longest_age) */
-  gint64 unix_offset;    /* Unix time less the steady clock's */
-  gint64 proof_age_max;  /* requests with keys run only while the configuration
-                          ** was the newest one so lately; 0: at any age */
+  gint64 news_age_max;   /* "no such route" and "no such key" are final only
+                         ** while the last answer of the store is at most this
+                         ** old; 0: always (relay_longest_age) */
+  gint64 unix_offset;    /* Unix time minus the steady clock, us */
+  gint64 proof_age_max;  /* requests with keys run only if the configuration
+                         ** was certainly the newest at most this long ago; 0:
+                         ** always (router/config_proof.h) */
 } RouterOptions;
 
+/* Creates a router; options and host are copied. Free it with router_free,
+** which drops open requests without answers. */
 Router *router_new(const RouterOptions *options, const RouterHost *host,
                    gint64 now);
 void router_free(Router *router);
 
-/* the configuration in force; NULL: none yet */
+/* Returns the configuration in force, owned by the router; NULL: none yet. */
 const RouteTable *router_routes(const Router *router);
-/* a newer configuration is in force; the router shares the table. FALSE: the
-** one in force is as new */
+/* Puts a newer configuration in force; the router takes a reference of its
+** own. Returns FALSE, and does nothing, if the one in force is as new. */
 gboolean router_set_routes(Router *router, RouteTable *routes, gint64 now);
-/* the configuration was certainly the newest one then (router/config_proof.h);
-** 0: that is not known */
+/* The configuration was certainly the newest one at the time 'at'
+** (router/config_proof.h); 0: that is not known. */
 void router_configuration_proved(Router *router, gint64 at);
-/* the store answered then whoever this instance has its news from */
+/* The store answered, at the time 'at', the instance from which this one has
+** its objects (itself, or a relay). */
 void router_store_answered(Router *router, gint64 at);
-/* how the configuration known here compares to what any instance has named;
-** it outlives the router. Without one no instance names anything */
+/* Sets the state that compares the configuration known here with what any
+** instance has named. The state is borrowed and must outlive the router;
+** without one no instance counts as having named any. */
 void router_set_news_state(Router *router, const NewsState *news);
-/* add, change or (with 'gone') remove one endpoint */
+/* Adds, changes or (with 'gone') removes one endpoint. Requests that run on an
+** earlier incarnation of it end there. */
 void router_set_endpoint(Router *router, const EndpointRecord *record,
                          gboolean gone, gint64 now);
-/* after a whole list: forget every endpoint that it did not name */
+/* After a complete list: removes every endpoint whose id is not a key of
+** 'names'. */
 void router_keep_endpoints(Router *router, GHashTable *names, gint64 now);
-/* how many instances share the traffic, this one included, and how many of
-** them hear each other's digests */
+/* Sets how many instances share the traffic, this one included, and how many
+** of them are near, this one included. */
 void router_set_instances(Router *router, unsigned count, unsigned near);
 
-/* planned stop: take no request any more, and refuse those that wait */
+/* Begins a planned stop: new requests are refused, and so are those that wait
+** for room; those that run go on. */
 void router_stop_accepting(Router *router, gint64 now);
 
-/* a whole request came; the host hears about it through RouterHost */
+/* Handles a complete request; the host gets the result through RouterHost,
+** perhaps before this returns. */
 void router_request(Router *router, const CallerRequest *request, gint64 now);
-/* the caller is gone */
+/* Ends a request whose caller has disconnected. */
 void router_hangup(Router *router, guint64 request, gint64 now);
+/* Handles an outcome of a dispatch. */
 void router_outcome(Router *router, const Outcome *outcome, gint64 now);
-/* the head of an answer of this life of the endpoint is there, before the
-** outcome of its dispatch */
+/* Handles the signals in the head of an answer from this incarnation
+** (Endpoint.hash) of the endpoint; called before the outcome. */
 void router_endpoint_signals(Router *router, const char *endpoint,
                              guint32 life, const EndpointSignals *signals,
                              gint64 now);
 
-/* this instance has so many connections to the endpoint now, and so many of
-** them rest: may be told at any time */
+/* Sets the number of this instance's connections to the endpoint and how many
+** of them are idle; may be called at any time. */
 void router_set_connections(Router *router, const char *endpoint,
                             guint connections, guint resting);
-/* is a connection to it that is free kept? */
+/* Returns TRUE if the host should keep an idle connection to the endpoint. */
 gboolean router_keeps_connection(const Router *router, const char *endpoint);
 
-/* when router_tick wants to be called next; G_MAXINT64: not at all */
+/* Returns when router_tick is to be called next; G_MAXINT64: not at all. */
 gint64 router_next_tick(const Router *router);
+/* Does what is due. */
 void router_tick(Router *router, gint64 now);
 
-/* what this instance has open, for the others: changes with its version */
+/* Returns a number that grows whenever what the near instances should know at
+** once changes: what this instance has open at engines, and some states of
+** endpoints. */
 guint64 router_load_version(const Router *router);
-/* the same of what is open at plain endpoints, which has more time */
+/* Returns the same for what is open at plain endpoints, which is less
+** urgent. */
 guint64 router_plain_version(const Router *router);
+/* Writes what this instance has open. */
 void router_load_digest(const Router *router, mp_LoadDigest *out, gint64 now);
-/* what another instance has open; 'sequence' grows with each */
+/* Handles the digest of another instance; 'sequence' grows with each. */
 void router_peer_load(Router *router, mp_Addr peer, guint32 sequence,
                       const mp_LoadDigest *digest, gint64 now);
 
-/* what the instances heard and this one have open together, for other data
-** centres; who tells it and for which data centre is filled in by the host */
+/* Writes what this instance and the near ones have open together, for other
+** data centres. The host fills in who sends it and for which data centre. */
 void router_load_summary(const Router *router, mp_LoadSummary *out,
                          gint64 now);
-/* a number that changes with the set of endpoints that this instance or those
-** it hears find failing, or that said that they leave: the other data centres
-** should know at once */
+/* Returns a number that changes with the set of endpoints that this instance
+** or a near one finds failing, or that announced that they are leaving: the
+** other data centres should know at once. */
 guint64 router_urgent_set(const Router *router, gint64 now);
-/* the largest part of an account's burst that was spent here and near since
-** the last summary */
+/* Returns the largest part of an account's burst that was spent here and at
+** near instances since the last summary. */
 double router_limits_unreported(const Router *router);
-/* what another data centre has open, as its relay told */
+/* Handles the summary that a relay sent of another data centre. */
 void router_zone_load(Router *router, guint32 sequence,
                       const mp_LoadSummary *summary, gint64 now);
 
-/* another instance has reserved room */
+/* Handles the notice that another instance has reserved memory
+** (RouterHost.note there). */
 void router_peer_reservation(Router *router, mp_Addr peer,
                              const mp_LoadNote *note);
 
 /*
-** Requests under which endpoints ended (router/quarantine.h)
+** Requests under which endpoints crashed (router/quarantine.h)
 */
 
-/* another instance tells of some; TRUE: something was new */
+/* Handles what another instance knows of them. Returns TRUE if something was
+** new. */
 gboolean router_receive_crashes(Router *router, const mp_CrashNews *news,
                                 gint64 now);
-/* what to tell the others: what this instance saw, or 'all' that it knows */
+/* Writes what to send to others: what this instance saw, or with 'all'
+** everything that it knows. */
 void router_report_crashes(const Router *router, gboolean all,
                            mp_CrashNews *out, gint64 now);
-/* grows when there is something new to tell */
+/* Returns a number that grows when there is something new to send. */
 guint64 router_crash_version(const Router *router);
-/* an object of the store says so, at this position; or it is gone from there
- */
+/* Applies an object that the store has at this position. */
 void router_apply_quarantine(Router *router, const QuarantineRecord *record,
                              StorePosition position, gint64 now);
+/* The store has removed the object for this content: an operator did. */
 void router_remove_quarantine(Router *router, guint64 content, gint64 now);
-/* what has to be written to the store; FALSE: nothing now */
+/* Fills in what has to be written to the store; FALSE: nothing now. */
 gboolean router_next_quarantine_save(Router *router, QuarantineSave *out,
                                      gint64 now);
+/* Such a write has failed. */
 void router_quarantine_save_failed(Router *router, guint64 content,
                                    gint64 now);
-/* requests with a strike, and how many of them are held */
+/* Counts the requests with at least one strike, and those that are held. */
 void router_quarantine_count(const Router *router, gint64 now, guint *suspects,
                              guint *held);
 
@@ -310,51 +366,62 @@
 ** Rates that endpoints name (router/rate_limits.h)
 */
 
-/* another instance tells, or a relay for its data centre */
+/* Handles what another instance, or a relay for its data centre, has sent. */
 void router_receive_rates(Router *router, mp_Addr peer,
                           const mp_RateNews *news, gint64 now);
-/* what to tell: this instance's, or the 'sums' of those it hears too */
+/* Writes what to send: this instance's own counts, or with 'sums' those of
+** the near instances added. */
 void router_report_rates(const Router *router, gboolean sums, mp_RateNews *out,
                          gint64 now);
-/* grows when there is something new to tell */
+/* Returns a number that grows when there is something new to send. */
 guint64 router_rates_version(const Router *router);
 
-/* the store has named this era, here or to another instance; again and again
- */
+/* The store has named this era to this or another instance; repeated and older
+** ones are ignored. */
 void router_observe_era(Router *router, guint64 era, gint64 now);
-/* the store answered RouterHost.lease_call */
+/* Handles the store's reply to RouterHost.lease_call. */
 void router_lease_reply(Router *router, const LeaseReply *reply, gint64 now);
 
-/* looking in */
-/* endpoints whose answers said that they leave, in this life */
+/* What follows is for metrics and status pages. */
+
+/* Returns how many endpoints have announced, in this incarnation, that they
+** are leaving. */
 guint router_leaving_endpoints(const Router *router);
-/* endpoints that want no request from this instance now */
+/* Returns how many endpoints want no request from this instance now. */
 guint router_resting_endpoints(const Router *router, gint64 now);
-/* endpoints that name a rate */
+/* Returns how many endpoints name a rate. */
 guint router_limited_endpoints(const Router *router);
-/* choices in which one of them was left out for its rate */
+/* Returns how many choices left an endpoint out because of its rate. */
 guint64 router_rate_skips(const Router *router);
+/* Returns the number of requests that are waiting or running. */
 unsigned router_open_requests(const Router *router);
-/* requests that wait for room, and how many of them can still be answered in
-** time */
+/* Counts the requests that wait for room, and those of them that can still be
+** answered in time. */
 void router_count_waiting(const Router *router, gint64 now, guint *waiting,
                           guint *in_time);
-/* that share the traffic, this one included, as router_set_instances told */
+/* Returns how many instances share the traffic, as router_set_instances was
+** told. */
 unsigned router_instances(const Router *router);
-/* requests can be taken: there is a configuration, not too old for its keys */
+/* Returns TRUE if requests can be accepted: there is a configuration, and it
+ *is
+ ** not too old for its keys. */
 gboolean router_is_configured(const Router *router, gint64 now);
+/* Returns a counter's value, 0 for a number beyond the last. */
 guint64 router_counter(const Router *router, unsigned counter);
-const char *router_counter_name(unsigned counter); /* NULL past the last */
+/* Returns a counter's static name, NULL for a number beyond the last. */
+const char *router_counter_name(unsigned counter);
 
-/* durations that are counted, from a request's arrival */
+/* Durations that are counted, each from the arrival of a request. */
 typedef enum RouterDuration {
   DURATION_WAIT,        /* to the start of a request for an engine */
   DURATION_FIRST_PIECE, /* to the head of a stream */
   DURATION_STREAM,      /* to the end of a stream */
-  DURATION_PLAIN,       /* to a whole answer */
+  DURATION_PLAIN,       /* to a complete answer that is no stream */
   DURATION_COUNT
 } RouterDuration;
 
+/* Returns the histogram of a duration, owned by the router, and its static
+** name. */
 const Histogram *router_duration(const Router *router, RouterDuration which);
 const char *router_duration_name(RouterDuration which);
 
--- a/router/state.h
+++ b/router/state.h
@@ -1,10 +1,19 @@
 /*
 ** state.h
-** What the files of the router share: its tables and open requests
-** (router.c, path.c, prefill.c, finish.c), and with nobody else
+** The internals of the router: its state, its open requests, and the functions
+** that its files offer to each other
 **
-** A function marked "may end" may free the request: it is the last thing
-** that its caller does with it.
+** Only files of router/ include this. Each section below names the file that
+** implements it. A request for an engine passes through admission.c (waits for
+** room at a decode engine), prefill.c (has its prompt read) and path.c (is
+** run); a request for a plain service goes to path.c at once. outcomes.c and
+** prefill.c handle what becomes of the dispatches; finish.c ends the request.
+**
+** A function marked "may end" may end and free the request, so the caller must
+** not use the request afterwards.
+**
+** Times are microseconds of the host's steady clock; terms are explained in
+** router.h.
 */
 
 #ifndef ROUTER_STATE_H
@@ -19,7 +28,8 @@
 #include "router/stages.h"
 #include "router/suspicions.h"
 
-/* X(symbol, name); all of them count from the start of the instance */
+/* X(symbol, name): the counters, from the start of the instance. The names are
+** those of the metrics. */
 #define ROUTER_COUNTERS(X)                           \
   X(REQUESTS, "requests")                            \
   X(ANSWERED, "answered")                            \
@@ -55,81 +65,98 @@
       ROUTER_COUNTER_COUNT
 } RouterCounter;
 
-/* what is kept for each service, over configurations */
+/* What is learned about a service; it outlasts configurations. */
 typedef struct ServiceState {
-  RetryBudget budget;
-  double mean_prompt;  /* tokens of prompts lately; 0: none came */
-  double mean_output;  /* tokens that streams made lately; 0: none ended */
-  double prefill_pace; /* prompt tokens read a millisecond; 0: none yet */
+  RetryBudget budget;  /* for extra arrivals of its requests at endpoints */
+  double mean_prompt;  /* moving mean of prompts, in tokens; 0: none came */
+  double mean_output;  /* moving mean of what streams generated, in tokens; 0:
+                        ** none ended */
+  double prefill_pace; /* prompt tokens read in a ms, queueing included; 0: not
+                        ** known */
 } ServiceState;
 
-/* the dispatch that a request waits for */
+/* The dispatch whose outcome a request waits for. */
 typedef struct OpenDispatch {
   guint64 number; /* 0: none */
-  char *endpoint; /* its id */
-  guint32 life;   /* of it: Endpoint.hash */
-  guint64 tokens; /* counted at the endpoint */
-  gint64 sent;
+  char *endpoint; /* id; owned */
+  guint32 life;   /* the endpoint's incarnation: Endpoint.hash */
+  guint64 tokens; /* counted in Endpoint.tokens for it */
+  gint64 sent;    /* when */
 } OpenDispatch;
 
-typedef enum Phase { PHASE_WAIT, PHASE_PREFILL, PHASE_RUN } Phase;
+typedef enum Phase {
+  PHASE_WAIT,    /* in Router.waiting, for room at a decode engine */
+  PHASE_PREFILL, /* the open dispatch reads its prompt */
+  PHASE_RUN      /* the open dispatch runs it */
+} Phase;
 
+/* An open request. Texts are owned unless a comment says otherwise. */
 typedef struct Request {
-  guint64 number;
-  char *id;
-  RouteTable *table;  /* the configuration that it came under */
-  const Route *route; /* of that table */
-  const Service *service;
-  const Account *account; /* of that table; NULL: it needs none */
+  guint64 number;    /* of CallerRequest */
+  char *id;          /* the caller's */
+  RouteTable *table; /* the configuration in force when it came; a reference */
+  const Route *route;     /* of 'table' */
+  const Service *service; /* of 'table' */
+  const Account *account; /* of 'table'; NULL: it needs none */
   char key_digest[MP_DIGEST + 1];
-  double cost;     /* taken of the account's limit */
-  guint64 content; /* as in CallerRequest */
+  double cost;     /* charged to the account's limit, in the limit's unit */
+  guint64 content; /* digest of CallerRequest.content and the account */
   guint32 prompt_tokens, output_tokens;
   guint64 session;
   gint64 arrived;
   gint64 caller_deadline; /* when the caller stops waiting */
-  gint64 expires;         /* when it gets its last word here */
+  gint64 expires;         /* when the router ends it at the latest */
   Phase phase;
   OpenDispatch open;
-  gboolean repeatable;
-  unsigned runs;     /* dispatches that have perhaps run */
-  unsigned arrivals; /* runs that reached an endpoint, rejected too */
-  unsigned prefills; /* prefills that were read to the end */
-  unsigned prefills_sent;
-  unsigned unreachable;
-  gboolean was_rejected;       /* some endpoint turned it away */
-  gboolean has_shortage;       /* endpoints take no more, by what they said */
-  RefusalKind shortage_reason; /* has_shortage: what they said */
-  gint64 start_at;   /* waiting: start then, if there is still room; 0: none */
-  gboolean returned; /* it was refused before, and came back */
-  gint64 first_attempt_at; /* when its caller tried first, as far as that is
-                              known */
-  gboolean resumes;     /* its caller lost it half-way: it is late already */
-  gint64 come_back;     /* when refused: come back after this; 0: as usual */
-  gboolean head_sent;   /* the answer has begun */
-  char *last_event;     /* passed on to the caller */
-  guint32 made;         /* tokens made, as the events tell */
+  gboolean repeatable;    /* it may run more than once (route_repeatable) */
+  unsigned runs;          /* RUN dispatches that ended and may have run */
+  unsigned arrivals;      /* RUN dispatches that ended and had reached an
+                           ** endpoint, rejected ones too */
+  unsigned prefills;      /* PREFILL dispatches that succeeded */
+  unsigned prefills_sent; /* all PREFILL dispatches */
+  unsigned unreachable;   /* RUN dispatches that reached no endpoint */
+  gboolean was_rejected; /* an endpoint rejected it or had no room, or no retry
+                          ** was left for its prompt */
+  gboolean has_shortage; /* endpoints could run it but for their rests and
+                          ** rates (shortage.c) */
+  RefusalKind shortage_reason; /* has_shortage: REST or RATE */
+  gint64
+      start_at; /* PHASE_WAIT: when it starts if there is room; 0: not set */
+  gboolean returned; /* it is taken for its caller's retry (patience.h) */
+  gint64 first_attempt_at; /* when its caller tried first, estimated */
+  gboolean resumes;        /* of CallerRequest */
+  gint64 come_back;     /* when refused: the caller may retry after this, us;
+                         ** 0: after finish_default_retry_ms */
+  gboolean head_sent;   /* the head of a stream was passed on */
+  char *last_event;     /* id of the last one passed on; NULL: none */
+  guint32 made;         /* tokens generated so far, computed from event ids */
   gint64 last_piece;    /* when the last piece came; 0: none yet */
-  gint64 longest_pause; /* between two pieces, so far */
-  char *decode;         /* id of the engine that shall decode */
-  guint32 decode_incarnation; /* of it: Endpoint.hash */
-  guint64 decode_tokens;      /* reserved there until it is dispatched */
-  gboolean is_decode_counted; /* its place in the rate that this one names */
-  char *handle;               /* of the prompt that was read, not yet used */
-  mp_Addr handle_address;
-  char *handle_endpoint;
-  gint64 handle_until;
-  char *read_by;     /* the engine that read the prompt, or NULL */
-  gint64 suspect_at; /* no word of the run by then: doubt the endpoint */
-  gint64 stall_at;   /* give the open dispatch up then; 0: never */
-  char *excluded[EXCLUDED_ENDPOINTS_MAX];
+  gint64 longest_pause; /* longest time between two pieces so far */
+  char *decode;         /* id of the decode engine whose memory is reserved;
+                         ** NULL: none */
+  guint32 decode_incarnation; /* its Endpoint.hash */
+  guint64 decode_tokens;      /* reserved there, until the run is sent */
+  gboolean is_decode_counted; /* the run was counted in that engine's rate
+                               ** when the memory was reserved */
+  char *handle;               /* of its prefilled prompt, not used yet; NULL:
+                               ** none */
+  mp_Addr handle_address;     /* of the engine that holds it */
+  char *handle_endpoint;      /* id of that engine */
+  gint64 handle_until;        /* when it expires, with a margin */
+  char *read_by; /* id of the engine that prefilled the prompt last, or NULL */
+  gint64 suspect_at; /* the endpoint is suspected if the run is silent until
+                      ** then; 0: not set */
+  gint64 stall_at; /* PHASE_WAIT: time of the next review; else: when the open
+                    ** dispatch counts as stalled; 0: never */
+  char *excluded[EXCLUDED_ENDPOINTS_MAX]; /* ids of endpoints that failed it */
   guint excluded_count;
 } Request;
 
-/* who sends to endpoints that name rates, as it was counted last */
+/* Who shares the rates of a service's endpoints, as last computed by
+** rates.c. */
 typedef struct RateView {
-  const Service *service; /* compared alone, never read */
-  gint64 at;
+  const Service *service; /* only compared, never dereferenced */
+  gint64 at;              /* when */
   RateSharers sharers;
 } RateView;
 
@@ -137,66 +164,76 @@
   RouterHost host;
   RetryPolicy retry;
   GRand *random;
-  guint64 seed;       /* another one at each instance */
+  guint64 seed;       /* differs between instances */
   RouteTable *routes; /* NULL: no configuration yet */
-  guint64 era;        /* of the store, the latest heard of; 0: none */
+  guint64 era;        /* the newest era of the store that is known; 0: none */
   EndpointTable *endpoints;
-  GHashTable *services; /* name -> ServiceState */
+  GHashTable *services; /* name -> ServiceState; both owned */
   PatienceTable *patience_table;
-  GHashTable *requests;             /* number -> Request */
-  GHashTable *requests_by_dispatch; /* dispatch number -> Request */
+  GHashTable *requests;             /* number -> Request (owned) */
+  GHashTable *requests_by_dispatch; /* open dispatch's number -> Request */
   guint64 last_dispatch;
-  unsigned instances;         /* that share the traffic */
-  unsigned near;              /* of them, that hear each other's digests */
-  gboolean is_listed;         /* these two are known */
-  GHashTable *unknown_fields; /* "service field" of those that were logged */
+  unsigned instances;         /* instances that share the traffic */
+  unsigned near;              /* near ones among them (router.h) */
+  gboolean is_listed;         /* router_set_instances was called */
+  GHashTable *unknown_fields; /* "service field" of those already logged */
   AccountLimits *limits;
-  RateLimits *rates; /* that endpoints name */
+  RateLimits *rates; /* named by endpoints */
   RateView rates_view;
-  gint64 shortage_recheck_at; /* who waits looks again then; 0: no need */
-  CrashWatch *crashes;      /* endpoints that may have ended under requests */
-  Quarantine *quarantine;   /* requests that end endpoints */
-  Suspicions *suspicions;   /* ends that are not proved yet */
-  gint64 proof_age_max;     /* as in RouterOptions */
-  gint64 proved_at;         /* router_configuration_proved */
-  gint64 heard_at;          /* router_store_answered; 0: never */
-  gint64 news_age_max;      /* as in RouterOptions */
-  const NewsState *news;    /* of the configuration; NULL: nobody names any */
-  gboolean stopping;        /* no request is taken any more */
-  Stages *stages;           /* orders to engines */
-  GPtrArray *waiting;       /* Request in PHASE_WAIT, first one first */
-  gint64 last_run_end;      /* when the last run at an engine ended */
-  double mean_end_interval; /* mean time between such ends, here */
-  guint64 plain_version;    /* the same, at plain endpoints */
-  guint64 load_version;     /* grows when what is open here changes */
+  gint64 shortage_recheck_at; /* when waiting requests are checked again
+                               ** because of rests and rates; 0: no need */
+  CrashWatch *crashes;    /* endpoints that may have crashed under requests */
+  Quarantine *quarantine; /* requests under which endpoints crashed */
+  Suspicions *suspicions; /* crashes that are not certain yet */
+  gint64 proof_age_max;   /* as in RouterOptions */
+  gint64 proved_at;       /* from router_configuration_proved; 0: unknown */
+  gint64 heard_at;        /* from router_store_answered; 0: never */
+  gint64 news_age_max;    /* as in RouterOptions */
+  const NewsState *news;  /* of the configuration; borrowed; may be NULL */
+  gboolean stopping;      /* router_stop_accepting was called */
+  Stages *stages;         /* changes of engines' stages */
+  GPtrArray *waiting;     /* Requests in PHASE_WAIT, those with a handle first;
+                           ** borrowed */
+  gint64 last_run_end;    /* when a stream last ended here; 0: never */
+  double mean_end_interval; /* moving mean of the time between such ends, us */
+  guint64 plain_version;    /* the same for what is open at plain endpoints */
+  guint64
+      load_version; /* grows when something changes that other instances
+                     ** should know at once: open dispatches and reservations
+                     ** at engines, the queue, some states of endpoints */
   guint64 counters[ROUTER_COUNTER_COUNT];
   Histogram durations[DURATION_COUNT];
 };
 
-/* may a newer configuration say more of a path or a key than the one here? */
+/* Returns TRUE if a newer configuration may exist that has a route or a key
+** which the one here lacks. */
 gboolean router_may_be_outdated(const Router *router, gint64 now);
 
 #define router_count(router, name) ((router)->counters[ROUTER_COUNT_##name]++)
 
-/* count the time since the request came */
+/* Adds the time since the request arrived to a histogram. */
 void router_record_duration(Router *router, const Request *request,
                             RouterDuration which, gint64 now);
 
+/* Logs an event with a printf-like text of key=value items; it is cut to 511
+** bytes. */
 void router_log(Router *router, mp_EventNo number, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
+/* Returns the state of a service, which is created if there is none. */
 ServiceState *router_service_state(Router *router, const char *service);
-/* the service's budget of extra arrivals */
+/* Returns the retry budget in that state. */
 RetryBudget *router_retry_budget(Router *router, const char *service);
 
 /*
 ** {==================================================================
-** dispatcher.c: where dispatches go out
+** dispatcher.c: sending dispatches
 ** ===================================================================
 */
 
-/* send it to this life of the endpoint, which is filled in; its number, or 0
-** when the gate is closed: nothing was sent */
+/* Sends a dispatch to this incarnation of an endpoint; fills in its number and
+** the endpoint. Returns the number, or 0 if the gate (gate.h) forbids it and
+** nothing was sent. */
 guint64 dispatcher_send(Router *router, Dispatch *dispatch, Endpoint *endpoint,
                         gint64 now);
 
@@ -204,14 +241,15 @@
 
 /*
 ** {==================================================================
-** signals.c: what endpoints tell about themselves
+** signals.c: what endpoints announce about themselves
 ** ===================================================================
 */
 
-/* endpoints that other instances have to hear of, for a digest */
+/* Writes the leaving endpoints that other instances have to know into a
+** digest. */
 void signals_write_digest(const Router *router, mp_LoadDigest *out,
                           gint64 now);
-/* another instance, or a relay, knows that these leave */
+/* Handles the leaving endpoints in the digest of another instance or relay. */
 void signals_read_digest(Router *router, const mp_LoadDigest *digest,
                          gint64 now);
 
@@ -223,46 +261,58 @@
 ** ===================================================================
 */
 
-/* the stage of the endpoints that run such a request */
+/* Returns the stage of the endpoints that can run such a request. */
 EndpointStage path_run_stage(const Request *request);
-/* begin; may end */
+/* Starts a new request; may end. */
 void path_start(Router *router, Request *request, gint64 now);
-/* a decode engine has room: prefill for it, or run there; may end */
+/* Starts a request for which this decode engine has room: sends a prefill, or
+** runs the request there; may end. */
 void path_start_on_engine(Router *router, Request *request, Endpoint *decode,
                           gint64 now);
-/* send the request itself; may end */
+/* Sends the request itself (RUN) to the best endpoint; may end. */
 void path_run(Router *router, Request *request, gint64 now);
-/* may anything be sent for it now? Else '*why' says why not */
+/* Returns TRUE if dispatches may be sent for the request now; else sets '*why'
+** to the refusal. */
 gboolean path_may_dispatch(Router *router, Request *request, RefusalKind *why,
                            gint64 now);
-/* the endpoint of the open dispatch; NULL when that life is over */
+/* Returns the endpoint of the open dispatch; NULL if that incarnation is no
+** longer known. */
 Endpoint *path_open_endpoint(const Router *router, const Request *request);
-/* the open dispatch is over: forget it; 'cancel' closes its connection */
+/* Ends the open dispatch, if there is one; 'cancel' also cancels it at the
+** host, which closes its connection. */
 void path_close_dispatch(Router *router, Request *request, gboolean cancel);
-/* send a dispatch of the request to an endpoint; FALSE: none may go there */
+/* Sends a RUN or PREFILL to an endpoint and counts 'tokens' there. Returns
+** FALSE if the gate forbids it. */
 gboolean path_send(Router *router, Request *request, DispatchKind kind,
                    Endpoint *endpoint, guint64 tokens, gint64 now);
-/* a wish with what every wish of this request says */
+/* Returns an endpoint query with what all queries for this request have in
+** common; its pointers borrow from the request. */
 EndpointQuery path_query(Router *router, const Request *request,
                          EndpointStage stage, gint64 now);
+/* Excludes an endpoint from later choices for the request; ignored beyond
+** EXCLUDED_ENDPOINTS_MAX of them. */
 void path_exclude(Request *request, const char *endpoint);
 gboolean path_is_excluded(const Request *request, const char *endpoint);
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** outcomes.c: what becomes of a request when its dispatch ends or is silent
+** outcomes.c: what becomes of a request when its RUN ends or is silent
 ** ===================================================================
 */
 
-/* send it again after a dispatch that failed; may end */
+/* Sends the request again after a dispatch that failed, if that is allowed;
+** otherwise ends it. */
 void outcomes_retry(Router *router, Request *request, gboolean may_have_run,
                     gint64 now);
-/* a run that may be resumed elsewhere is silent; may end */
+/* Handles a run that has been silent for too long: runs it elsewhere if that
+ *is
+ ** allowed; may end. */
 void outcomes_handle_stall(Router *router, Request *request, gint64 now);
-/* the endpoint of the run is silent for long: others should know */
+/* Counts a failure of the endpoint of a silent run, and tells other
+** instances. */
 void outcomes_mark_suspect(Router *router, Request *request, gint64 now);
-/* an outcome of the open RUN dispatch; may end */
+/* Handles an outcome of the open RUN dispatch; may end. */
 void outcomes_handle(Router *router, Request *request, const Outcome *outcome,
                      gint64 now);
 
@@ -270,188 +320,217 @@
 
 /*
 ** {==================================================================
-** estimate.c: what a run will take of an engine
+** estimate.c: the memory that a run will take at an engine
 ** ===================================================================
 */
 
-/* tokens of memory that a run takes, with room to grow */
+/* Returns the memory to plan for the run, in tokens: the prompt, what was
+** generated, and room to grow. */
 guint64 estimate_memory(Router *router, const Request *request);
-/* tokens of memory that a run of the service takes, on average over it */
+/* Returns the memory that a run of the service takes on average over its
+** duration, in tokens. */
 double estimate_mean_memory(Router *router, const Service *service);
-/* a stream has ended: how long it was */
+/* Records the output length of a stream that has ended. */
 void estimate_observe_output(Router *router, const Request *request);
-/* a request came: how long its prompt is */
+/* Records the prompt length of a new request. */
 void estimate_observe_prompt(Router *router, const Request *request);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** prefill.c: reading the prompt before the run
+** prefill.c: prefilling the prompt before the run
 ** ===================================================================
 */
 
-/* FALSE when there is no engine for it; the decode engine is reserved */
+/* Sends a PREFILL. Returns FALSE if none can be sent; the reservation of the
+** decode engine stays. */
 gboolean prefill_begin(Router *router, Request *request, gint64 now);
+/* Reserves memory for the run at a decode engine. */
 void prefill_reserve(Router *router, Request *request, Endpoint *decode);
-/* read a prompt anew that was read before, where it may be kept still; FALSE
-** when that is not possible: nothing is sent then */
+/* Prefills a prompt again at the engine that prefilled it before and may still
+** have it in memory. Returns FALSE, with nothing sent, if that is not
+** possible. */
 gboolean prefill_repeat(Router *router, Request *request, gint64 now);
-/* an outcome of the open PREFILL dispatch; may end */
+/* Handles an outcome of the open PREFILL dispatch; may end. */
 void prefill_handle_outcome(Router *router, Request *request,
                             const Outcome *outcome, gint64 now);
-/* it takes too long; may end */
+/* Handles a PREFILL that takes too long; may end. */
 void prefill_handle_stall(Router *router, Request *request, gint64 now);
-/* free the handle, if it was not used */
+/* Releases the handle, if there is an unused one. */
 void prefill_drop_handle(Router *router, Request *request, gint64 now);
-/* the decode engine's memory is no longer reserved */
+/* Gives the memory reserved at the decode engine back, if there is any. */
 void prefill_release_reservation(Router *router, Request *request);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** rates.c: rates that endpoints name
+** rates.c: the rates that endpoints name
 ** ===================================================================
 */
 
-/* an answer of the endpoint says this of its rate */
+/* Applies what an answer of the endpoint says about its rate. */
 void rates_apply_signal(Router *router, const Endpoint *endpoint,
                         const EndpointSignals *signals, gint64 now);
-/* 'service' is NULL where nothing is sent */
+/* Returns who shares the rates; 'service' is NULL where nothing is to be
+** sent. */
 RateSharers rates_sharers(Router *router, const Service *service, gint64 now);
-/* for the gate: what all instances may send to endpoints of the service */
+/* Returns the limits, for the gate, on what all instances may send to
+ *endpoints
+ ** of the service. */
 GateLimits rates_limits(Router *router, const Service *service, gint64 now);
-/* endpoints have come or gone */
+/* Drops the rates of incarnations that are no longer listed. */
 void rates_endpoints_changed(Router *router);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** shortage.c: endpoints want fewer requests than there are
+** shortage.c: endpoints accept fewer requests than there are
 ** ===================================================================
 */
 
-/* no endpoint took the request: if that is for what they said of rests and
-** rates, note why, and when its caller may come back */
+/* Records in a request for which no endpoint was found whether rests or rates
+** are the reason, and when its caller may retry. */
 void shortage_record(Router *router, Request *request, gint64 now);
-/* do all endpoints that could run it rest for longer than this? */
+/* Returns TRUE if there are endpoints that could run the request and all of
+** them rest for more than 'duration' microseconds. */
 gboolean shortage_outlasts(const Router *router, const Request *request,
-                           gint64 span, gint64 now);
-/* who waits for an engine looks again soon, where engines rest or name rates
- */
+                           gint64 duration, gint64 now);
+/* Schedules the next check of the waiting requests while endpoints rest or
+ *name
+ ** rates. */
 void shortage_schedule_recheck(Router *router, gint64 now);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** admission.c: waiting for room at the decode engines
+** admission.c: the queue of requests that wait for a decode engine
 ** ===================================================================
 */
 
-/* start the request, or let it wait, or refuse it; may end */
+/* Starts a new request, queues it, or refuses it; may end. */
 void admission_enter(Router *router, Request *request, gint64 now);
-/* its prompt is read but no engine has room: wait while the handle lives */
+/* Queues a request again whose prompt is prefilled but for which no engine has
+** room; it waits while the handle is valid. */
 void admission_requeue(Router *router, Request *request, gint64 now);
-/* it waits no more */
+/* Removes a request from the queue, if it is in it. */
 void admission_leave(Router *router, Request *request);
-/* its time to be looked at has come; may end */
+/* Reviews a waiting request at the time set for it: refuses it if its wait is
+** too long; may end. */
 void admission_review(Router *router, Request *request, gint64 now);
-/* its turn has come: start it if there is still room; may end */
+/* Starts a waiting request at the time set for it, if there is still room; may
+** end. */
 void admission_take_turn(Router *router, Request *request, gint64 now);
-/* how long the first waiting request has waited, 0 when there is none */
+/* Returns for how long the most senior request in time has waited, us; 0 if
+** there is none. */
 gint64 admission_oldest_wait(const Router *router, gint64 now);
-/* how many wait here that can still be answered in time */
+/* Returns how many requests that wait here can still be answered in time. */
 guint admission_count_in_time(const Router *router, gint64 now);
-/* there may be room: start what fits */
+/* Starts the waiting requests that fit; called whenever there may be room. */
 void admission_start_waiting(Router *router, gint64 now);
-/* a run at an engine ended */
+/* Records that a stream ended, which frees memory. */
 void admission_note_run_end(Router *router, gint64 now);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** accounts.c: whose request it is, and whether it may run
+** accounts.c: the client account of a request, and whether it may run
 ** ===================================================================
 */
 
-/* FALSE: refuse it so. Else what it costs is taken from the account's limit;
-** the account is NULL when none is needed */
+/* Finds the account of a new request and charges the request's cost to its
+** limit; '*account' is NULL if none is needed. Returns FALSE, with the refusal
+** filled in, if the request must be refused. */
 gboolean accounts_admit(Router *router, const CallerRequest *call,
                         const Route *route, const Account **account,
                         Refusal *refusal, gint64 now);
-/* note the account in a new request */
+/* Sets the account of a new request. */
 void accounts_attach(Request *request, const CallerRequest *call,
                      const Account *account);
-/* may anything be sent for it now? Else '*why' says why not */
+/* Returns TRUE if the request's key and the age of the configuration allow
+** dispatches now; else sets '*why' to the refusal. */
 gboolean accounts_may_dispatch(Router *router, const Request *request,
                                RefusalKind *why, gint64 now);
-/* it reached no endpoint: its cost goes back to the limit */
+/* Gives the cost of a request that did not run back to its account's limit. */
 void accounts_refund(Router *router, const Request *request);
-/* who shares the limits */
+/* Returns who shares the accounts' limits. */
 LimitSharers accounts_sharers(const Router *router, gint64 now);
-/* since the configuration was certainly the newest; -1: not known */
+/* Returns the time since the configuration was certainly the newest, us; -1:
+ *not
+ ** known. */
 gint64 accounts_configuration_age(const Router *router, gint64 now);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** lives.c: lives of endpoints
+** lives.c: incarnations of endpoints
 ** ===================================================================
 */
 
-/* a watch whose checks are dispatches, and that strikes suspects */
+/* Creates a crash watch that checks endpoints by CHECK dispatches and adds
+** strikes to suspects. The caller frees it with crash_watch_free. */
 CrashWatch *lives_new_crash_watch(Router *router);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** suspects.c: requests that end the endpoints that run them
+** suspects.c: requests under which endpoints crash (quarantine.h)
 ** ===================================================================
 */
 
-/* FALSE: it is held; '*why' says so, and when to come back is noted in it */
+/* Returns FALSE if the request is held or suspected; then sets '*why', and
+** Request.come_back to when its caller may retry. */
 gboolean suspects_may_dispatch(Router *router, Request *request,
                                RefusalKind *why, gint64 now);
-/* it broke off there: if the endpoint has ended, that may be its doing */
+/* The request's dispatch broke off at this endpoint: if the endpoint has
+** crashed, the request may be the cause. */
 void suspects_note_broken(Router *router, const Request *request,
                           const Endpoint *endpoint, gint64 now);
-/* an endpoint's life ended under it */
+/* Adds a strike: an incarnation of an endpoint crashed under the request. */
 void suspects_add_strike(Router *router, const QuarantineSuspect *suspect,
                          guint32 life, gint64 now);
-/* the endpoint of the open dispatch has answered something: it lives */
+/* The endpoint of the open dispatch has answered, so it has not crashed. */
 void suspects_note_answer(Router *router, const Request *request, gint64 now);
-/* a run of it ended well */
+/* A run of the request succeeded. */
 void suspects_note_success(Router *router, const Request *request);
-/* refuse the waiting requests that are held now; they end */
+/* Refuses, and so ends, the waiting requests that are held now. */
 void suspects_refuse_held(Router *router, gint64 now);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** finish.c: how a request ends. All of these end it
+** finish.c: ends of requests
 ** ===================================================================
 */
 
-/* what a refusal is called in logs, and when to come back after it */
+/* Returns the static name of a refusal, as logs have it. */
 const char *finish_refusal_name(RefusalKind kind);
+/* Returns after how many ms a caller refused so may retry; 0: it is not told.
+ */
 gint64 finish_default_retry_ms(RefusalKind kind);
 
+/* All functions from here on end and free the request. */
+
+/* Passes the last outcome of an answer on to the caller. */
 void finish_answered(Router *router, Request *request, const Outcome *outcome);
+/* Refuses the request. */
 void finish_refuse(Router *router, Request *request, RefusalKind kind);
-/* its key or the configuration's age forbids to send anything more */
+/* Ends a request for which path_may_dispatch allows no dispatch, for 'why'. */
 void finish_forbidden(Router *router, Request *request, RefusalKind why,
                       gint64 now);
-/* no further try: say what is known about whether it ran */
+/* Ends a request that is not tried again; tells the caller what is known about
+** whether it ran. */
 void finish_give_up(Router *router, Request *request, gint64 now);
-/* its time is over */
+/* Ends a request whose time is over. */
 void finish_expire(Router *router, Request *request, gint64 now);
+/* Ends a request whose caller has disconnected. */
 void finish_hangup(Router *router, Request *request, gint64 now);
 
 /* }================================================================== */
