--- a/router/availability.h
+++ b/router/availability.h
@@ -49,8 +49,7 @@
                                  ** not announced */
   gint64 rest_until;             /* end of the rest; 0: none was announced */
   gboolean has_dispatch_in_rest; /* during a rest: a dispatch other than CHECK
-                                  *was sent since
-                                  ** it began */
+                                 ** was sent since it began */
   gboolean is_logged; /* its unreadable signals have been logged once */
 } Availability;
 
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -34,13 +34,13 @@
 ** a simulated day) by 0.007 to 0.022 on three deployments of 7 to 9 instances
 ** (20 days each, paired). */
 #define COST_OTHER_ZONE_ENGINE 3.0
-/* The same of a decode engine where loads in other data centres are known from
-** summaries alone, some tenths of a second late, so that several instances
-** promise the same memory. 8 in place of 1.5 raised the worth by 0.03 to 0.09
-** on three deployments of 58 to 68 instances (five days each, paired) and by
-** 0.15 on a day of 295 instances; 16 gained no more. Where all loads are known
-** at once, 8 lost 0.06 on the deployment with four engines in a data centre.
-*/
+/* The same of a decode engine where loads in other data centres are known
+** from summaries alone, some tenths of a second late, so that several
+** instances promise the same memory. 8 in place of 1.5 raised the worth by
+** 0.03 to 0.09 on three deployments of 58 to 68 instances (five days each,
+** paired) and by 0.15 on a day of 295 instances; 16 gained no more. Where all
+** loads are known at once, 8 lost 0.06 on the deployment with four engines in
+** a data centre. */
 #define COST_OTHER_ZONE_LATE 8.0
 /* per unit of the failure rate that this instance saw */
 #define COST_FAILURES 12.0
@@ -427,9 +427,8 @@
 } Candidate;
 
 /* Returns the endpoints that the query may choose, with their costs; the
- *caller
- ** frees the array. 'avoided_too' includes those that are avoided after they
- ** were unreachable. */
+** caller frees the array. 'avoided_too' includes those that are avoided after
+** they were unreachable. */
 static GArray *candidates(const EndpointTable *table,
                           const EndpointQuery *query, gboolean avoided_too,
                           gint64 now) {
@@ -454,8 +453,8 @@
 }
 
 /* Returns the candidate with the largest rendezvous weight among those whose
-** cost is at most a range above the lowest one; NULL if there is no candidate.
-*/
+** cost is at most a range above the lowest one; NULL if there is no
+** candidate. */
 static Endpoint *best_of(const GArray *found, const EndpointQuery *query) {
   double cost_range = query->affinity_overrides_load ? HUGE_VAL
                       : query->affinity != 0         ? AFFINITY_COST_RANGE
--- a/router/endpoint_table.h
+++ b/router/endpoint_table.h
@@ -55,15 +55,14 @@
 } Endpoint;
 
 typedef struct EndpointTable {
-  GHashTable *by_id; /* record.id (borrowed) -> Endpoint (borrowed) */
-  GHashTable
-      *unlisted;  /* id -> UnlistedIncarnation, for incarnations that the list
-                  ** has lost; both owned */
-  GPtrArray *all; /* Endpoint, in order of arrival; owned */
-  char *zone;     /* the data centre of this instance; owned */
-  PeerLoads *peers; /* what the other instances have open; owned */
-  gboolean is_late; /* loads in other data centres are known only from
-                    ** delayed summaries */
+  GHashTable *by_id;    /* record.id (borrowed) -> Endpoint (borrowed) */
+  GHashTable *unlisted; /* id -> UnlistedIncarnation: incarnations that the
+                         ** list has lost; both owned */
+  GPtrArray *all;       /* Endpoint, in order of arrival; owned */
+  char *zone;           /* the data centre of this instance; owned */
+  PeerLoads *peers;     /* what the other instances have open; owned */
+  gboolean is_late;     /* loads in other data centres are known only from
+                        ** delayed summaries */
 } EndpointTable;
 
 /* Limits on what all instances together may send to the endpoints of one
@@ -121,9 +120,8 @@
 void endpoint_table_advance_position(EndpointTable *table,
                                      const EndpointRecord *record);
 /* Returns TRUE if the record comes from a newer era of the store (the store
- *was
- ** restored from a copy) than the known one. Its content may be older even
- ** so. */
+** was restored from a copy) than the known one. Its content may be older even
+** so. */
 gboolean endpoint_record_is_restored(const EndpointRecord *record,
                                      const EndpointRecord *known);
 /* Removes an endpoint that is no longer listed. What its incarnation has
@@ -176,14 +174,12 @@
 gboolean endpoint_is_leaving(const Endpoint *endpoint);
 
 /* Returns the recent share of failed dispatches that this instance saw, 0 to
- *1;
- ** it decays with time. */
+** 1; it decays with time. */
 double endpoint_failure_rate(const Endpoint *endpoint, gint64 now);
 
 /* Record how a dispatch ended. A success lowers the failure rate and clears
 ** 'avoid_until'; a failure only raises the failure rate; an unreachable
-*endpoint is avoided for a time that
-** doubles with each attempt in a row. */
+** endpoint is avoided for a time that doubles with each attempt in a row. */
 void endpoint_note_success(Endpoint *endpoint, gint64 now);
 void endpoint_note_failure(Endpoint *endpoint, gint64 now);
 void endpoint_note_unreachable(Endpoint *endpoint, gint64 now);
--- a/router/gate.h
+++ b/router/gate.h
@@ -19,8 +19,7 @@
 **
 ** A RELEASE frees memory, which is worth one dispatch in a rest (a CHECK does
 ** not count); handles that are not released expire by themselves. A CHECK only
-*opens a connection and
-** sends no request.
+** opens a connection and sends no request.
 **
 ** The gate owns nothing and changes nothing.
 */
--- a/router/patience.c
+++ b/router/patience.c
@@ -38,7 +38,7 @@
 
 /* Adds a row for the route. Rows of routes that get no requests any more are
 ** removed on this occasion, so the table does not grow as routes come and go.
-*/
+ */
 static Row *row_new(PatienceTable *table, const char *route, gint64 now) {
   Row *row = g_new0(Row, 1);
   g_hash_table_foreach_remove(table->rows, is_stale, &now);
--- a/router/router.h
+++ b/router/router.h
@@ -403,8 +403,7 @@
 ** told. */
 unsigned router_instances(const Router *router);
 /* Returns TRUE if requests can be accepted: there is a configuration, and it
- *is
- ** not too old for its keys. */
+** is not too old for its keys. */
 gboolean router_is_configured(const Router *router, gint64 now);
 /* Returns a counter's value, 0 for a number beyond the last. */
 guint64 router_counter(const Router *router, unsigned counter);
--- a/router/stages.c
+++ b/router/stages.c
@@ -30,9 +30,8 @@
 #define PEAK_DECAY (10 * MP_SEC)
 /* A need to change engines from prefill to decode (NEED_TIME_MIN) or from
 ** decode to prefill (NEED_TIME_MIN_BACK) must last this long before an
-*instance acts,
-** and NEED_TIME_PER_INSTANCE longer for each live instance with a smaller
-*address. */
+** instance acts, and NEED_TIME_PER_INSTANCE longer for each live instance
+** with a smaller address. */
 #define NEED_TIME_MIN (600 * MP_MS)
 #define NEED_TIME_MIN_BACK (1500 * MP_MS)
 #define NEED_TIME_PER_INSTANCE (1500 * MP_MS)
@@ -438,9 +437,8 @@
 }
 
 /* Handles the engine's state; 'report' is NULL if there was no answer. Sends
- *the
- ** order if the engine can still carry it out and the lease is held, and
- ** abandons the change if not. */
+** the order if the engine can still carry it out and the lease is held, and
+** abandons the change if not. */
 static void handle_report(Stages *stages, StageChange *change,
                           const EngineReport *report, gint64 now) {
   Endpoint *endpoint = endpoint_of(stages, change);
--- a/router/state.h
+++ b/router/state.h
@@ -197,10 +197,10 @@
   gint64 last_run_end;    /* when a stream last ended here; 0: never */
   double mean_end_interval; /* moving mean of the time between such ends, us */
   guint64 plain_version;    /* the same for what is open at plain endpoints */
-  guint64
-      load_version; /* grows when something changes that other instances
-                     ** should know at once: open dispatches and reservations
-                     ** at engines, the queue, some states of endpoints */
+  guint64 load_version;     /* grows when the near instances should know a
+                            ** change at once: of open dispatches and
+                            ** reservations at engines, of the queue, or of
+                            ** some states of endpoints */
   guint64 counters[ROUTER_COUNTER_COUNT];
   Histogram durations[DURATION_COUNT];
 };
@@ -306,8 +306,7 @@
 void outcomes_retry(Router *router, Request *request, gboolean may_have_run,
                     gint64 now);
 /* Handles a run that has been silent for too long: runs it elsewhere if that
- *is
- ** allowed; may end. */
+** is allowed; may end. */
 void outcomes_handle_stall(Router *router, Request *request, gint64 now);
 /* Counts a failure of the endpoint of a silent run, and tells other
 ** instances. */
@@ -377,8 +376,7 @@
 ** sent. */
 RateSharers rates_sharers(Router *router, const Service *service, gint64 now);
 /* Returns the limits, for the gate, on what all instances may send to
- *endpoints
- ** of the service. */
+** endpoints of the service. */
 GateLimits rates_limits(Router *router, const Service *service, gint64 now);
 /* Drops the rates of incarnations that are no longer listed. */
 void rates_endpoints_changed(Router *router);
@@ -399,8 +397,7 @@
 gboolean shortage_outlasts(const Router *router, const Request *request,
                            gint64 duration, gint64 now);
 /* Schedules the next check of the waiting requests while endpoints rest or
- *name
- ** rates. */
+** name rates. */
 void shortage_schedule_recheck(Router *router, gint64 now);
 
 /* }================================================================== */
@@ -460,8 +457,7 @@
 /* Returns who shares the accounts' limits. */
 LimitSharers accounts_sharers(const Router *router, gint64 now);
 /* Returns the time since the configuration was certainly the newest, us; -1:
- *not
- ** known. */
+** not known. */
 gint64 accounts_configuration_age(const Router *router, gint64 now);
 
 /* }================================================================== */
