--- a/router/path.c
+++ b/router/path.c
@@ -1,12 +1,13 @@
 /*
 ** path.c
-** The path of one request over the endpoints
+** Chooses endpoints for a request and sends its dispatches
 **
-** Invariants. A request that is not repeatable is sent again only after
-** its endpoint said that it did not run it, or was never connected to. At
-** most Route.attempts dispatches of a request may have run. Every arrival
-** after the first is drawn from the service's retry budget before it is
-** sent.
+** Invariants:
+** - A request that is not repeatable is sent again only after its endpoint
+**   stated that it did not run it, or if no connection was made.
+** - At most Route.attempts dispatches of a request may have run.
+** - Every arrival (dispatch that reaches an endpoint) after the first is taken
+**   from the service's retry budget before it is sent.
 */
 
 #include <string.h>
@@ -16,11 +17,12 @@
 #include "router/silence.h"
 #include "router/state.h"
 
-/* patience with endpoints that do not take a connection: one objective, within
-** these bounds. A connection takes some milliseconds; the first packet that is
-** lost is sent again after a second */
-#define CONNECT_LEAST (100 * MP_MS)
-#define CONNECT_MOST (400 * MP_MS)
+/* The connect timeout is the route's objective, within these bounds.
+*Connecting
+** takes some milliseconds, and a lost first packet is sent again only after a
+** second, so waiting longer gains nothing. */
+#define CONNECT_TIMEOUT_MIN (100 * MP_MS)
+#define CONNECT_TIMEOUT_MAX (400 * MP_MS)
 
 EndpointQuery path_query(Router *router, const Request *request,
                          EndpointStage stage, gint64 now) {
@@ -63,10 +65,11 @@
                                         open->life);
 }
 
-/* what is open at an engine is memory that others may promise too: they
-** hear at once. At a plain endpoint it tells them how busy that is, a
-** little later */
-static void count_change(Router *router, const Request *request) {
+/* Marks a change of what is open as to be reported. What is open at an engine
+** is memory that other instances may plan too, so they are told at once; at a
+** plain endpoint it only shows how busy that is, and is told a little later.
+ */
+static void mark_load_changed(Router *router, const Request *request) {
   if (request->service->is_engine)
     router->load_version++;
   else
@@ -83,7 +86,7 @@
     endpoint->open -= MIN(endpoint->open, 1);
     endpoint->tokens -= MIN(endpoint->tokens, open->tokens);
   }
-  count_change(router, request);
+  mark_load_changed(router, request);
   g_hash_table_remove(router->requests_by_dispatch, &open->number);
   if (cancel)
     router->host.cancel(router->host.data, open->number);
@@ -93,7 +96,7 @@
   request->suspect_at = 0;
 }
 
-/* what was known of the endpoint when it was chosen */
+/* Logs a dispatch with what was known of the endpoint when it was chosen. */
 static void log_dispatch(Router *router, const Request *request,
                          const Dispatch *dispatch, const Endpoint *endpoint) {
   const EndpointTable *table = router->endpoints;
@@ -109,7 +112,7 @@
              dispatch->last_event != NULL ? dispatch->last_event : "-");
 }
 
-/* the dispatch that went out is the one that the request waits for */
+/* Makes the dispatch that was sent the open one of the request. */
 static void open_dispatch(Router *router, Request *request, guint64 number,
                           Endpoint *endpoint, guint64 tokens, gint64 now) {
   OpenDispatch *open = &request->open;
@@ -120,7 +123,7 @@
   open->sent = now;
   endpoint->open++;
   endpoint->tokens += tokens;
-  count_change(router, request);
+  mark_load_changed(router, request);
   g_hash_table_insert(router->requests_by_dispatch, &open->number, request);
 }
 
@@ -132,8 +135,8 @@
   dispatch.request = request->number;
   dispatch.account = request->account != NULL ? request->account->name : NULL;
   dispatch.deadline_ms = MAX((request->caller_deadline - now) / MP_MS, 1);
-  dispatch.connect_timeout =
-      CLAMP(request->route->objective, CONNECT_LEAST, CONNECT_MOST);
+  dispatch.connect_timeout = CLAMP(request->route->objective,
+                                   CONNECT_TIMEOUT_MIN, CONNECT_TIMEOUT_MAX);
   if (kind == DISPATCH_RUN) {
     dispatch.stream = request->route->kind == ROUTE_STREAM;
     dispatch.handle = request->handle;
@@ -149,7 +152,8 @@
   return TRUE;
 }
 
-/* the engine that was reserved, if it can still be used */
+/* Returns the decode engine where memory is reserved, if it can still be used;
+** else NULL. */
 static Endpoint *reserved_decode(Router *router, const Request *request,
                                  gint64 now) {
   Endpoint *endpoint;
@@ -166,7 +170,9 @@
   return request->service->is_engine ? STAGE_DECODE : STAGE_NONE;
 }
 
-/* others reserved the same room at the same moment */
+/* Returns TRUE if other instances reserved the same memory of the engine at
+*the
+** same moment, so that more is planned than it has. */
 static gboolean is_overbooked(const Router *router, const Request *request,
                               const Endpoint *endpoint) {
   return request->service->kv_tokens > 0 &&
@@ -174,7 +180,8 @@
              request->service->kv_tokens;
 }
 
-/* the reserved endpoint, or another one with room; NULL when none has any */
+/* Returns the reserved endpoint unless it is overbooked, else another one with
+** room; NULL if none has room. */
 static Endpoint *choose_with_room(Router *router, const Request *request,
                                   gint64 now) {
   EndpointStage stage = path_run_stage(request);
@@ -186,7 +193,10 @@
   return endpoint_table_choose(router->endpoints, &query, now);
 }
 
-static Endpoint *choose(Router *router, const Request *request, gint64 now) {
+/* Returns the endpoint for a run: one with room, else the reserved one, else
+** any; NULL if there is none. */
+static Endpoint *choose_endpoint(Router *router, const Request *request,
+                                 gint64 now) {
   EndpointQuery query =
       path_query(router, request, path_run_stage(request), now);
   Endpoint *endpoint = reserved_decode(router, request, now);
@@ -200,11 +210,12 @@
 }
 
 /*
-** The prompt is read and no decode engine has room for it: wait for room as
-** long as the handle lives, instead of being turned away by a full engine.
+** Queues the request again if its prompt is prefilled and no decode engine has
+** room for it: it waits for room while the handle is valid, instead of being
+** rejected by a full engine. Returns FALSE if it was not queued.
 */
-static gboolean waits_with_handle(Router *router, Request *request,
-                                  gint64 now) {
+static gboolean requeue_with_handle(Router *router, Request *request,
+                                    gint64 now) {
   if (request->handle == NULL || request->runs > 0 || request->head_sent ||
       router->stopping || choose_with_room(router, request, now) != NULL)
     return FALSE;
@@ -231,10 +242,10 @@
   request->phase = PHASE_RUN;
   if (request->handle != NULL && now >= request->handle_until)
     prefill_drop_handle(router, request, now);
-  if (waits_with_handle(router, request, now) ||
+  if (requeue_with_handle(router, request, now) ||
       prefill_repeat(router, request, now))
     return;
-  endpoint = choose(router, request, now);
+  endpoint = choose_endpoint(router, request, now);
   if (endpoint == NULL) {
     shortage_record(router, request, now);
     finish_give_up(router, request, now);
@@ -259,7 +270,8 @@
                           gint64 now) {
   router_record_duration(router, request, DURATION_WAIT, now);
   prefill_reserve(router, request, decode);
-  /* a second reading is an extra arrival: path_run asks the budget */
+  /* A second prefill is an extra arrival, for which path_run asks the
+   ** budget. */
   if (request->prefills > 0 || !prefill_begin(router, request, now))
     path_run(router, request, now);
 }
--- a/router/route_table.c
+++ b/router/route_table.c
@@ -1,6 +1,7 @@
 /*
 ** route_table.c
-** One configuration: routes, services and limits
+** One configuration: routes, services, client accounts and keys
+** (router/records.h)
 */
 
 #include <string.h>
@@ -39,7 +40,8 @@
   g_free(service);
 }
 
-static TextDigest digest_of(const char *text, gsize size) {
+/* Returns the digest of the text that a route was written as. */
+static TextDigest text_digest(const char *text, gsize size) {
   XXH128_hash_t hash = XXH3_128bits(text, size);
   TextDigest digest = {hash.low64, hash.high64};
   return digest;
@@ -80,7 +82,8 @@
   g_free(table);
 }
 
-static void add(RouteTable *table, Route *route) {
+/* Appends a route, which is shared by reference between tables. */
+static void append_route(RouteTable *table, Route *route) {
   route->refs++;
   g_ptr_array_add(table->routes, route);
   g_hash_table_replace(table->by_text, &route->digest, route);
@@ -88,10 +91,10 @@
 
 Route *route_table_add_route(RouteTable *table, const char *text, gsize size) {
   Route *route = g_new0(Route, 1);
-  route->digest = digest_of(text, size);
+  route->digest = text_digest(text, size);
   route->targets = g_array_new(FALSE, TRUE, sizeof(RouteTarget));
   g_array_set_clear_func(route->targets, target_clear);
-  add(table, route);
+  append_route(table, route);
   return route;
 }
 
@@ -101,10 +104,10 @@
   Route *route;
   if (older == NULL)
     return FALSE;
-  digest = digest_of(text, size);
+  digest = text_digest(text, size);
   route = g_hash_table_lookup(older->by_text, &digest);
   if (route != NULL)
-    add(table, route);
+    append_route(table, route);
   return route != NULL;
 }
 
@@ -136,10 +139,10 @@
 
 const Account *route_table_account(const RouteTable *table,
                                    const char *digest) {
-  guint place;
-  if (table->keys == NULL || !key_table_find(table->keys, digest, &place))
+  guint index;
+  if (table->keys == NULL || !key_table_find(table->keys, digest, &index))
     return NULL;
-  return table->accounts->pdata[place];
+  return table->accounts->pdata[index];
 }
 
 double account_cost(const Account *account, guint32 prompt_tokens,
@@ -186,16 +189,16 @@
 
 const char *route_choose_service(const Route *route, guint32 draw) {
   guint64 total = 0;
-  guint64 at;
+  guint64 draw_at;
   guint i;
   for (i = 0; i < route->targets->len; i++)
     total += g_array_index(route->targets, RouteTarget, i).weight;
-  at = total * draw >> 32;
+  draw_at = total * draw >> 32;
   for (i = 0; i + 1 < route->targets->len; i++) {
     const RouteTarget *target = &g_array_index(route->targets, RouteTarget, i);
-    if (at < target->weight)
+    if (draw_at < target->weight)
       return target->service;
-    at -= target->weight;
+    draw_at -= target->weight;
   }
   return g_array_index(route->targets, RouteTarget, i).service;
 }
--- a/router/router.c
+++ b/router/router.c
@@ -1,6 +1,6 @@
 /*
 ** router.c
-** The router: its tables, and the doors through which events come in
+** Creation of the router, entry points for events, and the timer
 */
 
 #include <stdarg.h>
@@ -12,12 +12,13 @@
 #include "router/retry_exchange.h"
 #include "router/state.h"
 
-/* the last word leaves this long before the caller stops waiting */
+/* A request is ended this long before its caller stops waiting, so that the
+** answer still reaches the caller. */
 #define ANSWER_MARGIN (15 * MP_MS)
 
 /*
 ** {==================================================================
-** Life
+** Creation and destruction
 ** ===================================================================
 */
 
@@ -126,7 +127,7 @@
 
 gboolean router_set_routes(Router *router, RouteTable *routes, gint64 now) {
   if (router->routes != NULL && routes->version <= router->routes->version)
-    return FALSE; /* never back within a life */
+    return FALSE; /* an instance never goes back to an older one */
   route_table_ref(routes);
   route_table_unref(router->routes);
   router->routes = routes;
@@ -169,14 +170,18 @@
 ** ===================================================================
 */
 
-/* what one client account sends is held against that account alone */
-static guint64 content_of(const CallerRequest *call, const Account *account) {
+/* Returns the digest by which the quarantine knows a request. It includes the
+** client account, so that a request held for one account is not held for
+** others. */
+static guint64 quarantine_digest(const CallerRequest *call,
+                                 const Account *account) {
   if (account == NULL)
     return call->content;
   return XXH3_64bits_withSeed(account->name, strlen(account->name),
                               call->content);
 }
 
+/* Creates a request; its caller sets the account and the service. */
 static Request *request_new(const CallerRequest *call, RouteTable *table,
                             const Route *route, const Account *account,
                             gint64 now) {
@@ -191,7 +196,7 @@
   request->prompt_tokens = call->prompt_tokens;
   request->output_tokens = call->output_tokens;
   request->session = call->session;
-  request->content = content_of(call, account);
+  request->content = quarantine_digest(call, account);
   request->resumes = call->resumes;
   request->arrived = now;
   request->caller_deadline = now + patience;
@@ -201,15 +206,18 @@
   return request;
 }
 
+/* Returns the time since the store's last answer; G_MAXINT32 us if there was
+** none. */
 static gint64 news_age(const Router *router, gint64 now) {
   return router->heard_at != 0 ? now - router->heard_at : G_MAXINT32;
 }
 
 /*
 ** "No such route" and "no such key" are final for a caller. While a newer
-** configuration is known elsewhere, or the news are older than they are at any
-** instance that the store answers, the route may have come since: the caller
-** is told to try again, and reaches another instance, or this one later.
+** configuration is known elsewhere, or the store's last answer is older than
+** at any instance that the store answers, the route or key may have been added
+** since: the caller is told to retry, and reaches another instance, or this
+** one later.
 */
 gboolean router_may_be_outdated(const Router *router, gint64 now) {
   if (router->news != NULL && router->news->lags_since != 0)
@@ -218,15 +226,19 @@
          news_age(router, now) > router->news_age_max;
 }
 
-static RefusalKind no_route(const Router *router, gint64 now) {
+/* Returns the refusal for a request that matches no route. */
+static RefusalKind unmatched_refusal(const Router *router, gint64 now) {
   return router_may_be_outdated(router, now) ? REFUSAL_OLD_CONFIGURATION
                                              : REFUSAL_NO_ROUTE;
 }
 
+/* Returns for how long a newer configuration has been known elsewhere; 0 if
+** none is. */
 static gint64 news_lag(const Router *router, gint64 now) {
   return router->news != NULL ? news_state_lag(router->news, now) : 0;
 }
 
+/* Refuses a request before it is created. */
 static void refuse_unrouted(Router *router, const CallerRequest *call,
                             RefusalKind kind, gint64 now) {
   Refusal refusal = {kind, finish_default_retry_ms(kind)};
@@ -258,7 +270,7 @@
   }
   route = route_table_find(router->routes, call->host, call->path);
   if (route == NULL) {
-    refuse_unrouted(router, call, no_route(router, now), now);
+    refuse_unrouted(router, call, unmatched_refusal(router, now), now);
     return;
   }
   if (!accounts_admit(router, call, route, &account, &refusal, now)) {
@@ -312,7 +324,7 @@
   admission_start_waiting(router, now);
 }
 
-/* the endpoint itself has said something */
+/* Returns TRUE if the outcome shows that the endpoint itself answered. */
 static gboolean is_answer_of_endpoint(const Outcome *outcome) {
   return outcome->kind != OUTCOME_UNREACHABLE &&
          outcome->kind != OUTCOME_BROKEN && !outcome->misdirected;
@@ -326,7 +338,7 @@
   request =
       g_hash_table_lookup(router->requests_by_dispatch, &outcome->dispatch);
   if (request == NULL)
-    return; /* given up before */
+    return; /* the request no longer waits for it */
   if (is_answer_of_endpoint(outcome))
     suspects_note_answer(router, request, now);
   if (request->phase == PHASE_PREFILL)
@@ -340,10 +352,11 @@
 
 /*
 ** {==================================================================
-** Time
+** Timer
 ** ===================================================================
 */
 
+/* Returns when the request needs attention next. */
 static gint64 wake_time(const Request *request) {
   gint64 wake = request->expires;
   if (request->stall_at != 0)
@@ -367,7 +380,8 @@
   return next;
 }
 
-static void stalled(Router *router, Request *request, gint64 now) {
+/* Handles Request.stall_at. */
+static void handle_stall(Router *router, Request *request, gint64 now) {
   if (request->phase == PHASE_WAIT)
     admission_review(router, request, now);
   else if (request->phase == PHASE_PREFILL)
@@ -376,8 +390,9 @@
     outcomes_handle_stall(router, request, now);
 }
 
-/* one request whose time has come; 0 when there is none */
-static gboolean tick_one(Router *router, gint64 now) {
+/* Handles one request that needs attention now; FALSE if there is none. The
+** caller repeats this, because handling a request may change the table. */
+static gboolean handle_one_due(Router *router, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, router->requests);
@@ -392,7 +407,7 @@
     else if (request->start_at != 0 && request->start_at <= now)
       admission_take_turn(router, request, now);
     else
-      stalled(router, request, now);
+      handle_stall(router, request, now);
     return TRUE;
   }
   return FALSE;
@@ -401,7 +416,7 @@
 void router_tick(Router *router, gint64 now) {
   if (peer_loads_expire(router->endpoints->peers, now))
     admission_start_waiting(router, now);
-  while (tick_one(router, now)) {
+  while (handle_one_due(router, now)) {
   }
   stages_tick(router->stages, now);
   crash_watch_expire(router->crashes, now);
@@ -413,12 +428,12 @@
 /* }================================================================== */
 
 void router_observe_era(Router *router, guint64 era, gint64 now) {
-  gboolean is_return = router->era != 0;
+  gboolean had_era = router->era != 0;
   if (era <= router->era)
     return;
   router->era = era;
   stages_observe_era(router->stages, era, now);
-  if (is_return)
+  if (had_era)
     quarantine_restored(router->quarantine, era);
 }
 
