--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -199,8 +199,8 @@
   'out->not_run = out->misdirected ||' \
   'out->not_run = head->status == 503 || out->misdirected ||'
 m r-handle "with its prompt read a request waits for room" router/path.c \
-  'if (waits_with_handle(router, request, now) ||' \
-  'if ((0 && waits_with_handle(router, request, now)) ||'
+  'if (requeue_with_handle(router, request, now) ||' \
+  'if ((0 && requeue_with_handle(router, request, now)) ||'
 m r-reader "a prompt is read again by its reader" router/path.c \
   'prefill_repeat(router, request, now))
     return;' '0)
