--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -1,9 +1,9 @@
 /*
 ** outcomes.c
-** What becomes of a request when its dispatch ends, or says nothing
+** Handles the outcomes and the silence of a request's RUN dispatches
 **
-** The invariants of path.c hold here: what may be sent again, and what the
-** retry budget has to allow first.
+** The invariants of path.c apply: they say what may be sent again, and that
+** the retry budget has to allow it first.
 */
 
 #include <string.h>
@@ -12,39 +12,43 @@
 #include "router/silence.h"
 #include "router/state.h"
 
-/* endpoints that may be out of reach before a request gives up */
-#define MOST_UNREACHABLE 6
-/* runs that may be turned away before a request gives up */
-#define MOST_ARRIVALS 4
-/* a silent run that may not be left now is looked at again after this */
-#define STALL_AGAIN (500 * MP_MS)
-/* memory is counted anew each time a stream has made so many tokens */
-#define COUNT_STEP 64
-/* time that must be left for another try to make sense */
-#define LEAST_TIME_LEFT (30 * MP_MS)
+/* A request ends after this many RUN dispatches that reached no endpoint. */
+#define UNREACHABLE_MAX 6
+/* A request ends after this many RUN dispatches that reached an endpoint and
+** failed. */
+#define ARRIVALS_MAX 4
+/* A silent run that may not be replaced now is checked again after this. */
+#define STALL_RECHECK (500 * MP_MS)
+/* The memory of a stream is estimated anew when the estimate has grown by this
+** many tokens. */
+#define MEMORY_UPDATE_TOKENS 64
+/* A retry is sent only if more time than this is left. */
+#define RETRY_TIME_MIN (30 * MP_MS)
 
-/* a stream has grown: count its memory anew */
-static void count_memory(Router *router, Request *request) {
+/* Updates the memory planned for a stream that has grown. */
+static void update_memory(Router *router, Request *request) {
   OpenDispatch *open = &request->open;
   Endpoint *endpoint = path_open_endpoint(router, request);
   guint64 tokens = estimate_memory(router, request);
-  if (endpoint == NULL || tokens < open->tokens + COUNT_STEP)
+  if (endpoint == NULL || tokens < open->tokens + MEMORY_UPDATE_TOKENS)
     return;
-  /* no version of its own: the next digest tells it */
+  /* load_version does not change: the next digest reports it soon enough */
   endpoint->tokens += tokens - open->tokens;
   open->tokens = tokens;
 }
 
 /*
 ** {==================================================================
-** Trying again
+** Retries
 ** ===================================================================
 */
 
-static gboolean may_try_again(const Request *request, gboolean may_have_run,
-                              gint64 now) {
-  if (now + LEAST_TIME_LEFT >= request->expires ||
-      request->arrivals >= MOST_ARRIVALS)
+/* Returns TRUE if the time left, the number of arrivals and, where the request
+** may have run, its route allow a retry. */
+static gboolean may_retry(const Request *request, gboolean may_have_run,
+                          gint64 now) {
+  if (now + RETRY_TIME_MIN >= request->expires ||
+      request->arrivals >= ARRIVALS_MAX)
     return FALSE;
   if (!may_have_run)
     return TRUE;
@@ -59,7 +63,8 @@
              request->arrivals);
 }
 
-/* a handle serves once, whatever became of the run that was offered it */
+/* Forgets the handle without a release: a handle serves once, whatever became
+** of the run that was given it. */
 static void drop_used_handle(Request *request) {
   g_clear_pointer(&request->handle, g_free);
   g_clear_pointer(&request->handle_endpoint, g_free);
@@ -67,7 +72,7 @@
 
 void outcomes_retry(Router *router, Request *request, gboolean may_have_run,
                     gint64 now) {
-  gboolean allowed = may_try_again(request, may_have_run, now);
+  gboolean allowed = may_retry(request, may_have_run, now);
   if (allowed && !retry_exchange_take(router, request->service->name, now)) {
     router_count(router, RETRIES_DENIED);
     allowed = FALSE;
@@ -81,8 +86,10 @@
   path_run(router, request, now);
 }
 
-/* is there an endpoint beside those that failed and the open run's own? */
-static gboolean has_elsewhere(Router *router, Request *request, gint64 now) {
+/* Returns TRUE if there is an endpoint other than those that failed and that
+** of the open run. */
+static gboolean has_other_endpoint(Router *router, Request *request,
+                                   gint64 now) {
   EndpointQuery query =
       path_query(router, request, path_run_stage(request), now);
   const char *others[EXCLUDED_ENDPOINTS_MAX + 1];
@@ -96,16 +103,17 @@
 }
 
 /*
-** Leave the open run, which has perhaps run, and send another one. FALSE,
-** and nothing is changed, unless the route, the time, the endpoints and
-** the retry budget allow that; the budget is paid then. May end.
+** Replaces the open run, which may have run, by another one, if the route, the
+** time, the endpoints and the retry budget allow that; a retry is taken from
+** the budget then. Otherwise returns FALSE and changes nothing. 'cancel'
+** cancels the open run at the host. May end.
 */
-static gboolean leave_for_another(Router *router, Request *request,
-                                  gboolean cancel, gint64 now) {
+static gboolean replace_run(Router *router, Request *request, gboolean cancel,
+                            gint64 now) {
   if (request->runs + 1 >= request->route->attempts ||
-      request->arrivals + 1 >= MOST_ARRIVALS ||
-      !may_try_again(request, TRUE, now) ||
-      !has_elsewhere(router, request, now) ||
+      request->arrivals + 1 >= ARRIVALS_MAX ||
+      !may_retry(request, TRUE, now) ||
+      !has_other_endpoint(router, request, now) ||
       !retry_exchange_take(router, request->service->name, now))
     return FALSE;
   request->arrivals++;
@@ -119,31 +127,33 @@
   return TRUE;
 }
 
-/* silence alone ends no answer: without another run this one goes on */
+/* Silence alone ends no request: the run goes on if it cannot be replaced. */
 void outcomes_handle_stall(Router *router, Request *request, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   if (endpoint != NULL)
     endpoint_note_failure(endpoint, now);
-  if (!leave_for_another(router, request, TRUE, now))
-    request->stall_at = now + STALL_AGAIN;
+  if (!replace_run(router, request, TRUE, now))
+    request->stall_at = now + STALL_RECHECK;
 }
 
-/* no connection stood: the next endpoint, and no retry is spent */
-static void unreachable(Router *router, Request *request, Endpoint *endpoint,
-                        gint64 now) {
+/* No connection was made: tries the next endpoint, which costs no retry. */
+static void handle_unreachable(Router *router, Request *request,
+                               Endpoint *endpoint, gint64 now) {
   router_count(router, UNREACHABLE);
   if (endpoint != NULL)
     endpoint_note_unreachable(endpoint, now);
   path_close_dispatch(router, request, FALSE);
-  if (++request->unreachable >= MOST_UNREACHABLE ||
-      now + LEAST_TIME_LEFT >= request->expires)
+  if (++request->unreachable >= UNREACHABLE_MAX ||
+      now + RETRY_TIME_MIN >= request->expires)
     finish_give_up(router, request, now);
   else
     path_run(router, request, now);
 }
 
-static void not_run(Router *router, Request *request, Endpoint *endpoint,
-                    const Outcome *outcome, gint64 now) {
+/* The endpoint rejected the run. */
+static void handle_not_run(Router *router, Request *request,
+                           Endpoint *endpoint, const Outcome *outcome,
+                           gint64 now) {
   router_count(router, NOT_RUN);
   request->arrivals++;
   request->was_rejected = TRUE;
@@ -156,8 +166,9 @@
   outcomes_retry(router, request, FALSE, now);
 }
 
-static void broken(Router *router, Request *request, Endpoint *endpoint,
-                   gint64 now) {
+/* The run broke off without a complete answer. */
+static void handle_broken(Router *router, Request *request, Endpoint *endpoint,
+                          gint64 now) {
   router_count(router, BROKEN);
   request->arrivals++;
   request->runs++;
@@ -179,18 +190,20 @@
 ** ===================================================================
 */
 
-/* the endpoint's own failure: pass it on, or try another one */
-static void answered(Router *router, Request *request, Endpoint *endpoint,
-                     const Outcome *outcome, gint64 now) {
+/* A complete answer came. An answer with a status of 500 or more counts as a
+** failure of the endpoint: it is passed on only if no other run may be sent.
+ */
+static void handle_answer(Router *router, Request *request, Endpoint *endpoint,
+                          const Outcome *outcome, gint64 now) {
   gboolean failed = outcome->status >= 500;
   if (endpoint != NULL && failed)
     endpoint_note_failure(endpoint, now);
   else if (endpoint != NULL)
     endpoint_note_success(endpoint, now);
   suspects_note_success(router, request);
-  if (failed && leave_for_another(router, request, FALSE, now))
+  if (failed && replace_run(router, request, FALSE, now))
     return;
-  if (request->head_sent) { /* a resumed stream got no stream */
+  if (request->head_sent) { /* the resumed run answered without a stream */
     request->runs++;
     finish_give_up(router, request, now);
     return;
@@ -199,28 +212,31 @@
   finish_answered(router, request, outcome);
 }
 
-static void note_pause(Request *request, gint64 now) {
+/* Updates the longest pause between pieces. */
+static void update_longest_pause(Request *request, gint64 now) {
   gint64 pause = request->last_piece != 0 ? now - request->last_piece : 0;
   request->longest_pause = MAX(request->longest_pause, pause);
   request->last_piece = now;
 }
 
-static void piece(Router *router, Request *request, const Outcome *outcome,
-                  gint64 now) {
-  note_pause(request, now);
+/* Passes a piece of a stream on. */
+static void handle_piece(Router *router, Request *request,
+                         const Outcome *outcome, gint64 now) {
+  update_longest_pause(request, now);
   if (outcome->event != NULL) {
     g_free(request->last_event);
     request->last_event = g_strdup(outcome->event);
     request->made = (guint32)(g_ascii_strtoull(outcome->event, NULL, 10) *
                               request->service->event_tokens);
-    count_memory(router, request);
+    update_memory(router, request);
   }
   if (request->stall_at != 0)
     request->stall_at = now + silence_piece(request);
   router->host.answer(router->host.data, request->number, outcome);
 }
 
-/* the run goes on; only the next choices are told */
+/* The run goes on; only later choices of endpoints take the failure into
+** account. */
 void outcomes_mark_suspect(Router *router, Request *request, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   request->suspect_at = 0;
@@ -230,19 +246,21 @@
   router->load_version++;
 }
 
-static void stream_head(Router *router, Request *request,
-                        const Outcome *outcome, gint64 now) {
+/* Passes the head of a stream on, unless the stream was resumed. */
+static void handle_stream_head(Router *router, Request *request,
+                               const Outcome *outcome, gint64 now) {
   request->suspect_at = 0;
   if (request->stall_at != 0)
     request->stall_at = now + silence_head(request);
   if (request->head_sent)
-    return; /* resumed: the caller keeps its first head */
+    return; /* resumed: the caller has had its head */
   request->head_sent = TRUE;
   router_record_duration(router, request, DURATION_FIRST_PIECE, now);
   router->host.answer(router->host.data, request->number, outcome);
 }
 
-/* two engines refused the handle: the one that gave it loses them early */
+/* Records a failure of the prefill engine, because two decode engines rejected
+** its handle: it drops handles too early. */
 static void blame_prefill(Router *router, const Request *request, gint64 now) {
   Endpoint *prefill =
       endpoint_table_get(router->endpoints, request->handle_endpoint);
@@ -269,29 +287,29 @@
   }
   if (outcome->kind != OUTCOME_UNREACHABLE &&
       (outcome->kind != OUTCOME_NOT_RUN || request->arrivals > 0)) {
-    drop_used_handle(request); /* one that two engines refused is gone */
+    drop_used_handle(request); /* no longer valid if two engines rejected it */
   }
   if (outcome->kind == OUTCOME_UNREACHABLE ||
       outcome->kind == OUTCOME_NOT_RUN || outcome->kind == OUTCOME_BROKEN)
     path_exclude(request, request->open.endpoint);
   switch (outcome->kind) {
   case OUTCOME_UNREACHABLE:
-    unreachable(router, request, endpoint, now);
+    handle_unreachable(router, request, endpoint, now);
     break;
   case OUTCOME_NOT_RUN:
-    not_run(router, request, endpoint, outcome, now);
+    handle_not_run(router, request, endpoint, outcome, now);
     break;
   case OUTCOME_BROKEN:
-    broken(router, request, endpoint, now);
+    handle_broken(router, request, endpoint, now);
     break;
   case OUTCOME_ANSWER:
-    answered(router, request, endpoint, outcome, now);
+    handle_answer(router, request, endpoint, outcome, now);
     break;
   case OUTCOME_STREAM_HEAD:
-    stream_head(router, request, outcome, now);
+    handle_stream_head(router, request, outcome, now);
     break;
   case OUTCOME_STREAM_PIECE:
-    piece(router, request, outcome, now);
+    handle_piece(router, request, outcome, now);
     break;
   case OUTCOME_STREAM_END:
     if (endpoint != NULL)
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -1,18 +1,19 @@
 /*
 ** prefill.c
-** Reading the prompt at a prefill engine before the run
+** Has the prompt of a request read by a prefill engine before the run
 **
-** The decode engine is chosen first and its memory reserved; the prompt
-** is then read near it, and the run fetches the result by its handle. A
-** handle lives shortly and serves once. Where no prefill engine can read the
-** prompt, a decode engine reads it itself.
+** The decode engine is chosen first and memory is reserved there. The prompt
+** is then read by a prefill engine near it, and the run fetches the result by
+** its handle. A handle is valid for a short time and for one fetch. If no
+** prefill engine can read the prompt, the decode engine reads it itself.
 **
-** Invariant: of the arrivals that a request causes, its first run and the one
-** prefill that reads its prompt cost no retry; for each other one the retry
-** budget is asked before the next arrival is sent. (A run in the place of a
-** prompt that an engine had lost was taken for a first arrival: half of the
-** engines dropping connections, 102 to 138 extra arrivals came in ten seconds
-** where 100 to 113 are allowed; 0.69 to 0.92 of them followed a lost prompt.)
+** Invariant: of the arrivals at endpoints that a request causes, its first run
+** and the one prefill that reads its prompt cost no retry; for each other one
+** the retry budget is asked before the next arrival is sent. That includes a
+** run that replaces a prefill which an engine lost: counted as a first
+** arrival, with half of the engines dropping connections, it led to 102 to 138
+** extra arrivals in ten seconds where 100 to 113 are allowed, and 0.69 to 0.92
+** of them followed a lost prompt.
 */
 
 #include <string.h>
@@ -21,22 +22,24 @@
 #include "router/retry_exchange.h"
 #include "router/state.h"
 
-/* pace of reading prompts until some were read, in tokens a millisecond */
-#define FIRST_PACE 12.0
-/* weight of the newest prompt in the pace */
+/* prefill pace assumed until a prompt was read, in tokens a millisecond */
+#define INITIAL_PACE 12.0
+/* weight of the newest prompt in the moving mean of the pace */
 #define PACE_STEP 0.1
-/* one may take so many times as long as usual, and this on top */
-#define PREFILL_PATIENCE 4
+/* A prefill counts as stalled after PREFILL_TIMES_MAX times the expected time
+** plus PREFILL_GRACE. */
+#define PREFILL_TIMES_MAX 4
 #define PREFILL_GRACE (300 * MP_MS)
-/* a prefill that is late and may not be left for another is looked at again
-** after this, as a silent run is (path.c) */
-#define LOOK_AGAIN (500 * MP_MS)
-/* prefill engines that one request tries */
-#define MOST_PREFILLS 3
-/* a handle with less time left than this is not worth the fetch */
+/* A stalled prefill that may not be replaced is checked again after this, as a
+** silent run is (outcomes.c). */
+#define STALL_RECHECK (500 * MP_MS)
+/* the most PREFILL dispatches of one request */
+#define PREFILLS_MAX 3
+/* A handle counts as expired this long before it does, because a fetch would
+** come too late. */
 #define HANDLE_MARGIN (60 * MP_MS)
-/* patience with an engine that is told to free a handle */
-#define RELEASE_CONNECT (300 * MP_MS)
+/* connect timeout of a RELEASE */
+#define RELEASE_CONNECT_TIMEOUT (300 * MP_MS)
 
 void prefill_release_reservation(Router *router, Request *request) {
   Endpoint *endpoint;
@@ -58,34 +61,37 @@
   request->decode_incarnation = decode->hash;
   request->decode_tokens = estimate_memory(router, request);
   decode->tokens += request->decode_tokens;
-  /* the run will come there: counted now, so that nobody else is given the
-  ** same place in the engine's rate while the prompt is read */
+  /* The run is counted in the engine's rate now, so that its place in the rate
+  ** is given to no other request while the prompt is read. */
   request->is_decode_counted = rate_limits_sent(router->rates, decode->hash);
   router->load_version++;
   router->host.note(router->host.data, decode->hash,
                     (guint32)request->decode_tokens);
 }
 
+/* Returns how long the prefill is expected to take, us. */
 static gint64 expected_time(Router *router, const Request *request) {
   const ServiceState *state =
       router_service_state(router, request->service->name);
-  double pace = state->prefill_pace > 0 ? state->prefill_pace : FIRST_PACE;
+  double pace = state->prefill_pace > 0 ? state->prefill_pace : INITIAL_PACE;
   return (gint64)(request->prompt_tokens / pace * MP_MS);
 }
 
-/* learn how fast prompts are read, their waiting included */
-static void learn_pace(Router *router, const Request *request, gint64 now) {
+/* Updates the service's prefill pace from the time since the PREFILL was sent;
+** time in the engine's queue is included. */
+static void update_pace(Router *router, const Request *request, gint64 now) {
   ServiceState *state = router_service_state(router, request->service->name);
   double ms = MAX((double)(now - request->open.sent) / MP_MS, 1.0);
   double pace = request->prompt_tokens / ms;
   if (state->prefill_pace <= 0)
-    state->prefill_pace = FIRST_PACE;
+    state->prefill_pace = INITIAL_PACE;
   state->prefill_pace += PACE_STEP * (pace - state->prefill_pace);
 }
 
-/* the engine that read the prompt, if it can read it again */
-static Endpoint *earlier_reader(Router *router, const Request *request,
-                                gint64 now) {
+/* Returns the engine that prefilled the prompt last, if it can do so again;
+** else NULL. */
+static Endpoint *reusable_prefill_engine(Router *router,
+                                         const Request *request, gint64 now) {
   GateLimits limits = rates_limits(router, request->service, now);
   Endpoint *endpoint;
   if (request->read_by == NULL || path_is_excluded(request, request->read_by))
@@ -102,9 +108,11 @@
 }
 
 /*
-** A prompt that is turned away is an extra arrival that nothing can refuse
-** beforehand. With the retry budget used up, and the engines of other data
-** centres known late, the decode engine reads it, which risks none.
+** Returns TRUE if no PREFILL should be sent because it might be rejected. A
+** rejected PREFILL is an extra arrival that cannot be prevented beforehand. So
+** if the retry budget is used up, and the engines of other data centres are
+** known only late, the decode engine reads the prompt, which risks no extra
+** arrival.
 */
 static gboolean is_too_risky(Router *router, const Request *request,
                              gint64 now) {
@@ -123,8 +131,8 @@
   RefusalKind why;
   gint64 expected;
   if (!path_may_dispatch(router, request, &why, now))
-    return FALSE; /* the run that comes in its place is refused */
-  if (request->prefills_sent >= MOST_PREFILLS ||
+    return FALSE; /* path_run refuses the request */
+  if (request->prefills_sent >= PREFILLS_MAX ||
       is_too_risky(router, request, now) ||
       !endpoint_table_has_usable(router->endpoints, request->service->name,
                                  STAGE_PREFILL, now))
@@ -133,7 +141,7 @@
   query.zone = decode != NULL ? decode->record.zone : NULL;
   query.affinity = request->session;
   query.affinity_overrides_load = request->resumes;
-  prefill = earlier_reader(router, request, now);
+  prefill = reusable_prefill_engine(router, request, now);
   if (prefill == NULL)
     prefill = endpoint_table_choose(router->endpoints, &query, now);
   if (prefill == NULL || !path_send(router, request, DISPATCH_PREFILL, prefill,
@@ -143,75 +151,81 @@
   request->prefills_sent++;
   expected = expected_time(router, request);
   request->phase = PHASE_PREFILL;
-  request->stall_at = now + PREFILL_PATIENCE * expected + PREFILL_GRACE;
+  request->stall_at = now + PREFILL_TIMES_MAX * expected + PREFILL_GRACE;
   return TRUE;
 }
 
 /*
-** A run that is lost leaves the prompt in the memory of the engine that read
-** it, for some seconds. Reading it there once more takes some ten
-** milliseconds; a decode engine would read all of it and slow its runs. It is
-** an extra arrival, which the retry budget must allow.
+** After a run was lost, the engine that read the prompt has it in its cache
+** for some seconds more. Reading it there again takes some ten milliseconds; a
+** decode engine would have to read all of it, which slows its runs. It is an
+** extra arrival, so the retry budget must allow it.
 */
 gboolean prefill_repeat(Router *router, Request *request, gint64 now) {
   return request->handle == NULL && request->read_by != NULL &&
-         earlier_reader(router, request, now) != NULL &&
+         reusable_prefill_engine(router, request, now) != NULL &&
          retry_exchange_take(router, request->service->name, now) &&
          prefill_begin(router, request, now);
 }
 
-/* the prompt was read: run where it can be fetched */
-static void take_handle(Request *request, const Outcome *outcome,
-                        const Endpoint *endpoint, gint64 now) {
-  gint64 life = outcome->handle_life > 0 ? outcome->handle_life
-                                         : request->service->handle_life;
+/* Keeps the handle of a prompt that was read. */
+static void store_handle(Request *request, const Outcome *outcome,
+                         const Endpoint *endpoint, gint64 now) {
+  gint64 lifetime = outcome->handle_life > 0 ? outcome->handle_life
+                                             : request->service->handle_life;
   request->handle = g_strdup(outcome->handle);
   request->handle_endpoint = g_strdup(endpoint->record.id);
   g_free(request->read_by);
   request->read_by = g_strdup(endpoint->record.id);
   request->handle_address = endpoint->record.address;
-  request->handle_until = now + life - HANDLE_MARGIN;
+  request->handle_until = now + lifetime - HANDLE_MARGIN;
 }
 
 /*
-** What the arrival costs that follows on a lost prompt. One that may have
-** been read, or may wait in the engine's queue, is paid for now; one that was
-** turned away has been counted when it came.
+** Returns TRUE if the retry budget allows another arrival after a prefill that
+** failed with this outcome. If the prompt may have been read or may wait in
+** the engine's queue, a retry is taken from the budget now; a rejected PREFILL
+** was charged when it was rejected, so it is only checked that retries are
+** left.
 */
 static gboolean may_send_again(Router *router, const Request *request,
                                OutcomeKind kind, gint64 now) {
   const char *service = request->service->name;
   if (kind == OUTCOME_UNREACHABLE)
-    return TRUE; /* it arrived nowhere */
+    return TRUE; /* it reached no endpoint */
   if (kind == OUTCOME_NOT_RUN)
     return retry_exchange_left(router, service, now);
   return retry_exchange_take(router, service, now);
 }
 
-static void log_again(Router *router, const Request *request, gboolean again) {
+/* Logs whether the prompt is sent again. */
+static void log_prompt_retry(Router *router, const Request *request,
+                             gboolean again) {
   router_log(router, MP_LOG_ROUTE_RETRY,
              " request=%s again=%d prompt=1 prefills=%u", request->id, again,
              request->prefills_sent);
 }
 
-/* the next arrival is paid for: another prefill engine, or a decode engine */
-static void read_elsewhere(Router *router, Request *request, gint64 now) {
-  log_again(router, request, TRUE);
+/* Sends the prompt to another prefill engine, or else the request to a decode
+** engine; the retry budget has allowed it; may end. */
+static void prefill_elsewhere(Router *router, Request *request, gint64 now) {
+  log_prompt_retry(router, request, TRUE);
   if (!prefill_begin(router, request, now))
     path_run(router, request, now);
 }
 
-/* nothing more may arrive for this request; it has not run since */
-static void give_up(Router *router, Request *request, gint64 now) {
-  log_again(router, request, FALSE);
+/* Ends a request for which the retry budget allows no more arrivals. */
+static void deny_retry(Router *router, Request *request, gint64 now) {
+  log_prompt_retry(router, request, FALSE);
   router_count(router, RETRIES_DENIED);
   request->was_rejected = TRUE;
   finish_give_up(router, request, now);
 }
 
-/* judge the engine by how the prefill ended */
-static void judge_engine(Router *router, Request *request,
-                         const Outcome *outcome, gint64 now) {
+/* Records a failed prefill at the engine, and charges a rejected one to the
+** retry budget. */
+static void record_failure(Router *router, Request *request,
+                           const Outcome *outcome, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   if (outcome->kind == OUTCOME_UNREACHABLE)
     router_count(router, UNREACHABLE);
@@ -220,7 +234,7 @@
                        &router->retry, now);
   if (endpoint == NULL)
     return;
-  /* one that turns a prompt away may be about to change its stage */
+  /* an engine that rejects a prompt may be about to change its stage */
   if (outcome->kind == OUTCOME_UNREACHABLE || outcome->kind == OUTCOME_NOT_RUN)
     endpoint_note_unreachable(endpoint, now);
   else
@@ -245,13 +259,13 @@
       outcome->kind == OUTCOME_ANSWER && outcome->handle != NULL;
   if (is_read) {
     request->prefills++;
-    learn_pace(router, request, now);
+    update_pace(router, request, now);
     if (endpoint != NULL) {
       endpoint_note_success(endpoint, now);
-      take_handle(request, outcome, endpoint, now);
+      store_handle(request, outcome, endpoint, now);
     }
   } else {
-    judge_engine(router, request, outcome, now);
+    record_failure(router, request, outcome, now);
     path_exclude(request, request->open.endpoint);
   }
   log_prefill(router, request, outcome_name(outcome->kind), now);
@@ -259,31 +273,34 @@
   if (is_read)
     path_run(router, request, now);
   else if (may_send_again(router, request, outcome->kind, now))
-    read_elsewhere(router, request, now);
+    prefill_elsewhere(router, request, now);
   else
-    give_up(router, request, now);
+    deny_retry(router, request, now);
 }
 
 /*
-** Without a retry to spend it waits on: the prompt may come up in the engine's
-** queue, and to leave it would be an arrival more.
+** If the retry budget allows no other arrival, the request goes on waiting:
+** the prompt may still reach the head of the engine's queue, and replacing it
+** would be an extra arrival.
 */
 void prefill_handle_stall(Router *router, Request *request, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   if (endpoint != NULL)
     endpoint_note_failure(endpoint, now);
-  learn_pace(router, request, now); /* it is no faster than this */
+  update_pace(router, request, now); /* the pace is at most this */
   if (!may_send_again(router, request, OUTCOME_BROKEN, now)) {
-    request->stall_at = now + LOOK_AGAIN;
+    request->stall_at = now + STALL_RECHECK;
     return;
   }
   log_prefill(router, request, "stalled", now);
   path_exclude(request, request->open.endpoint);
   path_close_dispatch(router, request, TRUE);
-  read_elsewhere(router, request, now);
+  prefill_elsewhere(router, request, now);
 }
 
-/* an endpoint that is not listed any more lets it lapse by itself */
+/* Sends a RELEASE for the handle. It is left out if the endpoint is no longer
+** listed or the handle has expired; the engine then frees the memory by
+** itself. */
 static void release_handle(Router *router, const Request *request,
                            gint64 now) {
   Endpoint *endpoint =
@@ -293,7 +310,7 @@
     return;
   release.kind = DISPATCH_RELEASE;
   release.handle = request->handle;
-  release.connect_timeout = RELEASE_CONNECT;
+  release.connect_timeout = RELEASE_CONNECT_TIMEOUT;
   dispatcher_send(router, &release, endpoint, now);
 }
 
