--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -190,7 +190,7 @@
 m r-own "the system sets its own fields" platform/endpoints.c \
   'http_head_remove(head, platform_system_fields[i]);' ';'
 m r-silence "LOST: silence ends nothing without another endpoint" router/outcomes.c \
-  '!has_elsewhere(router, request, now) ||' ''
+  '!has_other_endpoint(router, request, now) ||' ''
 m r-paid "LOST: a resume is paid before the run is left" router/outcomes.c \
   '!retry_exchange_take(router, request->service->name, now))
     return FALSE;' '0)
@@ -273,10 +273,10 @@
   router/prefill.c 'return retry_exchange_take(router, service, now);
 }
 
-static void log_again' 'return TRUE;
+static void log_prompt_retry' 'return TRUE;
 }
 
-static void log_again'
+static void log_prompt_retry'
 m p-wait "prefill: a late prompt is not left without a retry to spend" \
   router/prefill.c 'if (!may_send_again(router, request, OUTCOME_BROKEN, now)) {' \
   'if (0) {'
