--- a/router/admission.c
+++ b/router/admission.c
@@ -1,91 +1,106 @@
 /*
 ** admission.c
-** Requests for engines wait here until a decode engine has room
+** The queue of requests for engines that wait until a decode engine has room
 **
-** Memory at the decode engines is the scarce thing: a request that is
-** sent there without room is turned away after its prompt was read, or
-** pushes another one out. So a request starts only once some engine has
-** room for all of it, counted over all instances. One that would wait past
-** its objective is refused at once, with when to come back, which serves it
-** better than a late answer.
+** Memory at the decode engines is the scarce resource: a request that is sent
+** to one without room is rejected after its prompt was read, or evicts another
+** one. So a request starts only when some engine has room for all of it,
+** counted over all instances. A request that would wait past its objective
+** (Route.objective, the time within which an answer has its full value) is
+** refused at once and told when to retry, which is better for its caller than
+** a late answer.
 **
-** Invariant: what is late already takes room that nobody needs who can still
-** be answered in time. Else an overload outlives its cause: late requests fill
-** the engines, fresh ones wait behind them or are refused, and come back late.
-** (Virtual time, a burst of twice the load for 6 s: of the callers who came 5
-** to 15 s after it, 0.30 to 0.99 were answered in time when those who came
-** back went first, 0.96 to 1.00 now; test_overload.cc.) Time counts from the
-** caller's first try. Those whose prompt is read go first of all.
+** Invariant: a late request takes only room that no request needs which can
+** still be answered in time. Otherwise an overload outlives its cause: late
+** requests fill the engines, fresh ones wait behind them or are refused, and
+** come back late. In a simulated burst of twice the load for 6 s, 0.30 to 0.99
+** of the callers that came 5 to 15 s after it were answered in time when
+** retries went first; with this rule 0.96 to 1.00 are. The time of a request
+** counts from its caller's first try. Requests whose prompt is prefilled go
+** before all others.
 **
-** When room appears, all instances hear of it at about the same time. Each
-** request that waits takes its turn by its place among all that wait: as
-** many as there is room for start at once, the next ones one turn later,
-** if there is room left by then. A turn is about as long as it takes to
-** hear what the others have started.
+** When room appears, all instances learn of it at about the same time. So each
+** waiting request computes its rank among all that wait at any instance: as
+** many as there is room for start at once, the next ones one turn later if
+** there is room left by then, and so on. A turn is about as long as it takes
+** to learn what the other instances have started.
 */
 
 #include <string.h>
 
 #include "router/state.h"
 
-/* a fresh request waits about so many objectives for room: reading its prompt
-** takes another 0.2 to 0.3 of them (1.0 and 0.7 measured worse, ROUNDS.md) */
-#define WAIT_FRESH_OBJECTIVES 0.55
-/* an early refusal leaves before this share of the objective */
-#define EARLY_SHARE 0.22
-/* callers give a stream without a first piece up after the longest of these;
-** nobody waits longer than a share of that */
-#define GIVE_UP_LEAST (2 * MP_SEC)
+/* A first try waits for room for at most this many objectives, because reading
+** its prompt takes another 0.2 to 0.3 of them. 0.7 and 1.0 gave worse
+** results. */
+#define FIRST_TRY_WAIT_OBJECTIVES 0.55
+/* A waiting first try is reviewed once after this share of the objective, so
+** that a refusal comes early. */
+#define EARLY_REVIEW_SHARE 0.22
+/* Callers give a stream without a first piece up after the longest of these
+** three; no request waits longer than WAIT_MAX_SHARE of that. */
+#define GIVE_UP_MIN (2 * MP_SEC)
 #define GIVE_UP_OBJECTIVES 4
 #define GIVE_UP_GAPS 8
-#define WAIT_MOST_SHARE 0.78
-/* refused callers come back after this share of their time, and a random
-** part of SPREAD; they heed what is asked up to a third of it */
-#define COME_BACK_SHARE 0.13
-#define COME_BACK_SPREAD 0.14
-/* a caller with less than this share of what others have has come back */
-#define FRESH_SHARE 0.97
-/* one whose caller has waited less than this share of its objective is in
-** time: reading its prompt takes another 0.2 to 0.3 of it */
+#define WAIT_MAX_SHARE 0.78
+/* Refused callers are told to retry after RETRY_AFTER_SHARE of their time plus
+** a random part of RETRY_SPREAD_SHARE; they follow that up to a third of their
+** time. */
+#define RETRY_AFTER_SHARE 0.13
+#define RETRY_SPREAD_SHARE 0.14
+/* A caller with less time than this share of what other callers of the route
+** have is taken for a retry (router/patience.h). */
+#define FIRST_TRY_SHARE 0.97
+/* A request is in time while its caller has waited for less than this share of
+** the objective, because reading its prompt takes another 0.2 to 0.3 of it. */
 #define IN_TIME_SHARE 0.7
-/* a turn: at least this, and so much for each instance whose digests are
-** heard: what the others start is known after about that time */
-#define TURN_LEAST (3 * MP_MS)
+/* A turn lasts TURN_MIN plus TURN_PER_INSTANCE (us) for each near instance:
+** what the others start is known after about that time. */
+#define TURN_MIN (3 * MP_MS)
 #define TURN_PER_INSTANCE 1000LL
-/* one whose prompt is read goes before those that came this much earlier */
-#define READ_AHEAD (1 * MP_SEC)
-/* weight of the newest end among the intervals between ends */
+/* A request whose prompt is prefilled counts as having come this much
+** earlier. */
+#define PREFILLED_ADVANCE (1 * MP_SEC)
+/* weight of the newest interval in the moving mean of the time between ends of
+** streams */
 #define INTERVAL_STEP 0.15
 
-static void note_first_try(Router *router, Request *request) {
+/* Estimates when the caller first tried: if it has clearly less time than
+** other callers of the route, by the difference earlier. */
+static void estimate_first_attempt(Router *router, Request *request) {
   const Route *route = request->route;
   const char *name = route->name != NULL ? route->name : route->prefix;
   gint64 patience = request->caller_deadline - request->arrived;
-  gint64 usual = patience_table_observe(router->patience_table, name, patience,
-                                        request->arrived);
-  usual = MIN(usual, route->timeout); /* who allows more is fresh as well */
-  request->returned = (double)patience < FRESH_SHARE * (double)usual;
+  gint64 longest = patience_table_observe(router->patience_table, name,
+                                          patience, request->arrived);
+  /* a caller with all the time that the route allows is no retry, even if
+  ** others have more */
+  longest = MIN(longest, route->timeout);
+  request->returned = (double)patience < FIRST_TRY_SHARE * (double)longest;
   request->first_attempt_at = request->arrived;
   if (request->returned)
-    request->first_attempt_at -= usual - patience;
+    request->first_attempt_at -= longest - patience;
 }
 
-/* longest expected wait of one that has not been refused before */
-static gint64 wait_fresh(const Request *request) {
-  return (gint64)(WAIT_FRESH_OBJECTIVES * (double)request->route->objective);
+/* Returns the longest wait for room that a first try is let expect, us. */
+static gint64 first_try_wait_max(const Request *request) {
+  return (gint64)(FIRST_TRY_WAIT_OBJECTIVES *
+                  (double)request->route->objective);
 }
 
-static gint64 wait_most(const Request *request) {
+/* Returns the longest time that any request waits for room, us. */
+static gint64 wait_max(const Request *request) {
   gint64 gives_up =
-      MAX(GIVE_UP_LEAST, GIVE_UP_OBJECTIVES * request->route->objective);
+      MAX(GIVE_UP_MIN, GIVE_UP_OBJECTIVES * request->route->objective);
   gives_up = MAX(gives_up, GIVE_UP_GAPS * request->route->gap);
-  return (gint64)(WAIT_MOST_SHARE * (double)gives_up);
+  return (gint64)(WAIT_MAX_SHARE * (double)gives_up);
 }
 
 /*
-** How long until the one at this place among those that are in time here may
-** start: room that appears anywhere is for all, and ends at other instances
-** are as frequent as here.
+** Returns how long the request at this place (from 0) among those in time here
+** is expected to wait, us. Room that appears at any engine serves all
+** instances, and streams are taken to end as often at the near instances as
+** here.
 */
 static gint64 expected_wait(const Router *router, guint place) {
   guint ahead = place + peer_loads_in_time(router->endpoints->peers);
@@ -100,6 +115,7 @@
   router->last_run_end = now;
 }
 
+/* Returns a decode engine with room for the request, or NULL. */
 static Endpoint *engine_with_room(Router *router, const Request *request,
                                   gint64 now) {
   EndpointQuery query = path_query(router, request, STAGE_DECODE, now);
@@ -107,36 +123,39 @@
   return endpoint_table_choose(router->endpoints, &query, now);
 }
 
-static gint64 come_back(Router *router, const Request *request) {
+/* Returns after how long the refused caller should retry, us. */
+static gint64 draw_retry_after(Router *router, const Request *request) {
   double share =
-      COME_BACK_SHARE + g_rand_double(router->random) * COME_BACK_SPREAD;
+      RETRY_AFTER_SHARE + g_rand_double(router->random) * RETRY_SPREAD_SHARE;
   return (gint64)(share *
                   (double)(request->caller_deadline - request->arrived));
 }
 
-static void refuse(Router *router, Request *request, gint64 now) {
+/* Refuses the request for lack of room. */
+static void refuse_busy(Router *router, Request *request, gint64 now) {
   prefill_drop_handle(router, request, now);
   request->was_rejected = TRUE;
-  request->come_back = come_back(router, request);
+  request->come_back = draw_retry_after(router, request);
   finish_refuse(router, request, REFUSAL_BUSY);
 }
 
-/* engines rest for longer than it could wait: it is told when the first of
-** them takes requests again */
+/* Refuses the request because the engines rest for longer than it could wait;
+** its caller is told when the first of them accepts requests again. */
 static void refuse_for_rest(Router *router, Request *request, gint64 now) {
   prefill_drop_handle(router, request, now);
   shortage_record(router, request, now);
   finish_refuse(router, request, REFUSAL_REST);
 }
 
-/* can its first token still come within the objective? */
+/* Returns TRUE if the first token can still come within the objective. */
 static gboolean is_in_time(const Request *request, gint64 now) {
   return request->handle != NULL ||
          (double)(now - request->first_attempt_at) <
              IN_TIME_SHARE * (double)request->route->objective;
 }
 
-/* behind all whose prompt is read when its own is, else at the end */
+/* Adds the request to the queue: after all those whose prompt is prefilled if
+** its own is, else at the end. */
 static void enqueue(Router *router, Request *request) {
   guint at = router->waiting->len;
   if (request->handle != NULL) {
@@ -149,18 +168,20 @@
   g_ptr_array_insert(router->waiting, (gint)at, request);
 }
 
-/* when the next look at a waiting request is due */
-static gint64 next_look(const Request *request, gint64 now) {
-  gint64 early = request->arrived +
-                 (gint64)(EARLY_SHARE * (double)request->route->objective);
-  gint64 last = request->arrived + wait_most(request);
+/* Returns when a waiting request is to be reviewed next. */
+static gint64 next_review(const Request *request, gint64 now) {
+  gint64 early =
+      request->arrived +
+      (gint64)(EARLY_REVIEW_SHARE * (double)request->route->objective);
+  gint64 last = request->arrived + wait_max(request);
   return !request->returned && now < early ? early : last;
 }
 
-/* when it came, for the order among those that are in time */
+/* Returns the time by which requests in time are ordered; the earliest starts
+** first. */
 static gint64 seniority(const Request *request) {
   if (request->handle != NULL)
-    return request->arrived - READ_AHEAD;
+    return request->arrived - PREFILLED_ADVANCE;
   return request->first_attempt_at;
 }
 
@@ -175,9 +196,10 @@
   return now - first;
 }
 
-/* how many in time stand before this one here; NULL: in all */
-static guint in_time_before(const Router *router, const Request *request,
-                            gint64 now) {
+/* Returns how many requests in time are before this one in the queue here;
+** with NULL, how many there are. */
+static guint count_in_time_before(const Router *router, const Request *request,
+                                  gint64 now) {
   guint count = 0;
   guint i;
   for (i = 0; i < router->waiting->len; i++) {
@@ -190,10 +212,11 @@
 }
 
 guint admission_count_in_time(const Router *router, gint64 now) {
-  return in_time_before(router, NULL, now);
+  return count_in_time_before(router, NULL, now);
 }
 
-/* does the other one go before this one, which is in time or is not? */
+/* Returns TRUE if the other request starts before this one; 'in_time' is
+** is_in_time of this one. */
 static gboolean goes_before(const Request *other, const Request *request,
                             gboolean in_time, gint64 now) {
   if (is_in_time(other, now) != in_time)
@@ -202,10 +225,10 @@
                  : other->arrived < request->arrived;
 }
 
-/* how many wait, here and at the others, that go before this one; of the late
-** ones elsewhere it is not known since when they wait */
-static guint ahead_of(const Router *router, const Request *request,
-                      gint64 now) {
+/* Returns how many waiting requests, here and at other instances, start before
+** this one. Since when late requests wait elsewhere is not known. */
+static guint count_ahead(const Router *router, const Request *request,
+                         gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   gboolean in_time = is_in_time(request, now);
   guint count = in_time ? peer_loads_older(peers, seniority(request))
@@ -216,15 +239,18 @@
   return count;
 }
 
-/* how long a request waits for its turn, now that there is some room */
-static gint64 turn_wait(Router *router, const Request *request, gint64 now) {
+/* Returns how long the request waits for its turn, us, if there is room now.
+ */
+static gint64 time_to_turn(Router *router, const Request *request,
+                           gint64 now) {
   EndpointQuery query = path_query(router, request, STAGE_DECODE, now);
-  guint rooms = endpoint_table_count_fitting(router->endpoints, &query, now);
-  gint64 turn = TURN_LEAST + TURN_PER_INSTANCE * router->near;
-  return ahead_of(router, request, now) / MAX(rooms, 1) * turn;
+  guint fitting = endpoint_table_count_fitting(router->endpoints, &query, now);
+  gint64 turn = TURN_MIN + TURN_PER_INSTANCE * router->near;
+  return count_ahead(router, request, now) / MAX(fitting, 1) * turn;
 }
 
-/* once each: who waits again with its prompt read has started before */
+/* Counts a start. A request that waits again with its prompt prefilled was
+** counted before. */
 static void count_start(Router *router, const Request *request, gint64 now) {
   if (request->handle != NULL)
     return;
@@ -233,8 +259,9 @@
     router_count(router, STARTED_LATE);
 }
 
-static void start(Router *router, Request *request, Endpoint *engine,
-                  gint64 now) {
+/* Starts the request with room at this engine; may end. */
+static void start_request(Router *router, Request *request, Endpoint *engine,
+                          gint64 now) {
   admission_leave(router, request);
   count_start(router, request, now);
   request->stall_at = 0;
@@ -242,8 +269,8 @@
   path_start_on_engine(router, request, engine, now);
 }
 
-/* room that somebody in time waits for, perhaps a larger one than there is, is
-** not for who is late */
+/* Returns TRUE if the request is late and must leave the room to requests in
+** time that wait here, even if these need more room than there is. */
 static gboolean must_yield(const Router *router, const Request *request,
                            gint64 now) {
   return !is_in_time(request, now) && admission_count_in_time(router, now) > 0;
@@ -253,10 +280,11 @@
   Endpoint *engine = engine_with_room(router, request, now);
   request->start_at = 0;
   if (engine != NULL && !must_yield(router, request, now))
-    start(router, request, engine, now);
+    start_request(router, request, engine, now);
 }
 
-/* start it now or at its turn; FALSE when there is no room; may end */
+/* Starts the request if its turn has come, else sets the time of its turn.
+** Returns FALSE if there is no room; may end. */
 static gboolean try_start(Router *router, Request *request, gint64 now) {
   Endpoint *engine = engine_with_room(router, request, now);
   gint64 wait;
@@ -264,42 +292,43 @@
     request->start_at = 0;
     return FALSE;
   }
-  wait = turn_wait(router, request, now);
+  wait = time_to_turn(router, request, now);
   if (wait == 0)
-    start(router, request, engine, now);
+    start_request(router, request, engine, now);
   else if (request->start_at == 0)
     request->start_at = now + wait;
   return TRUE;
 }
 
-/* the longest that it would wait for room, from now on */
-static gint64 most_patience(const Request *request, gint64 now) {
-  gint64 limit = request->returned ? wait_most(request) : wait_fresh(request);
+/* Returns how much longer the request would wait for room at most, us. */
+static gint64 wait_left_max(const Request *request, gint64 now) {
+  gint64 limit =
+      request->returned ? wait_max(request) : first_try_wait_max(request);
   return MIN(request->arrived + limit, request->expires) - now;
 }
 
 void admission_enter(Router *router, Request *request, gint64 now) {
   guint place;
-  note_first_try(router, request);
-  if (shortage_outlasts(router, request, most_patience(request, now), now)) {
+  estimate_first_attempt(router, request);
+  if (shortage_outlasts(router, request, wait_left_max(request, now), now)) {
     refuse_for_rest(router, request, now);
     return;
   }
   if (!request->returned &&
       expected_wait(router, admission_count_in_time(router, now)) >
-          wait_fresh(request) &&
+          first_try_wait_max(request) &&
       engine_with_room(router, request, now) == NULL) {
-    refuse(router, request, now);
+    refuse_busy(router, request, now);
     return;
   }
   request->phase = PHASE_WAIT;
   enqueue(router, request);
-  request->stall_at = next_look(request, now);
+  request->stall_at = next_review(request, now);
   router->load_version++;
   if (!must_yield(router, request, now) && try_start(router, request, now))
     return;
   shortage_schedule_recheck(router, now);
-  place = in_time_before(router, request, now);
+  place = count_in_time_before(router, request, now);
   router_log(router, MP_LOG_ROUTE_WAIT,
              " request=%s place=%u expected_ms=%d came_back=%d", request->id,
              place, (int)(expected_wait(router, place) / MP_MS),
@@ -325,39 +354,41 @@
 
 void admission_review(Router *router, Request *request, gint64 now) {
   gint64 waited = now - request->arrived;
-  guint place = in_time_before(router, request, now);
+  guint place = count_in_time_before(router, request, now);
   if (request->handle != NULL && now >= request->handle_until)
-    prefill_drop_handle(router, request, now); /* it is read anew */
-  if (shortage_outlasts(router, request, most_patience(request, now), now)) {
+    prefill_drop_handle(router, request, now); /* the prompt will be read
+                                               ** again */
+  if (shortage_outlasts(router, request, wait_left_max(request, now), now)) {
     refuse_for_rest(router, request, now);
     return;
   }
-  if (waited >= wait_most(request) ||
+  if (waited >= wait_max(request) ||
       (!request->returned &&
-       waited + expected_wait(router, place) > wait_fresh(request))) {
-    refuse(router, request, now);
+       waited + expected_wait(router, place) > first_try_wait_max(request))) {
+    refuse_busy(router, request, now);
     return;
   }
-  request->stall_at = request->arrived + wait_most(request);
+  request->stall_at = request->arrived + wait_max(request);
 }
 
-/* start what fits among those in time, or among the others */
-static guint run_some(Router *router, gboolean in_time, gint64 now) {
-  guint left = 0;
+/* Starts what fits among the requests in time, or among the late ones. Returns
+** how many found no room. */
+static guint start_some(Router *router, gboolean in_time, gint64 now) {
+  guint without_room = 0;
   guint i = 0;
   while (i < router->waiting->len) {
     Request *request = router->waiting->pdata[i];
     if (is_in_time(request, now) == in_time)
-      left += !try_start(router, request, now);
+      without_room += !try_start(router, request, now);
     if (i < router->waiting->len && router->waiting->pdata[i] == request)
       i++;
   }
-  return left;
+  return without_room;
 }
 
-/* who is late anyway starts only when nobody in time waits for the room */
+/* Late requests start only if every request in time has found room. */
 void admission_start_waiting(Router *router, gint64 now) {
-  if (router->waiting->len > 0 && run_some(router, TRUE, now) == 0)
-    run_some(router, FALSE, now);
+  if (router->waiting->len > 0 && start_some(router, TRUE, now) == 0)
+    start_some(router, FALSE, now);
   shortage_schedule_recheck(router, now);
 }
