--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -270,13 +270,10 @@
 m n-pack "news: long answers are compressed" io/news_codec.c \
   'size > SHORT_ANSWER ?' 'FALSE ?'
 m p-lost "prefill: an arrival after a lost prompt is paid for" \
-  router/prefill.c 'return retry_exchange_take(router, service, now);
-}
-
-static void log_prompt_retry' 'return TRUE;
-}
-
-static void log_prompt_retry'
+  router/prefill.c 'return retry_exchange_left(router, service, now);
+  return retry_exchange_take(router, service, now);' \
+  'return retry_exchange_left(router, service, now);
+  return TRUE;'
 m p-wait "prefill: a late prompt is not left without a retry to spend" \
   router/prefill.c 'if (!may_send_again(router, request, OUTCOME_BROKEN, now)) {' \
   'if (0) {'
@@ -418,18 +415,18 @@
 m c-boot "clock: suspended time counts" io/clock.c 'CLOCK_BOOTTIME' \
   'CLOCK_MONOTONIC'
 m o-first "admission: time counts from the first try" router/admission.c \
-  'request->first_attempt_at -= usual - patience;' '{}'
+  'request->first_attempt_at -= longest - patience;' '{}'
 m o-late "admission: late ones take what is left over" router/admission.c \
-  'run_some(router, TRUE, now) == 0)' \
-  'run_some(router, TRUE, now) != G_MAXUINT)'
+  'start_some(router, TRUE, now) == 0)' \
+  'start_some(router, TRUE, now) != G_MAXUINT)'
 m o-told "admission: those in time elsewhere are waited for" \
   router/admission.c 'place + peer_loads_in_time(router->endpoints->peers)' \
   'place'
 m o-ends "admission: ends at all instances make room" router/admission.c \
   'router->mean_end_interval / router->near' 'router->mean_end_interval'
 m o-usual "admission: what others have tells who came back" \
-  router/admission.c 'usual = MIN(usual, route->timeout);' \
-  'usual = route->timeout;'
+  router/admission.c 'longest = MIN(longest, route->timeout);' \
+  'longest = route->timeout;'
 m o-window "patience: what was seen long ago is forgotten" \
   router/patience.c 'if (age < PATIENCE_WINDOW)' 'if (TRUE)'
 m o-number "input: a time is bounded before it is converted" \
@@ -590,7 +587,7 @@
   '(gint64)(spread * (double)MAX(wait, RETRY_SPREAD_MIN))' \
   '0'
 m g-atonce "rest: callers of engines hear at once" router/admission.c \
-  'if (shortage_outlasts(router, request, most_patience(request, now), now)) {' \
+  'if (shortage_outlasts(router, request, wait_left_max(request, now), now)) {' \
   'if (FALSE) {'
 m g-look "rest: who waits looks again" router/shortage.c \
   'router_resting_endpoints(router, now) > 0' \
