--- a/router/admission.c
+++ b/router/admission.c
@@ -239,8 +239,8 @@
   return count;
 }
 
-/* Returns how long the request waits for its turn, us, if there is room now.
- */
+/* Returns how long the request waits for its turn, us, if there is room
+** now. */
 static gint64 time_to_turn(Router *router, const Request *request,
                            gint64 now) {
   EndpointQuery query = path_query(router, request, STAGE_DECODE, now);
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -190,9 +190,9 @@
 ** ===================================================================
 */
 
-/* A complete answer came. An answer with a status of 500 or more counts as a
-** failure of the endpoint: it is passed on only if no other run may be sent.
- */
+/* A complete answer came. An answer with a status of 500 or more counts as
+** a failure of the endpoint: it is passed on only if no other run may be
+** sent. */
 static void handle_answer(Router *router, Request *request, Endpoint *endpoint,
                           const Outcome *outcome, gint64 now) {
   gboolean failed = outcome->status >= 500;
--- a/router/path.c
+++ b/router/path.c
@@ -18,9 +18,8 @@
 #include "router/state.h"
 
 /* The connect timeout is the route's objective, within these bounds.
-*Connecting
-** takes some milliseconds, and a lost first packet is sent again only after a
-** second, so waiting longer gains nothing. */
+** Connecting takes some milliseconds, and a lost first packet is sent again
+** only after a second, so waiting longer gains nothing. */
 #define CONNECT_TIMEOUT_MIN (100 * MP_MS)
 #define CONNECT_TIMEOUT_MAX (400 * MP_MS)
 
@@ -65,10 +64,10 @@
                                         open->life);
 }
 
-/* Marks a change of what is open as to be reported. What is open at an engine
-** is memory that other instances may plan too, so they are told at once; at a
-** plain endpoint it only shows how busy that is, and is told a little later.
- */
+/* Marks a change of what is open as to be reported. What is open at an
+** engine is memory that other instances may plan too, so they are told at
+** once; at a plain endpoint it only shows how busy that is, and is told a
+** little later. */
 static void mark_load_changed(Router *router, const Request *request) {
   if (request->service->is_engine)
     router->load_version++;
@@ -171,8 +170,7 @@
 }
 
 /* Returns TRUE if other instances reserved the same memory of the engine at
-*the
-** same moment, so that more is planned than it has. */
+** the same moment, so that more is planned than it has. */
 static gboolean is_overbooked(const Router *router, const Request *request,
                               const Endpoint *endpoint) {
   return request->service->kv_tokens > 0 &&
--- a/router/patience.c
+++ b/router/patience.c
@@ -36,9 +36,9 @@
   return *(gint64 *)now - row->began >= 2 * PATIENCE_WINDOW;
 }
 
-/* Adds a row for the route. Rows of routes that get no requests any more are
-** removed on this occasion, so the table does not grow as routes come and go.
- */
+/* Adds a row for the route. Rows of routes that get no requests any more
+** are removed on this occasion, so the table does not grow as routes come
+** and go. */
 static Row *row_new(PatienceTable *table, const char *route, gint64 now) {
   Row *row = g_new0(Row, 1);
   g_hash_table_foreach_remove(table->rows, is_stale, &now);
--- a/router/state.h
+++ b/router/state.h
@@ -508,8 +508,8 @@
 
 /* Returns the static name of a refusal, as logs have it. */
 const char *finish_refusal_name(RefusalKind kind);
-/* Returns after how many ms a caller refused so may retry; 0: it is not told.
- */
+/* Returns after how many ms a caller refused so may retry; 0: it is not
+** told. */
 gint64 finish_default_retry_ms(RefusalKind kind);
 
 /* All functions from here on end and free the request. */
