--- a/router/admission.c
+++ b/router/admission.c
@@ -76,9 +76,10 @@
   /* a caller with all the time that the route allows is no retry, even if
   ** others have more */
   longest = MIN(longest, route->timeout);
-  request->returned = (double)patience < FIRST_TRY_SHARE * (double)longest;
+  request->is_caller_retry =
+      (double)patience < FIRST_TRY_SHARE * (double)longest;
   request->first_attempt_at = request->arrived;
-  if (request->returned)
+  if (request->is_caller_retry)
     request->first_attempt_at -= longest - patience;
 }
 
@@ -174,7 +175,7 @@
       request->arrived +
       (gint64)(EARLY_REVIEW_SHARE * (double)request->route->objective);
   gint64 last = request->arrived + wait_max(request);
-  return !request->returned && now < early ? early : last;
+  return !request->is_caller_retry && now < early ? early : last;
 }
 
 /* Returns the time by which requests in time are ordered; the earliest starts
@@ -304,8 +305,8 @@
 
 /* Returns how much longer the request would wait for room at most, us. */
 static gint64 wait_left_max(const Request *request, gint64 now) {
-  gint64 limit =
-      request->returned ? wait_max(request) : first_try_wait_max(request);
+  gint64 limit = request->is_caller_retry ? wait_max(request)
+                                          : first_try_wait_max(request);
   return MIN(request->arrived + limit, request->expires) - now;
 }
 
@@ -316,7 +317,7 @@
     refuse_for_rest(router, request, now);
     return;
   }
-  if (!request->returned &&
+  if (!request->is_caller_retry &&
       expected_wait(router, admission_count_in_time(router, now)) >
           first_try_wait_max(request) &&
       engine_with_room(router, request, now) == NULL) {
@@ -334,7 +335,7 @@
   router_log(router, MP_LOG_ROUTE_WAIT,
              " request=%s place=%u expected_ms=%d came_back=%d", request->id,
              place, (int)(expected_wait(router, place) / MP_MS),
-             request->returned);
+             request->is_caller_retry);
 }
 
 void admission_requeue(Router *router, Request *request, gint64 now) {
@@ -365,7 +366,7 @@
     return;
   }
   if (waited >= wait_max(request) ||
-      (!request->returned &&
+      (!request->is_caller_retry &&
        waited + expected_wait(router, place) > first_try_wait_max(request))) {
     refuse_busy(router, request, now);
     return;
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -251,8 +251,8 @@
 /* }================================================================== */
 
 /* Adds an endpoint without its record. */
-static Endpoint *add(EndpointTable *table, const EndpointRecord *record,
-                     gint64 now) {
+static Endpoint *add_endpoint(EndpointTable *table,
+                              const EndpointRecord *record, gint64 now) {
   Endpoint *endpoint = g_new0(Endpoint, 1);
   restore_unlisted(table, endpoint, record, now);
   g_ptr_array_add(table->all, endpoint);
@@ -260,7 +260,7 @@
 }
 
 /* Removes and frees an endpoint. */
-static void drop(EndpointTable *table, Endpoint *endpoint) {
+static void drop_endpoint(EndpointTable *table, Endpoint *endpoint) {
   g_hash_table_remove(table->by_id, endpoint->record.id);
   g_ptr_array_remove(table->all, endpoint);
 }
@@ -268,16 +268,16 @@
 void endpoint_table_set(EndpointTable *table, const EndpointRecord *record,
                         gint64 now) {
   Endpoint *endpoint = endpoint_table_get(table, record->id);
-  EndpointComparison news = endpoint_table_compare(table, record);
+  EndpointComparison comparison = endpoint_table_compare(table, record);
   gint64 born;
-  if (news == ENDPOINT_OUTDATED)
+  if (comparison == ENDPOINT_OUTDATED)
     return;
-  if (news == ENDPOINT_RESTARTED)
-    drop(table, endpoint);
-  else if (news == ENDPOINT_SAME)
+  if (comparison == ENDPOINT_RESTARTED)
+    drop_endpoint(table, endpoint);
+  else if (comparison == ENDPOINT_SAME)
     g_hash_table_remove(table->by_id, record->id);
-  if (news != ENDPOINT_SAME)
-    endpoint = add(table, record, now);
+  if (comparison != ENDPOINT_SAME)
+    endpoint = add_endpoint(table, record, now);
   if (endpoint->changing_until != 0 && record->stage == endpoint->changing_to)
     endpoint->changing_until = 0;
   born = record->born_unix_ms != 0 ? record->born_unix_ms
@@ -300,7 +300,7 @@
   if (endpoint == NULL)
     return;
   keep_unlisted(table, endpoint, now);
-  drop(table, endpoint);
+  drop_endpoint(table, endpoint);
 }
 
 void endpoint_table_keep(EndpointTable *table, GHashTable *names, gint64 now) {
@@ -391,7 +391,7 @@
                             const EndpointQuery *query) {
   if (query->capacity == 0)
     return COST_OTHER_ZONE;
-  if (query->stage == STAGE_PREFILL || !table->is_late)
+  if (query->stage == STAGE_PREFILL || !table->has_late_loads)
     return COST_OTHER_ZONE_ENGINE;
   return COST_OTHER_ZONE_LATE;
 }
@@ -551,7 +551,7 @@
 
 void endpoint_note_success(Endpoint *endpoint, gint64 now) {
   count_failure(endpoint, 0, now);
-  endpoint->misses = 0;
+  endpoint->unreachable_streak = 0;
   endpoint->avoid_until = 0;
 }
 
@@ -560,7 +560,7 @@
 }
 
 void endpoint_note_unreachable(Endpoint *endpoint, gint64 now) {
-  gint64 wait = AVOID_TIME_MIN << MIN(endpoint->misses, 3);
-  endpoint->misses++;
+  gint64 wait = AVOID_TIME_MIN << MIN(endpoint->unreachable_streak, 3);
+  endpoint->unreachable_streak++;
   endpoint->avoid_until = now + MIN(wait, AVOID_TIME_MAX);
 }
--- a/router/endpoint_table.h
+++ b/router/endpoint_table.h
@@ -45,24 +45,24 @@
   gint64 avoid_until;    /* after unreachable attempts: chosen before then only
                          ** if nothing else is left, and never by a query with
                          ** 'must_fit' */
-  unsigned misses;       /* unreachable attempts in a row */
-  Availability availability; /* what this incarnation has announced */
-  EndpointStage changing_to; /* stage to which this instance changes it,
-                             ** or did last */
+  unsigned unreachable_streak; /* unreachable attempts in a row */
+  Availability availability;   /* what this incarnation has announced */
+  EndpointStage changing_to;   /* stage to which this instance changes it,
+                               ** or did last */
   gint64 changing_until;  /* the change counts as under way until then; 0: none
                           ** is */
   gint64 no_order_before; /* this instance orders no change before then */
 } Endpoint;
 
 typedef struct EndpointTable {
-  GHashTable *by_id;    /* record.id (borrowed) -> Endpoint (borrowed) */
-  GHashTable *unlisted; /* id -> UnlistedIncarnation: incarnations that the
-                        ** list has lost; both owned */
-  GPtrArray *all;       /* Endpoint, in order of arrival; owned */
-  char *zone;           /* the data centre of this instance; owned */
-  PeerLoads *peers;     /* what the other instances have open; owned */
-  gboolean is_late;     /* loads in other data centres are known only from
-                        ** delayed summaries */
+  GHashTable *by_id;       /* record.id (borrowed) -> Endpoint (borrowed) */
+  GHashTable *unlisted;    /* id -> UnlistedIncarnation: incarnations that the
+                           ** list has lost; both owned */
+  GPtrArray *all;          /* Endpoint, in order of arrival; owned */
+  char *zone;              /* the data centre of this instance; owned */
+  PeerLoads *peers;        /* what the other instances have open; owned */
+  gboolean has_late_loads; /* loads in other data centres are known only
+                           ** from delayed summaries */
 } EndpointTable;
 
 /* Limits on what all instances together may send to the endpoints of one
--- a/router/estimate.c
+++ b/router/estimate.c
@@ -24,7 +24,7 @@
   double output;
   if (mean <= 0)
     mean = FIRST_OUTPUT_SHARE * request->output_tokens;
-  output = request->made + GROWTH_SHARE * mean;
+  output = request->tokens_made + GROWTH_SHARE * mean;
   return request->prompt_tokens +
          (guint64)MIN(output, (double)request->output_tokens);
 }
@@ -36,11 +36,12 @@
 
 void estimate_observe_output(Router *router, const Request *request) {
   ServiceState *state = router_service_state(router, request->service->name);
-  if (request->made == 0)
+  if (request->tokens_made == 0)
     return;
   if (state->mean_output <= 0)
     state->mean_output = FIRST_OUTPUT_SHARE * request->output_tokens;
-  state->mean_output += OUTPUT_STEP * (request->made - state->mean_output);
+  state->mean_output +=
+      OUTPUT_STEP * (request->tokens_made - state->mean_output);
 }
 
 void estimate_observe_prompt(Router *router, const Request *request) {
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -226,8 +226,9 @@
   if (outcome->event != NULL) {
     g_free(request->last_event);
     request->last_event = g_strdup(outcome->event);
-    request->made = (guint32)(g_ascii_strtoull(outcome->event, NULL, 10) *
-                              request->service->event_tokens);
+    request->tokens_made =
+        (guint32)(g_ascii_strtoull(outcome->event, NULL, 10) *
+                  request->service->event_tokens);
     update_memory(router, request);
   }
   if (request->stall_at != 0)
--- a/router/router.c
+++ b/router/router.c
@@ -143,7 +143,7 @@
 }
 
 void router_store_answered(Router *router, gint64 at) {
-  router->heard_at = MAX(router->heard_at, at);
+  router->store_answered_at = MAX(router->store_answered_at, at);
 }
 
 void router_set_news_state(Router *router, const NewsState *news) {
@@ -159,7 +159,7 @@
   router->is_listed = TRUE;
   router->instances = MAX(count, 1);
   router->near = CLAMP(near, 1, router->instances);
-  router->endpoints->is_late = router->near < router->instances;
+  router->endpoints->has_late_loads = router->near < router->instances;
 }
 
 /* }================================================================== */
@@ -209,7 +209,8 @@
 /* Returns the time since the store's last answer; G_MAXINT32 us if there was
 ** none. */
 static gint64 news_age(const Router *router, gint64 now) {
-  return router->heard_at != 0 ? now - router->heard_at : G_MAXINT32;
+  return router->store_answered_at != 0 ? now - router->store_answered_at
+                                        : G_MAXINT32;
 }
 
 /*
--- a/router/shortage.c
+++ b/router/shortage.c
@@ -3,10 +3,11 @@
 ** Handles a shortage: endpoints accept fewer requests than there are
 **
 ** Endpoints announce a rest (router/availability.h) or name a rate
-** (router/rate_limits.h). A caller that cannot be served for this reason is
-** refused at once and told when an endpoint is likely to accept a request.
-** These times are spread at random over about as long as the caller has to
-** wait, so that the callers do not come back to the endpoints in one wave.
+** (router/rate_limits.h). A caller that cannot be served in time for this
+** reason is refused at once and told when an endpoint is likely to accept a
+** request. These times are spread at random over about as long as the caller
+** has to wait, so that the callers do not come back to the endpoints in one
+** wave.
 */
 
 #include <string.h>
--- a/router/state.h
+++ b/router/state.h
@@ -120,15 +120,17 @@
   gboolean has_shortage; /* endpoints could run it but for their rests and
                          ** rates (shortage.c) */
   RefusalKind shortage_reason; /* has_shortage: REST or RATE */
-  gint64 start_at;   /* PHASE_WAIT: start then if there is room; 0: not set */
-  gboolean returned; /* it is taken for its caller's retry (patience.h) */
-  gint64 first_attempt_at; /* when its caller tried first, estimated */
-  gboolean resumes;        /* of CallerRequest */
+  gint64 start_at; /* PHASE_WAIT: start then if there is room; 0: not set */
+  gboolean is_caller_retry; /* it is taken for its caller's retry
+                            ** (patience.h) */
+  gint64 first_attempt_at;  /* when its caller tried first, estimated */
+  gboolean resumes;         /* of CallerRequest */
   gint64 come_back;     /* when refused: the caller may retry after this, us;
                         ** 0: after finish_default_retry_ms */
   gboolean head_sent;   /* the head of a stream was passed on */
   char *last_event;     /* id of the last one passed on; NULL: none */
-  guint32 made;         /* tokens generated so far, computed from event ids */
+  guint32 tokens_made;  /* tokens generated so far, computed from
+                        ** event ids */
   gint64 last_piece;    /* when the last piece came; 0: none yet */
   gint64 longest_pause; /* longest time between two pieces so far */
   char *decode;         /* id of the decode engine whose memory is reserved;
@@ -186,14 +188,14 @@
   Suspicions *suspicions; /* crashes that are not certain yet */
   gint64 proof_age_max;   /* as in RouterOptions */
   gint64 proved_at;       /* from router_configuration_proved; 0: unknown */
-  gint64 heard_at;        /* from router_store_answered; 0: never */
-  gint64 news_age_max;    /* as in RouterOptions */
-  const NewsState *news;  /* of the configuration; borrowed; may be NULL */
-  gboolean stopping;      /* router_stop_accepting was called */
-  Stages *stages;         /* changes of engines' stages */
-  GPtrArray *waiting;     /* Requests in PHASE_WAIT, those with a handle first;
-                          ** borrowed */
-  gint64 last_run_end;    /* when a stream last ended here; 0: never */
+  gint64 store_answered_at; /* from router_store_answered; 0: never */
+  gint64 news_age_max;      /* as in RouterOptions */
+  const NewsState *news;    /* of the configuration; borrowed; may be NULL */
+  gboolean stopping;        /* router_stop_accepting was called */
+  Stages *stages;           /* changes of engines' stages */
+  GPtrArray *waiting;  /* Requests in PHASE_WAIT, those with a handle first;
+                       ** borrowed */
+  gint64 last_run_end; /* when a stream last ended here; 0: never */
   double mean_end_interval; /* moving mean of the time between such ends, us */
   guint64 plain_version;    /* the same for what is open at plain endpoints */
   guint64 load_version;     /* grows when the near instances should know a
