--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -555,19 +555,19 @@
   '  known->leaving_since = MAX(now, 1);' \
   ''
 m g-success "rest: no success ends it" router/endpoint_table.c \
-  '  endpoint->misses = 0;' \
-  '  endpoint->misses = 0;
+  '  endpoint->unreachable_streak = 0;' \
+  '  endpoint->unreachable_streak = 0;
   endpoint->availability.rest_until = 0;'
 m g-doubtful "gate: choice, and the fallback to a doubtful one, ask it" router/endpoint_table.c \
   'gate_check(endpoint, DISPATCH_RUN,' \
   'gate_check(endpoint, DISPATCH_CHECK,'
 m g-inherit "words: a later life has none" router/endpoint_table.c \
-  '  if (news == ENDPOINT_RESTARTED)
-    drop(table, endpoint);
-  else if (news == ENDPOINT_SAME)' \
-  '  if (news == ENDPOINT_RESTARTED)
-    news = ENDPOINT_SAME;
-  if (news == ENDPOINT_SAME)'
+  '  if (comparison == ENDPOINT_RESTARTED)
+    drop_endpoint(table, endpoint);
+  else if (comparison == ENDPOINT_SAME)' \
+  '  if (comparison == ENDPOINT_RESTARTED)
+    comparison = ENDPOINT_SAME;
+  if (comparison == ENDPOINT_SAME)'
 m g-lapse "words: a lapse of the entry ends none" router/endpoint_table.c \
   '  keep_unlisted(table, endpoint, now);' \
   ''
