--- a/router/stages.c
+++ b/router/stages.c
@@ -118,7 +118,7 @@
   stages->uses =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   stages->changes = g_ptr_array_new_with_free_func(change_free);
-  /* a young instance has not heard of the others yet */
+  /* a new instance does not know the loads of the others yet */
   stages->pause_until = now + ROUND_PAUSE;
   stages->next_review = lease_length > 0 ? now : G_MAXINT64;
   return stages;
