--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -79,7 +79,7 @@
 m cancel "1: the cancel when a caller is gone" core/ending.c \
   'if (a->sent && a->role != MP_ROLE_PLAIN)' 'if (0)'
 m home "2: the home's memory of IDs" core/claim.c \
-  'if (r != NULL && !state_sametoken(&r->token, &c->token)) {' 'if (0) {'
+  'if (r != NULL && !state_token_equal(&r->token, &c->token)) {' 'if (0) {'
 m settle "2: a new home waits for the holders" core/claim.c \
   'if (!settled(state, c->id)) {' 'if (0) {'
 m announce "2: holders announce to a new home" core/claim.c \
@@ -94,7 +94,7 @@
   'r->ran = MP_RAN_UNKNOWN;
   a->sent = 1;' 'a->sent = 1;'
 m notrun "4: a lost call is not taken for one that did not run" core/work.c \
-  'return w == WHY_REFUSED || w == WHY_CONNECT;' 'return 1;'
+  'return w == CALL_FAILURE_REFUSED || w == CALL_FAILURE_CONNECT;' 'return 1;'
 m durable "5: the claim is written before dispatch" core/claim.c \
   'if (c->durable) {' 'if (0) {'
 m repeat "5: no retry of what may have run" core/ending.c \
@@ -105,17 +105,17 @@
 m leaving "6: an endpoint says that it is leaving" core/keep.c \
   'if (l->leaving && !e->leaving) {' 'if (0) {'
 m drain "7: a drain waits for what is in flight" core/state.c \
-  'if (state->requests->len == 0 && cancel_open(state) == 0 &&' 'if ('
+  'if (state->requests->len == 0 && cancel_pending_count(state) == 0 &&' 'if ('
 m version "8: only a higher version is taken" core/doc.c \
   'if (c->man.version <= state->doc[MP_DOC_CONFIG].version) {' 'if (0) {'
 m kvgone "3: a prefill of no more use is ended before the next" \
-  core/ending.c '  flow_endattempt(state, r, &r->prefill);
+  core/ending.c '  flow_end_attempt(state, r, &r->prefill);
   if (!flow_policy(state)->decode_first' '  if (!flow_policy(state)->decode_first'
 m longs "short work does not wait behind long prompts" core/keep.c \
   'return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT;' \
   'return 0;'
 m pause "a paused home does not trust what it knew" core/state.c \
-  'member_paused(state);' ''
+  'member_on_pause(state);' ''
 # routed requests (router/, http/, platform/)
 m r-once "TWICE: no second run of what may not be repeated" router/outcomes.c \
   'return request->repeatable && request->runs < request->route->attempts;' \
