--- a/io/directory.c
+++ b/io/directory.c
@@ -147,7 +147,7 @@
   } else if (directory->dialect->read_quarantine(object->name, object->text,
                                                  &record, &error))
     router_apply_quarantine(directory->router, &record, object->position,
-                           clock_now());
+                            clock_now());
   else
     bad_record(directory, STORE_QUARANTINE, object->name, error);
 }
@@ -516,7 +516,7 @@
 void directory_look(Directory *directory) {
   int kind;
   router_observe_era(directory->router, relay_group_era(directory->group),
-                  clock_now());
+                     clock_now());
   look_at_entry(directory);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     if (kind != STORE_INSTANCES || directory->is_started)
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -302,8 +302,8 @@
   router_configuration_proved(gateway->router,
                               relay_group_proof(gateway->group)->at);
   router_store_answered(gateway->router,
-                    clock_now() -
-                        relay_group_news_age(gateway->group, clock_now()));
+                        clock_now() -
+                            relay_group_news_age(gateway->group, clock_now()));
   relays_news(gateway->relays);
 }
 
@@ -530,7 +530,7 @@
   gateway->group = relay_group_new(options->exchange, options->capacity,
                                    &times, clock_now());
   router_set_news_state(gateway->router,
-                  relay_group_news(gateway->group, STORE_CONFIGURATION));
+                        relay_group_news(gateway->group, STORE_CONFIGURATION));
   if (gateway->front == NULL || !make_exchange(gateway, options, error) ||
       !make_status_server(gateway, options, error)) {
     gateway_free(gateway);
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -94,7 +94,7 @@
   message.kind = MP_MSG_CRASHES;
   exchange->crashes_told = router_crash_version(exchange->router);
   router_report_crashes(exchange->router, FALSE, &message.u.crashes,
-                      clock_now());
+                        clock_now());
   if (message.u.crashes.n > 0 || message.u.crashes.suspected_n > 0)
     send_to_all(exchange, &message);
 }
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -68,7 +68,7 @@
   if (writer->dialect->read_quarantine(object->name, object->text, &record,
                                        &error)) {
     router_apply_quarantine(writer->router, &record, object->position,
-                           clock_now());
+                            clock_now());
     return;
   }
   log_numbered(writer->log, MP_LOG_STORE_RECORD_BAD, " name=%s error=\"%s\"",
--- a/io/relays.c
+++ b/io/relays.c
@@ -247,7 +247,7 @@
   router_configuration_proved(relays->router,
                               relay_group_proof(relays->group)->at);
   router_store_answered(relays->router,
-                    now - relay_group_news_age(relays->group, now));
+                        now - relay_group_news_age(relays->group, now));
   take_role(relays, now);
   directory_look(relays->directory);
 }
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -111,7 +111,7 @@
 }
 
 void accounts_attach(Request *request, const CallerRequest *call,
-                  const Account *account) {
+                     const Account *account) {
   if (account == NULL)
     return;
   request->account = account;
--- a/router/loads.c
+++ b/router/loads.c
@@ -53,13 +53,14 @@
 gboolean router_keeps_connection(const Router *router, const char *id) {
   const Endpoint *endpoint = endpoint_table_get(router->endpoints, id);
   const Service *service;
-  if (endpoint == NULL || endpoint_is_leaving(endpoint) || router->routes == NULL)
+  if (endpoint == NULL || endpoint_is_leaving(endpoint) ||
+      router->routes == NULL)
     return FALSE;
   service = route_table_service(router->routes, endpoint->record.service);
   if (service == NULL || service->is_engine)
     return TRUE;
-  return gate_keeps_connection(router->endpoints, endpoint, service->max_connections,
-                    router->instances);
+  return gate_keeps_connection(router->endpoints, endpoint,
+                               service->max_connections, router->instances);
 }
 
 static void write_row(const Endpoint *endpoint, mp_LoadDigest *out,
@@ -104,8 +105,8 @@
   write_rows(router, out, now);
   retry_exchange_write(router, out);
   account_limits_write(router->limits, out);
-  out->changing_count =
-      stages_list_changing(router->stages, out->changing, MP_DIGEST_CHANGING, now);
+  out->changing_count = stages_list_changing(router->stages, out->changing,
+                                             MP_DIGEST_CHANGING, now);
   signals_write_digest(router, out, now);
 }
 
@@ -175,6 +176,7 @@
   admission_start_waiting(router, now);
 }
 
-void router_peer_reservation(Router *router, mp_Addr peer, const mp_LoadNote *note) {
+void router_peer_reservation(Router *router, mp_Addr peer,
+                             const mp_LoadNote *note) {
   peer_loads_note(router->endpoints->peers, peer, note);
 }
--- a/router/path.c
+++ b/router/path.c
@@ -1,12 +1,14 @@
 /*
 ** path.c
-** The path of one request over the endpoints
+** Chooses endpoints for a request and sends its dispatches
 **
-** Invariants. A request that is not repeatable is sent again only after
-** its endpoint said that it did not run it, or was never connected to. At
-** most Route.attempts dispatches of a request may have run. Every arrival
-** after the first is drawn from the service's retry budget before it is
-** sent.
+** Invariants:
+** - A request that is not repeatable is sent again only after its endpoint
+**   stated that it did not run it, or if no connection was made.
+** - At most Route.attempts dispatches of a request may have run.
+** - Every arrival (dispatch that reaches an endpoint) after the first is taken
+**   from the service's retry budget before it is sent; prefill.c says how
+**   prefills count.
 */
 
 #include <string.h>
@@ -16,24 +18,24 @@
 #include "router/silence.h"
 #include "router/state.h"
 
-/* patience with endpoints that do not take a connection: one objective, within
-** these bounds. A connection takes some milliseconds; the first packet that is
-** lost is sent again after a second */
-#define CONNECT_LEAST (100 * MP_MS)
-#define CONNECT_MOST (400 * MP_MS)
+/* The connect timeout is the route's objective, within these bounds.
+** Connecting takes some milliseconds, and a lost first packet is sent again
+** only after a second, so waiting longer gains nothing. */
+#define CONNECT_TIMEOUT_MIN (100 * MP_MS)
+#define CONNECT_TIMEOUT_MAX (400 * MP_MS)
 
 EndpointQuery path_query(Router *router, const Request *request,
-                       EndpointStage stage, gint64 now) {
-  EndpointQuery wish = {0};
-  wish.service = request->service->name;
-  wish.stage = stage;
-  wish.capacity = request->service->kv_tokens;
-  wish.tokens = estimate_memory(router, request);
-  wish.excluded = (const char *const *)request->excluded;
-  wish.excluded_count = request->excluded_count;
-  wish.spread = (guint64)g_rand_int(router->random) + 1;
-  wish.limits = rates_limits(router, request->service, now);
-  return wish;
+                         EndpointStage stage, gint64 now) {
+  EndpointQuery query = {0};
+  query.service = request->service->name;
+  query.stage = stage;
+  query.capacity = request->service->kv_tokens;
+  query.tokens = estimate_memory(router, request);
+  query.excluded = (const char *const *)request->excluded;
+  query.excluded_count = request->excluded_count;
+  query.spread = (guint64)g_rand_int(router->random) + 1;
+  query.limits = rates_limits(router, request->service, now);
+  return query;
 }
 
 void path_exclude(Request *request, const char *endpoint) {
@@ -60,13 +62,14 @@
 Endpoint *path_open_endpoint(const Router *router, const Request *request) {
   const OpenDispatch *open = &request->open;
   return endpoint_table_get_incarnation(router->endpoints, open->endpoint,
-                                 open->life);
+                                        open->life);
 }
 
-/* what is open at an engine is memory that others may promise too: they
-** hear at once. At a plain endpoint it tells them how busy that is, a
-** little later */
-static void count_change(Router *router, const Request *request) {
+/* Marks a change of what is open as to be reported. What is open at an
+** engine is memory that other instances may plan too, so they are told at
+** once; at a plain endpoint it only shows how busy that is, and is told a
+** little later. */
+static void mark_load_changed(Router *router, const Request *request) {
   if (request->service->is_engine)
     router->load_version++;
   else
@@ -83,8 +86,8 @@
     endpoint->open -= MIN(endpoint->open, 1);
     endpoint->tokens -= MIN(endpoint->tokens, open->tokens);
   }
-  count_change(router, request);
-  g_hash_table_remove(router->dispatched, &open->number);
+  mark_load_changed(router, request);
+  g_hash_table_remove(router->requests_by_dispatch, &open->number);
   if (cancel)
     router->host.cancel(router->host.data, open->number);
   open->number = 0;
@@ -93,7 +96,7 @@
   request->suspect_at = 0;
 }
 
-/* what was known of the endpoint when it was chosen */
+/* Logs a dispatch with what was known of the endpoint when it was chosen. */
 static void log_dispatch(Router *router, const Request *request,
                          const Dispatch *dispatch, const Endpoint *endpoint) {
   const EndpointTable *table = router->endpoints;
@@ -109,7 +112,7 @@
              dispatch->last_event != NULL ? dispatch->last_event : "-");
 }
 
-/* the dispatch that went out is the one that the request waits for */
+/* Makes the dispatch that was sent the open one of the request. */
 static void open_dispatch(Router *router, Request *request, guint64 number,
                           Endpoint *endpoint, guint64 tokens, gint64 now) {
   OpenDispatch *open = &request->open;
@@ -120,8 +123,8 @@
   open->sent = now;
   endpoint->open++;
   endpoint->tokens += tokens;
-  count_change(router, request);
-  g_hash_table_insert(router->dispatched, &open->number, request);
+  mark_load_changed(router, request);
+  g_hash_table_insert(router->requests_by_dispatch, &open->number, request);
 }
 
 gboolean path_send(Router *router, Request *request, DispatchKind kind,
@@ -132,8 +135,8 @@
   dispatch.request = request->number;
   dispatch.account = request->account != NULL ? request->account->name : NULL;
   dispatch.deadline_ms = MAX((request->caller_deadline - now) / MP_MS, 1);
-  dispatch.connect_timeout =
-      CLAMP(request->route->objective, CONNECT_LEAST, CONNECT_MOST);
+  dispatch.connect_timeout = CLAMP(request->route->objective,
+                                   CONNECT_TIMEOUT_MIN, CONNECT_TIMEOUT_MAX);
   if (kind == DISPATCH_RUN) {
     dispatch.stream = request->route->kind == ROUTE_STREAM;
     dispatch.handle = request->handle;
@@ -149,14 +152,15 @@
   return TRUE;
 }
 
-/* the engine that was reserved, if it can still be used */
+/* Returns the decode engine where memory is reserved, if it can still be used;
+** else NULL. */
 static Endpoint *reserved_decode(Router *router, const Request *request,
                                  gint64 now) {
   Endpoint *endpoint;
   if (request->decode == NULL)
     return NULL;
   endpoint = endpoint_table_get_incarnation(router->endpoints, request->decode,
-                                     request->decode_incarnation);
+                                            request->decode_incarnation);
   if (endpoint == NULL || gate_check(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
     return NULL;
   return endpoint;
@@ -166,7 +170,8 @@
   return request->service->is_engine ? STAGE_DECODE : STAGE_NONE;
 }
 
-/* others reserved the same room at the same moment */
+/* Returns TRUE if other instances reserved the same memory of the engine at
+** the same moment, so that more is planned than it has. */
 static gboolean is_overbooked(const Router *router, const Request *request,
                               const Endpoint *endpoint) {
   return request->service->kv_tokens > 0 &&
@@ -174,36 +179,42 @@
              request->service->kv_tokens;
 }
 
-/* the reserved endpoint, or another one with room; NULL when none has any */
+/* Returns the reserved endpoint unless it is overbooked, else another one with
+** room; NULL if none has room. */
 static Endpoint *choose_with_room(Router *router, const Request *request,
                                   gint64 now) {
   EndpointStage stage = path_run_stage(request);
-  EndpointQuery wish = path_query(router, request, stage, now);
+  EndpointQuery query = path_query(router, request, stage, now);
   Endpoint *endpoint = reserved_decode(router, request, now);
   if (endpoint != NULL && !is_overbooked(router, request, endpoint))
     return endpoint;
-  wish.must_fit = stage == STAGE_DECODE;
-  return endpoint_table_choose(router->endpoints, &wish, now);
+  query.must_fit = stage == STAGE_DECODE;
+  return endpoint_table_choose(router->endpoints, &query, now);
 }
 
-static Endpoint *choose(Router *router, const Request *request, gint64 now) {
-  EndpointQuery wish = path_query(router, request, path_run_stage(request), now);
+/* Returns the endpoint for a run: one with room, else the reserved one, else
+** any; NULL if there is none. */
+static Endpoint *choose_endpoint(Router *router, const Request *request,
+                                 gint64 now) {
+  EndpointQuery query =
+      path_query(router, request, path_run_stage(request), now);
   Endpoint *endpoint = reserved_decode(router, request, now);
   Endpoint *other = choose_with_room(router, request, now);
   if (other != NULL)
     return other;
   if (endpoint != NULL)
     return endpoint;
-  wish.must_fit = FALSE;
-  return endpoint_table_choose(router->endpoints, &wish, now);
+  query.must_fit = FALSE;
+  return endpoint_table_choose(router->endpoints, &query, now);
 }
 
 /*
-** The prompt is read and no decode engine has room for it: wait for room as
-** long as the handle lives, instead of being turned away by a full engine.
+** Queues the request again if its prompt is prefilled and no decode engine has
+** room for it: it waits for room while the handle is valid, instead of being
+** rejected by a full engine. Returns FALSE if it was not queued.
 */
 static gboolean requeue_with_handle(Router *router, Request *request,
-                                  gint64 now) {
+                                    gint64 now) {
   if (request->handle == NULL || request->runs > 0 || request->head_sent ||
       router->stopping || choose_with_room(router, request, now) != NULL)
     return FALSE;
@@ -213,7 +224,7 @@
 }
 
 gboolean path_may_dispatch(Router *router, Request *request, RefusalKind *why,
-                       gint64 now) {
+                           gint64 now) {
   return accounts_may_dispatch(router, request, why, now) &&
          suspects_may_dispatch(router, request, why, now);
 }
@@ -233,7 +244,7 @@
   if (requeue_with_handle(router, request, now) ||
       prefill_repeat(router, request, now))
     return;
-  endpoint = choose(router, request, now);
+  endpoint = choose_endpoint(router, request, now);
   if (endpoint == NULL) {
     shortage_record(router, request, now);
     finish_give_up(router, request, now);
@@ -255,10 +266,11 @@
 }
 
 void path_start_on_engine(Router *router, Request *request, Endpoint *decode,
-                gint64 now) {
+                          gint64 now) {
   router_record_duration(router, request, DURATION_WAIT, now);
   prefill_reserve(router, request, decode);
-  /* a second reading is an extra arrival: path_run asks the budget */
+  /* A second prefill is an extra arrival, for which path_run asks the
+  ** budget. */
   if (request->prefills > 0 || !prefill_begin(router, request, now))
     path_run(router, request, now);
 }
--- a/router/rates.c
+++ b/router/rates.c
@@ -56,7 +56,8 @@
              " endpoint=%s rate=%.3f before=%.3f said_by=%s age_ms=%u "
              "heard=%u instances=%u open=%u",
              endpoint->record.id, rate, before, said_by, age_ms, sharers.heard,
-             sharers.instances, endpoint_open_count(router->endpoints, endpoint));
+             sharers.instances,
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 static void log_unreadable(Router *router, const Endpoint *endpoint) {
@@ -65,7 +66,7 @@
 }
 
 void rates_apply_signal(Router *router, const Endpoint *endpoint,
-                     const EndpointSignals *signals, gint64 now) {
+                        const EndpointSignals *signals, gint64 now) {
   gboolean given = signals->rate == SIGNAL_GIVEN;
   double named = given ? signals->rate_per_second : RATE_ANY;
   double before;
@@ -102,8 +103,8 @@
                      const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
-  double asked = retry_budget_others(router_retry_budget(router, service->name),
-                                     &router->retry, now);
+  double asked = retry_budget_others(
+      router_retry_budget(router, service->name), &router->retry, now);
   double soon = asked * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
     soon += peer_loads_waiting(peers);
@@ -175,7 +176,7 @@
 }
 
 void router_report_rates(const Router *router, gboolean sums, mp_RateNews *out,
-                       gint64 now) {
+                         gint64 now) {
   if (sums)
     rate_limits_write_sum(router->rates, out, now);
   else
@@ -196,8 +197,8 @@
   news->n = n;
 }
 
-void router_receive_rates(Router *router, mp_Addr peer, const mp_RateNews *told,
-                       gint64 now) {
+void router_receive_rates(Router *router, mp_Addr peer,
+                          const mp_RateNews *told, gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
   mp_RateNews news = *told;
--- a/router/router.c
+++ b/router/router.c
@@ -1,6 +1,6 @@
 /*
 ** router.c
-** The router: its tables, and the doors through which events come in
+** Creation of the router, entry points for events, and the timer
 */
 
 #include <stdarg.h>
@@ -12,12 +12,13 @@
 #include "router/retry_exchange.h"
 #include "router/state.h"
 
-/* the last word leaves this long before the caller stops waiting */
+/* A request is ended this long before its caller stops waiting, so that the
+** answer still reaches the caller. */
 #define ANSWER_MARGIN (15 * MP_MS)
 
 /*
 ** {==================================================================
-** Life
+** Creation and destruction
 ** ===================================================================
 */
 
@@ -65,7 +66,7 @@
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   router->proof_age_max = options->proof_age_max;
   router->news_age_max = options->news_age_max;
-  router->dispatched = g_hash_table_new(g_int64_hash, g_int64_equal);
+  router->requests_by_dispatch = g_hash_table_new(g_int64_hash, g_int64_equal);
   router->stages = stages_new(router, options->instance, options->self,
                               options->lease_length, now);
   return router;
@@ -79,7 +80,7 @@
   quarantine_free(router->quarantine);
   suspicions_free(router->suspicions);
   g_hash_table_destroy(router->unknown_fields);
-  g_hash_table_destroy(router->dispatched);
+  g_hash_table_destroy(router->requests_by_dispatch);
   g_ptr_array_free(router->waiting, TRUE);
   g_hash_table_destroy(router->requests);
   g_hash_table_destroy(router->services);
@@ -126,7 +127,7 @@
 
 gboolean router_set_routes(Router *router, RouteTable *routes, gint64 now) {
   if (router->routes != NULL && routes->version <= router->routes->version)
-    return FALSE; /* never back within a life */
+    return FALSE; /* an instance never goes back to an older one */
   route_table_ref(routes);
   route_table_unref(router->routes);
   router->routes = routes;
@@ -142,7 +143,7 @@
 }
 
 void router_store_answered(Router *router, gint64 at) {
-  router->heard_at = MAX(router->heard_at, at);
+  router->store_answered_at = MAX(router->store_answered_at, at);
 }
 
 void router_set_news_state(Router *router, const NewsState *news) {
@@ -158,7 +159,7 @@
   router->is_listed = TRUE;
   router->instances = MAX(count, 1);
   router->near = CLAMP(near, 1, router->instances);
-  router->endpoints->is_late = router->near < router->instances;
+  router->endpoints->has_late_loads = router->near < router->instances;
 }
 
 /* }================================================================== */
@@ -169,14 +170,18 @@
 ** ===================================================================
 */
 
-/* what one client account sends is held against that account alone */
-static guint64 content_of(const CallerRequest *call, const Account *account) {
+/* Returns the digest by which the quarantine knows a request. It includes the
+** client account, so that a request held for one account is not held for
+** others. */
+static guint64 quarantine_digest(const CallerRequest *call,
+                                 const Account *account) {
   if (account == NULL)
     return call->content;
   return XXH3_64bits_withSeed(account->name, strlen(account->name),
                               call->content);
 }
 
+/* Creates a request; its caller sets the account and the service. */
 static Request *request_new(const CallerRequest *call, RouteTable *table,
                             const Route *route, const Account *account,
                             gint64 now) {
@@ -191,7 +196,7 @@
   request->prompt_tokens = call->prompt_tokens;
   request->output_tokens = call->output_tokens;
   request->session = call->session;
-  request->content = content_of(call, account);
+  request->content = quarantine_digest(call, account);
   request->resumes = call->resumes;
   request->arrived = now;
   request->caller_deadline = now + patience;
@@ -201,31 +206,40 @@
   return request;
 }
 
+/* Returns the time since the store's last answer; G_MAXINT32 us if there was
+** none. */
 static gint64 news_age(const Router *router, gint64 now) {
-  return router->heard_at != 0 ? now - router->heard_at : G_MAXINT32;
+  return router->store_answered_at != 0 ? now - router->store_answered_at
+                                        : G_MAXINT32;
 }
 
 /*
 ** "No such route" and "no such key" are final for a caller. While a newer
-** configuration is known elsewhere, or the news are older than they are at any
-** instance that the store answers, the route may have come since: the caller
-** is told to try again, and reaches another instance, or this one later.
+** configuration is known elsewhere, or the store's last answer is older than
+** at any instance that the store answers, the route or key may have been added
+** since: the caller is told to retry, and reaches another instance, or this
+** one later.
 */
 gboolean router_may_be_outdated(const Router *router, gint64 now) {
   if (router->news != NULL && router->news->lags_since != 0)
     return TRUE;
-  return router->news_age_max > 0 && news_age(router, now) > router->news_age_max;
+  return router->news_age_max > 0 &&
+         news_age(router, now) > router->news_age_max;
 }
 
-static RefusalKind no_route(const Router *router, gint64 now) {
+/* Returns the refusal for a request that matches no route. */
+static RefusalKind unmatched_refusal(const Router *router, gint64 now) {
   return router_may_be_outdated(router, now) ? REFUSAL_OLD_CONFIGURATION
-                                        : REFUSAL_NO_ROUTE;
+                                             : REFUSAL_NO_ROUTE;
 }
 
+/* Returns for how long a newer configuration has been known elsewhere; 0 if
+** none is. */
 static gint64 news_lag(const Router *router, gint64 now) {
   return router->news != NULL ? news_state_lag(router->news, now) : 0;
 }
 
+/* Refuses a request before it is created. */
 static void refuse_unrouted(Router *router, const CallerRequest *call,
                             RefusalKind kind, gint64 now) {
   Refusal refusal = {kind, finish_default_retry_ms(kind)};
@@ -257,7 +271,7 @@
   }
   route = route_table_find(router->routes, call->host, call->path);
   if (route == NULL) {
-    refuse_unrouted(router, call, no_route(router, now), now);
+    refuse_unrouted(router, call, unmatched_refusal(router, now), now);
     return;
   }
   if (!accounts_admit(router, call, route, &account, &refusal, now)) {
@@ -278,7 +292,8 @@
     finish_refuse(router, request, refusal.kind);
     return;
   }
-  retry_budget_request(router_retry_budget(router, service), &router->retry, now);
+  retry_budget_request(router_retry_budget(router, service), &router->retry,
+                       now);
   router_log(router, MP_LOG_ROUTE_ACCEPT,
              " request=%s route=%s service=%s prompt=%u output=%u left_ms=%d "
              "objective_ms=%d session=%" G_GINT64_MODIFIER
@@ -310,7 +325,7 @@
   admission_start_waiting(router, now);
 }
 
-/* the endpoint itself has said something */
+/* Returns TRUE if the outcome shows that the endpoint itself answered. */
 static gboolean is_answer_of_endpoint(const Outcome *outcome) {
   return outcome->kind != OUTCOME_UNREACHABLE &&
          outcome->kind != OUTCOME_BROKEN && !outcome->misdirected;
@@ -321,9 +336,10 @@
   if (stages_handle_outcome(router->stages, outcome, now) ||
       crash_watch_outcome(router->crashes, outcome, now))
     return;
-  request = g_hash_table_lookup(router->dispatched, &outcome->dispatch);
+  request =
+      g_hash_table_lookup(router->requests_by_dispatch, &outcome->dispatch);
   if (request == NULL)
-    return; /* given up before */
+    return; /* the request no longer waits for it */
   if (is_answer_of_endpoint(outcome))
     suspects_note_answer(router, request, now);
   if (request->phase == PHASE_PREFILL)
@@ -337,10 +353,11 @@
 
 /*
 ** {==================================================================
-** Time
+** Timer
 ** ===================================================================
 */
 
+/* Returns when the request needs attention next. */
 static gint64 wake_time(const Request *request) {
   gint64 wake = request->expires;
   if (request->stall_at != 0)
@@ -364,7 +381,8 @@
   return next;
 }
 
-static void stalled(Router *router, Request *request, gint64 now) {
+/* Handles Request.stall_at. */
+static void handle_stall(Router *router, Request *request, gint64 now) {
   if (request->phase == PHASE_WAIT)
     admission_review(router, request, now);
   else if (request->phase == PHASE_PREFILL)
@@ -373,8 +391,9 @@
     outcomes_handle_stall(router, request, now);
 }
 
-/* one request whose time has come; 0 when there is none */
-static gboolean tick_one(Router *router, gint64 now) {
+/* Handles one request that needs attention now; FALSE if there is none. The
+** caller repeats this, because handling a request may change the table. */
+static gboolean handle_one_due(Router *router, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, router->requests);
@@ -389,7 +408,7 @@
     else if (request->start_at != 0 && request->start_at <= now)
       admission_take_turn(router, request, now);
     else
-      stalled(router, request, now);
+      handle_stall(router, request, now);
     return TRUE;
   }
   return FALSE;
@@ -398,7 +417,7 @@
 void router_tick(Router *router, gint64 now) {
   if (peer_loads_expire(router->endpoints->peers, now))
     admission_start_waiting(router, now);
-  while (tick_one(router, now)) {
+  while (handle_one_due(router, now)) {
   }
   stages_tick(router->stages, now);
   crash_watch_expire(router->crashes, now);
@@ -410,12 +429,12 @@
 /* }================================================================== */
 
 void router_observe_era(Router *router, guint64 era, gint64 now) {
-  gboolean is_return = router->era != 0;
+  gboolean had_era = router->era != 0;
   if (era <= router->era)
     return;
   router->era = era;
   stages_observe_era(router->stages, era, now);
-  if (is_return)
+  if (had_era)
     quarantine_restored(router->quarantine, era);
 }
 
@@ -457,8 +476,8 @@
   return counter < ROUTER_COUNTER_COUNT ? names[counter] : NULL;
 }
 
-void router_record_duration(Router *router, const Request *request, RouterDuration which,
-                 gint64 now) {
+void router_record_duration(Router *router, const Request *request,
+                            RouterDuration which, gint64 now) {
   histogram_add(&router->durations[which], now - request->arrived);
 }
 
--- a/router/signals.c
+++ b/router/signals.c
@@ -74,7 +74,8 @@
 
 void router_endpoint_signals(Router *router, const char *id, guint32 life,
                              const EndpointSignals *signals, gint64 now) {
-  Endpoint *endpoint = endpoint_table_get_incarnation(router->endpoints, id, life);
+  Endpoint *endpoint =
+      endpoint_table_get_incarnation(router->endpoints, id, life);
   if (endpoint == NULL)
     return; /* that life is over */
   if (signals->leaving == SIGNAL_GIVEN &&
@@ -116,7 +117,8 @@
   return count;
 }
 
-void signals_write_digest(const Router *router, mp_LoadDigest *out, gint64 now) {
+void signals_write_digest(const Router *router, mp_LoadDigest *out,
+                          gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint count = count_news(router);
   guint first = 0;
@@ -144,7 +146,8 @@
   return FALSE;
 }
 
-void signals_read_digest(Router *router, const mp_LoadDigest *digest, gint64 now) {
+void signals_read_digest(Router *router, const mp_LoadDigest *digest,
+                         gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint i;
   for (i = 0; digest->leaving_count > 0 && i < all->len; i++) {
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -33,8 +33,8 @@
   return strikes + suspected >= QUARANTINE_STRIKES ? until : 0;
 }
 
-gboolean suspects_may_dispatch(Router *router, Request *request, RefusalKind *why,
-                           gint64 now) {
+gboolean suspects_may_dispatch(Router *router, Request *request,
+                               RefusalKind *why, gint64 now) {
   gint64 until =
       quarantine_held_until(router->quarantine, request->content, now);
   *why = REFUSAL_HELD;
@@ -89,7 +89,7 @@
 }
 
 void suspects_note_broken(Router *router, const Request *request,
-                     const Endpoint *endpoint, gint64 now) {
+                          const Endpoint *endpoint, gint64 now) {
   QuarantineSuspect suspect = {request->content, request->id,
                                request->route->name, NULL};
   if (request->account != NULL)
@@ -100,7 +100,7 @@
 }
 
 void suspects_add_strike(Router *router, const QuarantineSuspect *suspect,
-                     guint32 life, gint64 now) {
+                         guint32 life, gint64 now) {
   if (quarantine_strike(router->quarantine, suspect, life, now))
     log_held(router, suspect->content, "here", now);
 }
@@ -128,7 +128,7 @@
 }
 
 gboolean router_receive_crashes(Router *router, const mp_CrashNews *news,
-                             gint64 now) {
+                                gint64 now) {
   gboolean is_news = FALSE;
   unsigned i;
   for (i = 0; i < news->n; i++) {
@@ -145,8 +145,8 @@
   return is_news;
 }
 
-void router_report_crashes(const Router *router, gboolean all, mp_CrashNews *out,
-                         gint64 now) {
+void router_report_crashes(const Router *router, gboolean all,
+                           mp_CrashNews *out, gint64 now) {
   quarantine_tell(router->quarantine, all, out, now);
   suspicions_write(router->suspicions, all, out, now);
 }
@@ -156,7 +156,7 @@
 }
 
 void router_apply_quarantine(Router *router, const QuarantineRecord *record,
-                            StorePosition position, gint64 now) {
+                             StorePosition position, gint64 now) {
   if (!quarantine_stored(router->quarantine, record, position, now))
     return;
   log_held(router, record->content, "store", now);
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -152,7 +152,7 @@
 m r-named "a changing engine gets no work" router/endpoint_table.c \
   '!endpoint_is_changing_stage(table, endpoint, now);' '1;'
 m r-settle "nothing is ordered before the use has settled" router/stages.c \
-  'now - average->used_from < SETTLE' '0'
+  'now - average->used_from < SETTLE_TIME' '0'
 m r-capped "no more change than a digest names" router/stages.c \
   'CHANGES_MAX - changing' 'CHANGES_MAX + 40 + 0 * changing'
 m r-note "reserved room counts until the next digest" router/peer_loads.c \
@@ -174,7 +174,7 @@
 m r-leaving "DRAIN: a leaving endpoint is not chosen" router/endpoint_table.c \
   'return !endpoint->record.ready ||' 'return'
 m r-room "a run starts only where there is room" router/endpoint_table.c \
-  '(wish->must_fit && !has_room(table, wish, endpoint)) ||' ''
+  '(query->must_fit && !has_room(table, query, endpoint)) ||' ''
 m r-late "an overtaken digest changes nothing" router/peer_loads.c \
   'return behind < REORDER_WINDOW;' 'return 0;'
 m r-newer "CONFIG: an older revision takes no effect" router/follower.c \
@@ -211,7 +211,8 @@
 m r-failed "a reader that failed is not asked again" router/prefill.c \
   ' || path_is_excluded(request, request->read_by))' ')'
 m r-home "a resumed caller's prompt is read at home" router/prefill.c \
-  'wish.affinity_overrides_load = request->resumes;' 'wish.affinity_overrides_load = FALSE;'
+  'query.affinity_overrides_load = request->resumes;' \
+  'query.affinity_overrides_load = FALSE;'
 m n-fresh "relays: one that the store does not answer does not count" \
   router/relay_group.c 'before.fresh += is_fresh(group, relay, now);' \
   'before.fresh += is_heard(relay, now);'
@@ -231,7 +232,8 @@
   'is_same;'
 m n-noroute "router: old news say nothing of a route they lack" \
   router/router.c \
-  'return router->news_age_max > 0 && news_age(router, now) > router->news_age_max;' \
+  'return router->news_age_max > 0 &&
+         news_age(router, now) > router->news_age_max;' \
   'return FALSE;'
 m n-lacks "router: one that lacks a change says nothing of a route" \
   router/router.c 'router->news->lags_since != 0)' \
@@ -269,13 +271,10 @@
 m n-pack "news: long answers are compressed" io/news_codec.c \
   'size > SHORT_ANSWER ?' 'FALSE ?'
 m p-lost "prefill: an arrival after a lost prompt is paid for" \
-  router/prefill.c 'return retry_exchange_take(router, service, now);
-}
-
-static void log_prompt_retry' 'return TRUE;
-}
-
-static void log_prompt_retry'
+  router/prefill.c 'return retry_exchange_left(router, service, now);
+  return retry_exchange_take(router, service, now);' \
+  'return retry_exchange_left(router, service, now);
+  return TRUE;'
 m p-wait "prefill: a late prompt is not left without a retry to spend" \
   router/prefill.c 'if (!may_send_again(router, request, OUTCOME_BROKEN, now)) {' \
   'if (0) {'
@@ -395,7 +394,7 @@
   'seed = (guint64)record->born_unix_ms;' 'seed = 0;'
 m v-loads "lives: loads of an earlier one are not the later's" router/path.c \
   'return endpoint_table_get_incarnation(router->endpoints, open->endpoint,
-                                 open->life);' \
+                                        open->life);' \
   'return endpoint_table_get(router->endpoints, open->endpoint);'
 m i-item "store: an object that can't be read is known by its name" \
   platform/store.c 'is_whole ? read_content(span) : g_strdup("");' \
@@ -417,7 +416,7 @@
 m c-boot "clock: suspended time counts" io/clock.c 'CLOCK_BOOTTIME' \
   'CLOCK_MONOTONIC'
 m o-first "admission: time counts from the first try" router/admission.c \
-  'request->first_attempt_at -= usual - patience;' '{}'
+  'request->first_attempt_at -= longest - patience;' '{}'
 m o-late "admission: late ones take what is left over" router/admission.c \
   'start_some(router, TRUE, now) == 0)' \
   'start_some(router, TRUE, now) != G_MAXUINT)'
@@ -427,8 +426,8 @@
 m o-ends "admission: ends at all instances make room" router/admission.c \
   'router->mean_end_interval / router->near' 'router->mean_end_interval'
 m o-usual "admission: what others have tells who came back" \
-  router/admission.c 'usual = MIN(usual, route->timeout);' \
-  'usual = route->timeout;'
+  router/admission.c 'longest = MIN(longest, route->timeout);' \
+  'longest = route->timeout;'
 m o-window "patience: what was seen long ago is forgotten" \
   router/patience.c 'if (age < PATIENCE_WINDOW)' 'if (TRUE)'
 m o-number "input: a time is bounded before it is converted" \
@@ -469,7 +468,7 @@
   'age > TELL_OVER' \
   TRUE
 m r-choice "rates: choice leaves those out that take no more" router/endpoint_table.c \
-  '        !is_within_limits(table, wish, endpoint, now))' \
+  '        !is_within_limits(table, query, endpoint, now))' \
   '        FALSE)'
 m r-counted "rates: a run is counted once" router/prefill.c \
   '    if (request->is_decode_counted)
@@ -479,7 +478,7 @@
   'request->is_decode_counted = rate_limits_sent(router->rates, decode->hash);' \
   'request->is_decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
-  'router->shortage_recheck_at = now + LOOK_AGAIN;' \
+  'router->shortage_recheck_at = now + RECHECK_INTERVAL;' \
   'router->shortage_recheck_at = 0;'
 m r-life "rates: a later life has none" router/lives.c \
   '  if (news == ENDPOINT_RESTARTED)
@@ -557,19 +556,19 @@
   '  known->leaving_since = MAX(now, 1);' \
   ''
 m g-success "rest: no success ends it" router/endpoint_table.c \
-  '  endpoint->misses = 0;' \
-  '  endpoint->misses = 0;
+  '  endpoint->unreachable_streak = 0;' \
+  '  endpoint->unreachable_streak = 0;
   endpoint->availability.rest_until = 0;'
 m g-doubtful "gate: choice, and the fallback to a doubtful one, ask it" router/endpoint_table.c \
   'gate_check(endpoint, DISPATCH_RUN,' \
   'gate_check(endpoint, DISPATCH_CHECK,'
 m g-inherit "words: a later life has none" router/endpoint_table.c \
-  '  if (news == ENDPOINT_RESTARTED)
-    drop(table, endpoint);
-  else if (news == ENDPOINT_SAME)' \
-  '  if (news == ENDPOINT_RESTARTED)
-    news = ENDPOINT_SAME;
-  if (news == ENDPOINT_SAME)'
+  '  if (comparison == ENDPOINT_RESTARTED)
+    drop_endpoint(table, endpoint);
+  else if (comparison == ENDPOINT_SAME)' \
+  '  if (comparison == ENDPOINT_RESTARTED)
+    comparison = ENDPOINT_SAME;
+  if (comparison == ENDPOINT_SAME)'
 m g-lapse "words: a lapse of the entry ends none" router/endpoint_table.c \
   '  keep_unlisted(table, endpoint, now);' \
   ''
--- a/test/crash_fleet.cc
+++ b/test/crash_fleet.cc
@@ -70,7 +70,7 @@
   }
   for (auto &[content, stored] : store)
     router_apply_quarantine(one.world->router, &stored.record,
-                           store_position(0, stored.revision), now);
+                            store_position(0, stored.revision), now);
 }
 
 void Fleet::kill(double share) {
@@ -304,7 +304,7 @@
     gint64 stands = it != store.end() ? it->second.revision : 0;
     if (save.position.revision != stands) {
       router_apply_quarantine(one.world->router, &it->second.record,
-                             store_position(0, stands), now);
+                              store_position(0, stands), now);
       router_quarantine_save_failed(one.world->router, content, now);
       continue;
     }
@@ -315,7 +315,7 @@
     store[content] = {kept, ++revision};
     for (Instance &other : all)
       router_apply_quarantine(other.world->router, &kept,
-                             store_position(0, revision), now);
+                              store_position(0, revision), now);
   }
 }
 
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -321,7 +321,8 @@
   for (; !letters.empty() && letters.front().due <= now; letters.pop_front()) {
     const Letter &one = letters.front();
     if (!all[one.to].is_frozen)
-      router_receive_rates(all[one.to].world->router, one.from, &one.news, now);
+      router_receive_rates(all[one.to].world->router, one.from, &one.news,
+                           now);
   }
 }
 
--- a/test/test_connections.cc
+++ b/test/test_connections.cc
@@ -161,7 +161,8 @@
   EndpointRecord record = {};
   record.id = const_cast<char *>("app-1");
   told.n = 1;
-  told.row[0] = {endpoint_incarnation_hash(&record), 40 * MP_TOKEN_BLOCK, 3, 0};
+  told.row[0] = {endpoint_incarnation_hash(&record), 40 * MP_TOKEN_BLOCK, 3,
+                 0};
   router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), 1, &told,
                    world.now);
   router_load_digest(world.router, &digest, world.now);
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -111,8 +111,9 @@
     EndpointSignals said = routing::signals_rest(time);
     record.id = const_cast<char *>(id);
     record.born_unix_ms = world.born_unix_ms;
-    router_endpoint_signals(world.router, id, endpoint_incarnation_hash(&record),
-                            &said, world.now);
+    router_endpoint_signals(world.router, id,
+                            endpoint_incarnation_hash(&record), &said,
+                            world.now);
   }
   /* where plain requests go, if they end at once */
   unsigned plain_at(const char *id, int count) {
