--- a/router/connections.c
+++ b/router/connections.c
@@ -19,7 +19,7 @@
 ** has engines. */
 static guint endpoint_limit_of(const Router *router, const char *name) {
   const Service *service = router->routes != NULL
-                               ? route_table_service(router->routes, name)
+                               ? route_table_find_service(router->routes, name)
                                : NULL;
   return service != NULL && !service->is_engine ? service->max_connections : 0;
 }
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -76,7 +76,7 @@
 
 /* an incarnation that is not listed now */
 typedef struct UnlistedIncarnation {
-  gint64 born_unix_ms;
+  gint64 started_unix_ms;
   StorePosition position; /* of its last record */
   gboolean ready;         /* in its last record */
   Availability availability;
@@ -121,7 +121,7 @@
 
 guint32 endpoint_incarnation_hash(const EndpointRecord *record) {
   gsize size = strlen(record->id);
-  guint64 seed = (guint64)record->born_unix_ms;
+  guint64 seed = (guint64)record->started_unix_ms;
   guint64 message[2] = {0};
   if (size > SHORT_ID_BYTES)
     return (guint32)XXH3_64bits_withSeed(record->id, size, seed);
@@ -142,8 +142,8 @@
 /* Returns TRUE unless both start times are known and differ. */
 static gboolean is_same_incarnation(const EndpointRecord *one,
                                     const EndpointRecord *other) {
-  return one->born_unix_ms == 0 || other->born_unix_ms == 0 ||
-         one->born_unix_ms == other->born_unix_ms;
+  return one->started_unix_ms == 0 || other->started_unix_ms == 0 ||
+         one->started_unix_ms == other->started_unix_ms;
 }
 
 gboolean endpoint_record_is_restored(const EndpointRecord *record,
@@ -166,7 +166,7 @@
       !store_position_is_none(known->position) &&
       !endpoint_record_is_restored(record, known))
     return !store_position_is_before(record->position, known->position);
-  return record->born_unix_ms >= known->born_unix_ms ||
+  return record->started_unix_ms >= known->started_unix_ms ||
          is_same_incarnation(record, known);
 }
 
@@ -214,7 +214,7 @@
   if (g_hash_table_size(table->unlisted) >= most)
     return;
   lost = g_new(UnlistedIncarnation, 1);
-  lost->born_unix_ms = endpoint->record.born_unix_ms;
+  lost->started_unix_ms = endpoint->record.started_unix_ms;
   lost->position = endpoint->record.position;
   lost->ready = endpoint->record.ready;
   lost->availability = endpoint->availability;
@@ -239,8 +239,9 @@
                              const EndpointRecord *record, gint64 now) {
   const UnlistedIncarnation *lost =
       g_hash_table_lookup(table->unlisted, record->id);
-  if (lost != NULL && (lost->born_unix_ms == record->born_unix_ms ||
-                       lost->born_unix_ms == 0 || record->born_unix_ms == 0)) {
+  if (lost != NULL &&
+      (lost->started_unix_ms == record->started_unix_ms ||
+       lost->started_unix_ms == 0 || record->started_unix_ms == 0)) {
     endpoint->availability = lost->availability;
     if (record->position.era > lost->position.era)
       doubt_return(endpoint, lost, now);
@@ -280,10 +281,10 @@
     endpoint = add_endpoint(table, record, now);
   if (endpoint->changing_until != 0 && record->stage == endpoint->changing_to)
     endpoint->changing_until = 0;
-  born = record->born_unix_ms != 0 ? record->born_unix_ms
-                                   : endpoint->record.born_unix_ms;
+  born = record->started_unix_ms != 0 ? record->started_unix_ms
+                                      : endpoint->record.started_unix_ms;
   record_copy(&endpoint->record, record);
-  endpoint->record.born_unix_ms = born;
+  endpoint->record.started_unix_ms = born;
   endpoint->hash = endpoint_incarnation_hash(&endpoint->record);
   g_hash_table_insert(table->by_id, endpoint->record.id, endpoint);
 }
@@ -407,7 +408,7 @@
           (double)query->capacity;
   if (strcmp(endpoint->record.zone, zone) != 0)
     sum += distance_cost(table, query);
-  if (endpoint->record.cold_left > 0)
+  if (endpoint->record.warmup_left > 0)
     sum += COST_COLD;
   sum += COST_FAILURES * endpoint_failure_rate(endpoint, now);
   sum += COST_PEERS_FAILURES *
--- a/router/endpoint_table.h
+++ b/router/endpoint_table.h
@@ -7,7 +7,7 @@
 ** (EndpointRecord), what this instance has seen itself (its open dispatches
 ** and recent failures), and, by way of 'peers', what the other instances have
 ** open there. An incarnation is one run of the endpoint's process: id and
-** start time (born_unix_ms) together identify it.
+** start time (started_unix_ms) together identify it.
 **
 ** The table owns its endpoints. An Endpoint pointer is valid until the next
 ** call that sets or removes that endpoint; callers that keep one in mind store
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -73,7 +73,8 @@
 void outcomes_retry(Router *router, Request *request, gboolean may_have_run,
                     gint64 now) {
   gboolean allowed = may_retry(request, may_have_run, now);
-  if (allowed && !retry_exchange_take(router, request->service->name, now)) {
+  if (allowed &&
+      !retry_exchange_try_take(router, request->service->name, now)) {
     router_count(router, RETRIES_DENIED);
     allowed = FALSE;
   }
@@ -114,7 +115,7 @@
       request->arrivals + 1 >= ARRIVALS_MAX ||
       !may_retry(request, TRUE, now) ||
       !has_other_endpoint(router, request, now) ||
-      !retry_exchange_take(router, request->service->name, now))
+      !retry_exchange_try_take(router, request->service->name, now))
     return FALSE;
   request->arrivals++;
   request->runs++;
@@ -228,11 +229,11 @@
     request->last_event = g_strdup(outcome->event);
     request->tokens_made =
         (guint32)(g_ascii_strtoull(outcome->event, NULL, 10) *
-                  request->service->event_tokens);
+                  request->service->tokens_per_event);
     update_memory(router, request);
   }
   if (request->stall_at != 0)
-    request->stall_at = now + silence_piece(request);
+    request->stall_at = now + silence_piece_timeout(request);
   router->host.answer(router->host.data, request->number, outcome);
 }
 
@@ -252,7 +253,7 @@
                                const Outcome *outcome, gint64 now) {
   request->suspect_at = 0;
   if (request->stall_at != 0)
-    request->stall_at = now + silence_head(request);
+    request->stall_at = now + silence_head_timeout(request);
   if (request->head_sent)
     return; /* resumed: the caller has had its head */
   request->head_sent = TRUE;
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -118,7 +118,7 @@
                              gint64 now) {
   return router->near < router->instances &&
          now - router->retry.born >= router->retry.window &&
-         !retry_exchange_left(router, request->service->name, now);
+         !retry_exchange_has_extra(router, request->service->name, now);
 }
 
 gboolean prefill_begin(Router *router, Request *request, gint64 now) {
@@ -164,7 +164,7 @@
 gboolean prefill_repeat(Router *router, Request *request, gint64 now) {
   return request->handle == NULL && request->read_by != NULL &&
          reusable_prefill_engine(router, request, now) != NULL &&
-         retry_exchange_take(router, request->service->name, now) &&
+         retry_exchange_try_take(router, request->service->name, now) &&
          prefill_begin(router, request, now);
 }
 
@@ -194,8 +194,8 @@
   if (kind == OUTCOME_UNREACHABLE)
     return TRUE; /* it reached no endpoint */
   if (kind == OUTCOME_NOT_RUN)
-    return retry_exchange_left(router, service, now);
-  return retry_exchange_take(router, service, now);
+    return retry_exchange_has_extra(router, service, now);
+  return retry_exchange_try_take(router, service, now);
 }
 
 /* Logs whether the prompt is sent again. */
@@ -230,8 +230,9 @@
   if (outcome->kind == OUTCOME_UNREACHABLE)
     router_count(router, UNREACHABLE);
   if (outcome->kind == OUTCOME_NOT_RUN)
-    retry_budget_spend(router_retry_budget(router, request->service->name),
-                       &router->retry, now);
+    retry_budget_count_extra(
+        router_retry_budget(router, request->service->name), &router->retry,
+        now);
   if (endpoint == NULL)
     return;
   /* an engine that rejects a prompt may be about to change its stage */
--- a/router/rates.c
+++ b/router/rates.c
@@ -103,7 +103,7 @@
                      const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
-  double asked = retry_budget_others(
+  double asked = retry_budget_others_rate(
       router_retry_budget(router, service->name), &router->retry, now);
   double soon = asked * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
--- a/router/router.h
+++ b/router/router.h
@@ -232,7 +232,7 @@
   LimitTolerance limits; /* of client accounts */
   gint64 news_age_max;   /* "no such route" and "no such key" are final only
                          ** while the last answer of the store is at most this
-                         ** old; 0: always (relay_longest_age) */
+                         ** old; 0: always (relay_news_age_max) */
   gint64 unix_offset;    /* Unix time minus the steady clock, us */
   gint64 proof_age_max;  /* requests with keys run only if the configuration
                          ** was certainly the newest at most this long ago; 0:
--- a/router/stages.c
+++ b/router/stages.c
@@ -321,7 +321,7 @@
 /* Tries to acquire the lease, unless a call to the store is open. */
 static void acquire_lease(Stages *stages, gint64 now) {
   StoreCall call;
-  if (lease_step(&stages->lease, &call, &stages->record, now))
+  if (lease_begin_call(&stages->lease, &call, &stages->record, now))
     stages->router->host.lease_call(stages->router->host.data, &call);
 }
 
@@ -358,7 +358,7 @@
     average->needed_from = now;
   if (now - average->needed_from < need_time(wanted, before))
     return;
-  if (lease_held(&stages->lease, ROUND_MARGIN, now))
+  if (lease_is_held(&stages->lease, ROUND_MARGIN, now))
     begin_round(stages, service, wanted, now);
   else
     acquire_lease(stages, now);
@@ -447,7 +447,7 @@
                       0};
   if (!may_send(endpoint, DISPATCH_ORDER, now) || report == NULL ||
       report->busy || report->stage == change->to ||
-      !lease_held(&stages->lease, ORDER_MARGIN, now)) {
+      !lease_is_held(&stages->lease, ORDER_MARGIN, now)) {
     log_order(stages, change, MP_LOG_ORDER_FAIL, "not_sent", 0);
     abandon_change(stages, change, now);
     return;
@@ -462,7 +462,7 @@
 /* Gives up the lease and all changes, because a newer holder has been seen at
 ** work. */
 static void abandon_all(Stages *stages, gint64 now) {
-  lease_lose(&stages->lease, now);
+  lease_give_up(&stages->lease, now);
   while (stages->changes->len > 0)
     abandon_change(stages, stages->changes->pdata[0], now);
 }
@@ -516,12 +516,12 @@
 }
 
 void stages_observe_era(Stages *stages, guint64 era, gint64 now) {
-  lease_hear_era(&stages->lease, era, now);
+  lease_observe_era(&stages->lease, era, now);
 }
 
 void stages_lease_reply(Stages *stages, const LeaseReply *reply, gint64 now) {
-  lease_reply(&stages->lease, reply, now);
-  if (lease_held(&stages->lease, 0, now))
+  lease_handle_reply(&stages->lease, reply, now);
+  if (lease_is_held(&stages->lease, 0, now))
     router_log(stages->router, MP_LOG_LEASE_HELD, " fence=%" G_GINT64_FORMAT,
                lease_fence(&stages->lease));
   stages->next_review = now;
--- a/router/state.h
+++ b/router/state.h
@@ -108,7 +108,7 @@
   gint64 expires;         /* when the router ends it at the latest */
   Phase phase;
   OpenDispatch open;
-  gboolean repeatable;    /* it may run more than once (route_repeatable) */
+  gboolean repeatable;    /* it may run more than once (route_is_repeatable) */
   unsigned runs;          /* RUN dispatches that ended and may have run */
   unsigned arrivals;      /* RUN dispatches that ended and had reached an
                           ** endpoint, rejected ones too */
