--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -90,7 +90,7 @@
   router_hear_era(writer->router, reply->at.era, clock_now());
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++)
     take_object(writer, &g_array_index(reply->objects, StoreObject, i));
-  if ((reply->status == STORE_ABSENT && was_removed(writer, reply)) ||
+  if ((reply->status == STORE_NOT_FOUND && was_removed(writer, reply)) ||
       (reply->status == STORE_OK && writer->removing))
     router_lift_quarantine(writer->router, writer->content, clock_now());
   else if (reply->status != STORE_OK) {
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -84,7 +84,7 @@
   }
   if (call->keys == 1) {
     mp_digest(call->key, strlen(call->key), digest);
-    account = route_table_account(router->routes, digest);
+    account = route_table_find_account(router->routes, digest);
   }
   if (account != NULL)
     return account;
@@ -130,7 +130,7 @@
   *why = REFUSAL_KEY;
   return request->table == router->routes ||
          router->routes->accounts == NULL ||
-         route_table_account(router->routes, request->key_digest) != NULL;
+         route_table_find_account(router->routes, request->key_digest) != NULL;
 }
 
 void accounts_return(Router *router, const Request *request) {
--- a/router/connections.c
+++ b/router/connections.c
@@ -15,7 +15,7 @@
 
 static guint most_of(const Router *router, const char *name) {
   const Service *service = router->routes != NULL
-                               ? route_table_service(router->routes, name)
+                               ? route_table_find_service(router->routes, name)
                                : NULL;
   return service != NULL && !service->is_engine ? service->max_connections : 0;
 }
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -62,7 +62,7 @@
 
 /* a life that is not listed now */
 typedef struct UnlistedLife {
-  gint64 born_unix_ms;
+  gint64 started_unix_ms;
   StorePosition position; /* as in its last record */
   gboolean ready;         /* likewise */
   Availability availability;
@@ -107,7 +107,7 @@
 
 guint32 endpoint_life_hash(const EndpointRecord *record) {
   gsize size = strlen(record->id);
-  guint64 seed = (guint64)record->born_unix_ms;
+  guint64 seed = (guint64)record->started_unix_ms;
   guint64 message[2] = {0};
   if (size > SHORT_ID)
     return (guint32)XXH3_64bits_withSeed(record->id, size, seed);
@@ -127,8 +127,8 @@
 /* a start that is not said tells nothing of another life */
 static gboolean is_same_life(const EndpointRecord *one,
                              const EndpointRecord *other) {
-  return one->born_unix_ms == 0 || other->born_unix_ms == 0 ||
-         one->born_unix_ms == other->born_unix_ms;
+  return one->started_unix_ms == 0 || other->started_unix_ms == 0 ||
+         one->started_unix_ms == other->started_unix_ms;
 }
 
 gboolean endpoint_record_is_restored(const EndpointRecord *record,
@@ -150,7 +150,7 @@
       !store_position_is_none(known->position) &&
       !endpoint_record_is_restored(record, known))
     return !store_position_is_before(record->position, known->position);
-  return record->born_unix_ms >= known->born_unix_ms ||
+  return record->started_unix_ms >= known->started_unix_ms ||
          is_same_life(record, known);
 }
 
@@ -193,7 +193,7 @@
   if (g_hash_table_size(table->unlisted) >= most)
     return;
   life = g_new(UnlistedLife, 1);
-  life->born_unix_ms = endpoint->record.born_unix_ms;
+  life->started_unix_ms = endpoint->record.started_unix_ms;
   life->position = endpoint->record.position;
   life->ready = endpoint->record.ready;
   life->availability = endpoint->availability;
@@ -214,8 +214,9 @@
 static void restore_unlisted(EndpointTable *table, Endpoint *endpoint,
                              const EndpointRecord *record, gint64 now) {
   const UnlistedLife *life = g_hash_table_lookup(table->unlisted, record->id);
-  if (life != NULL && (life->born_unix_ms == record->born_unix_ms ||
-                       life->born_unix_ms == 0 || record->born_unix_ms == 0)) {
+  if (life != NULL &&
+      (life->started_unix_ms == record->started_unix_ms ||
+       life->started_unix_ms == 0 || record->started_unix_ms == 0)) {
     endpoint->availability = life->availability;
     if (record->position.era > life->position.era)
       doubt_return(endpoint, life, now);
@@ -253,10 +254,10 @@
     endpoint = add(table, record, now);
   if (endpoint->changing_until != 0 && record->stage == endpoint->changing_to)
     endpoint->changing_until = 0;
-  born = record->born_unix_ms != 0 ? record->born_unix_ms
-                                   : endpoint->record.born_unix_ms;
+  born = record->started_unix_ms != 0 ? record->started_unix_ms
+                                      : endpoint->record.started_unix_ms;
   record_copy(&endpoint->record, record);
-  endpoint->record.born_unix_ms = born;
+  endpoint->record.started_unix_ms = born;
   endpoint->hash = endpoint_life_hash(&endpoint->record);
   g_hash_table_insert(table->by_id, endpoint->record.id, endpoint);
 }
@@ -372,7 +373,7 @@
           (double)wish->capacity;
   if (strcmp(endpoint->record.zone, zone) != 0)
     sum += cost_of_distance(table, wish);
-  if (endpoint->record.cold_left > 0)
+  if (endpoint->record.warmup_left > 0)
     sum += COST_COLD;
   sum += COST_FAILURES * endpoint_failing(endpoint, now);
   sum += COST_PEERS_FAILURES *
--- a/router/loads.c
+++ b/router/loads.c
@@ -55,7 +55,7 @@
   const Service *service;
   if (endpoint == NULL || endpoint_leaves(endpoint) || router->routes == NULL)
     return FALSE;
-  service = route_table_service(router->routes, endpoint->record.service);
+  service = route_table_find_service(router->routes, endpoint->record.service);
   if (service == NULL || service->is_engine)
     return TRUE;
   return gate_keeps(router->endpoints, endpoint, service->max_connections,
@@ -149,8 +149,8 @@
     before = *known;
   if (!peer_loads_take_summary(peers, sequence, summary, now))
     return;
-  retry_exchange_hear_sum(router, known != NULL ? &before : NULL,
-                          &summary->loads, now);
+  retry_exchange_receive_sum(router, known != NULL ? &before : NULL,
+                             &summary->loads, now);
   sharers = accounts_sharers(router, now);
   account_limits_hear_sum(router->limits, summary->relay, &summary->loads,
                           &sharers, now);
@@ -168,7 +168,7 @@
     before = *known;
   if (!peer_loads_take(peers, peer, sequence, digest, now))
     return;
-  retry_exchange_hear(router, known != NULL ? &before : NULL, digest, now);
+  retry_exchange_receive(router, known != NULL ? &before : NULL, digest, now);
   sharers = accounts_sharers(router, now);
   account_limits_hear(router->limits, peer, digest, &sharers, now);
   signals_hear(router, digest, now);
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -68,7 +68,8 @@
 void outcomes_try_again(Router *router, Request *request,
                         gboolean may_have_run, gint64 now) {
   gboolean allowed = may_try_again(request, may_have_run, now);
-  if (allowed && !retry_exchange_take(router, request->service->name, now)) {
+  if (allowed &&
+      !retry_exchange_try_take(router, request->service->name, now)) {
     router_count(router, RETRIES_DENIED);
     allowed = FALSE;
   }
@@ -105,7 +106,7 @@
       request->arrivals + 1 >= MOST_ARRIVALS ||
       !may_try_again(request, TRUE, now) ||
       !has_elsewhere(router, request, now) ||
-      !retry_exchange_take(router, request->service->name, now))
+      !retry_exchange_try_take(router, request->service->name, now))
     return FALSE;
   request->arrivals++;
   request->runs++;
@@ -211,11 +212,11 @@
     g_free(request->last_event);
     request->last_event = g_strdup(outcome->event);
     request->made = (guint32)(g_ascii_strtoull(outcome->event, NULL, 10) *
-                              request->service->event_tokens);
+                              request->service->tokens_per_event);
     count_memory(router, request);
   }
   if (request->stall_at != 0)
-    request->stall_at = now + silence_piece(request);
+    request->stall_at = now + silence_piece_timeout(request);
   router->host.answer(router->host.data, request->number, outcome);
 }
 
@@ -233,7 +234,7 @@
                         const Outcome *outcome, gint64 now) {
   request->suspect_at = 0;
   if (request->stall_at != 0)
-    request->stall_at = now + silence_head(request);
+    request->stall_at = now + silence_head_timeout(request);
   if (request->head_sent)
     return; /* resumed: the caller keeps its first head */
   request->head_sent = TRUE;
--- a/router/path.c
+++ b/router/path.c
@@ -250,8 +250,8 @@
     finish_give_up(router, request, now);
     return;
   }
-  request->stall_at = silence_limit(request, now);
-  request->suspect_at = now + silence_suspect(request);
+  request->stall_at = silence_deadline(request, now);
+  request->suspect_at = now + silence_suspect_after(request);
 }
 
 void path_place(Router *router, Request *request, Endpoint *decode,
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -108,7 +108,7 @@
                              gint64 now) {
   return router->near < router->instances &&
          now - router->retry.born >= router->retry.window &&
-         !retry_exchange_left(router, request->service->name, now);
+         !retry_exchange_has_extra(router, request->service->name, now);
 }
 
 gboolean prefill_begin(Router *router, Request *request, gint64 now) {
@@ -154,7 +154,7 @@
 gboolean prefill_again(Router *router, Request *request, gint64 now) {
   return request->handle == NULL && request->read_by != NULL &&
          earlier_reader(router, request, now) != NULL &&
-         retry_exchange_take(router, request->service->name, now) &&
+         retry_exchange_try_take(router, request->service->name, now) &&
          prefill_begin(router, request, now);
 }
 
@@ -182,8 +182,8 @@
   if (kind == OUTCOME_UNREACHABLE)
     return TRUE; /* it arrived nowhere */
   if (kind == OUTCOME_NOT_RUN)
-    return retry_exchange_left(router, service, now);
-  return retry_exchange_take(router, service, now);
+    return retry_exchange_has_extra(router, service, now);
+  return retry_exchange_try_take(router, service, now);
 }
 
 static void log_again(Router *router, const Request *request, gboolean again) {
@@ -214,8 +214,8 @@
   if (outcome->kind == OUTCOME_UNREACHABLE)
     router_count(router, UNREACHABLE);
   if (outcome->kind == OUTCOME_NOT_RUN)
-    retry_budget_spend(router_budget(router, request->service->name),
-                       &router->retry, now);
+    retry_budget_count_extra(router_budget(router, request->service->name),
+                             &router->retry, now);
   if (endpoint == NULL)
     return;
   /* one that turns a prompt away may be about to change its stage */
--- a/router/rates.c
+++ b/router/rates.c
@@ -102,8 +102,8 @@
                      const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
-  double asked = retry_budget_others(router_budget(router, service->name),
-                                     &router->retry, now);
+  double asked = retry_budget_others_rate(router_budget(router, service->name),
+                                          &router->retry, now);
   double soon = asked * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
     soon += peer_loads_waiting(peers);
--- a/router/router.c
+++ b/router/router.c
@@ -187,7 +187,7 @@
   request->id = g_strdup(call->id);
   request->table = route_table_ref(table);
   request->route = route;
-  request->repeatable = route_repeatable(route);
+  request->repeatable = route_is_repeatable(route);
   request->prompt_tokens = call->prompt_tokens;
   request->output_tokens = call->output_tokens;
   request->session = call->session;
@@ -255,7 +255,7 @@
     refuse_unrouted(router, call, REFUSAL_DRAINING, now);
     return;
   }
-  route = route_table_find(router->routes, call->host, call->path);
+  route = route_table_find_route(router->routes, call->host, call->path);
   if (route == NULL) {
     refuse_unrouted(router, call, no_route(router, now), now);
     return;
@@ -268,7 +268,7 @@
   service = route_choose_service(route, g_rand_int(router->random));
   request = request_new(call, router->routes, route, account, now);
   accounts_set(request, call, account);
-  request->service = route_table_service(router->routes, service);
+  request->service = route_table_find_service(router->routes, service);
   g_hash_table_insert(router->requests, &request->number, request);
   if (request->service == NULL) {
     finish_refuse(router, request, REFUSAL_NO_ENDPOINT);
@@ -278,7 +278,8 @@
     finish_refuse(router, request, refusal.kind);
     return;
   }
-  retry_budget_request(router_budget(router, service), &router->retry, now);
+  retry_budget_count_request(router_budget(router, service), &router->retry,
+                             now);
   router_log(router, MP_LOG_ROUTE_ACCEPT,
              " request=%s route=%s service=%s prompt=%u output=%u left_ms=%d "
              "objective_ms=%d session=%" G_GINT64_MODIFIER
--- a/router/router.h
+++ b/router/router.h
@@ -195,7 +195,7 @@
   gint64 lease_length;   /* of orders to engines; 0: none are given */
   LimitTolerance limits; /* of client accounts */
   gint64 news_bound;     /* older news say nothing of a route that they lack;
-                         ** 0: at any age (relay_longest_age) */
+                         ** 0: at any age (relay_news_age_max) */
   gint64 unix_offset;    /* Unix time less the steady clock's */
   gint64 revoke_bound;   /* requests with keys run only while the configuration
                          ** was the newest one so lately; 0: at any age */
--- a/router/signals.c
+++ b/router/signals.c
@@ -104,7 +104,7 @@
 ** its start can't be told from a later one */
 static gboolean is_news(const Endpoint *endpoint) {
   return endpoint->availability.leaving_since != 0 && endpoint->record.ready &&
-         endpoint->record.born_unix_ms != 0;
+         endpoint->record.started_unix_ms != 0;
 }
 
 static guint count_news(const Router *router) {
@@ -149,7 +149,7 @@
   guint i;
   for (i = 0; digest->leaving_count > 0 && i < all->len; i++) {
     Endpoint *endpoint = all->pdata[i];
-    if (endpoint->record.born_unix_ms != 0 && names(digest, endpoint->hash))
+    if (endpoint->record.started_unix_ms != 0 && names(digest, endpoint->hash))
       note_leaving(router, endpoint, "instance", now);
   }
 }
--- a/router/stages.c
+++ b/router/stages.c
@@ -294,7 +294,7 @@
 
 static void take_lease(Stages *stages, gint64 now) {
   StoreCall call;
-  if (lease_step(&stages->lease, &call, &stages->record, now))
+  if (lease_begin_call(&stages->lease, &call, &stages->record, now))
     stages->router->host.lease_call(stages->router->host.data, &call);
 }
 
@@ -327,7 +327,7 @@
     average->needed_from = now;
   if (now - average->needed_from < patience(wanted, before))
     return;
-  if (lease_held(&stages->lease, ROUND_MARGIN, now))
+  if (lease_is_held(&stages->lease, ROUND_MARGIN, now))
     begin_round(stages, service, wanted, now);
   else
     take_lease(stages, now);
@@ -411,7 +411,7 @@
                       0};
   if (!may_send(endpoint, DISPATCH_ORDER, now) || report == NULL ||
       report->busy || report->stage == move->to ||
-      !lease_held(&stages->lease, ORDER_MARGIN, now)) {
+      !lease_is_held(&stages->lease, ORDER_MARGIN, now)) {
     log_order(stages, move, MP_LOG_ORDER_FAIL, "not_sent", 0);
     give_up(stages, move, now);
     return;
@@ -425,7 +425,7 @@
 
 /* a newer holder is at work: what is not sent yet is never sent */
 static void stop_all(Stages *stages, gint64 now) {
-  lease_lose(&stages->lease, now);
+  lease_give_up(&stages->lease, now);
   while (stages->moves->len > 0)
     give_up(stages, stages->moves->pdata[0], now);
 }
@@ -475,12 +475,12 @@
 }
 
 void stages_hear_era(Stages *stages, guint64 era, gint64 now) {
-  lease_hear_era(&stages->lease, era, now);
+  lease_observe_era(&stages->lease, era, now);
 }
 
 void stages_lease_reply(Stages *stages, const LeaseReply *reply, gint64 now) {
-  lease_reply(&stages->lease, reply, now);
-  if (lease_held(&stages->lease, 0, now))
+  lease_handle_reply(&stages->lease, reply, now);
+  if (lease_is_held(&stages->lease, 0, now))
     router_log(stages->router, MP_LOG_LEASE_HELD, " fence=%" G_GINT64_FORMAT,
                lease_fence(&stages->lease));
   stages->next_look = now;
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -138,14 +138,14 @@
 m r-silent "BUDGET: silent instances keep their slack" router/retry_budget.c \
   'MIN(heard, 1.0)' '1.0'
 m r-lease "ONE: another's lease is waited for" router/lease.c \
-  'if (!lease->known || now < free_at(lease))' \
+  'if (!lease->known || now < takeover_allowed_at(lease))' \
   'if (!lease->known)'
 m r-lapse "ONE: a lease counts from before the call" router/lease.c \
   'lease->held_until = lease->sent_at' 'lease->held_until = now'
 m r-unheard "ONE: a call without an answer gives nothing" router/lease.c \
   'if (wrote && reply->status == STORE_OK && lease->own)' 'if (lease->own)'
 m r-margin "ONE: nothing is ordered near the lease's end" router/stages.c \
-  '!lease_held(&stages->lease, ORDER_MARGIN, now)' '0'
+  '!lease_is_held(&stages->lease, ORDER_MARGIN, now)' '0'
 m r-fence "ONE: a newer fence stops all orders" router/stages.c \
   'outcome->status == 412)' 'outcome->status == 1412)'
 m r-named "a changing engine gets no work" router/endpoint_table.c \
@@ -192,7 +192,7 @@
 m r-silence "LOST: silence ends nothing without another endpoint" router/outcomes.c \
   '!has_elsewhere(router, request, now) ||' ''
 m r-paid "LOST: a resume is paid before the run is left" router/outcomes.c \
-  '!retry_exchange_take(router, request->service->name, now))
+  '!retry_exchange_try_take(router, request->service->name, now))
     return FALSE;' '0)
     return FALSE;'
 m r-notrun "REFUSED: 503 alone promises nothing" platform/endpoints.c \
@@ -215,14 +215,14 @@
   router/relay_group.c 'before.fresh += is_fresh(group, relay, now);' \
   'before.fresh += is_heard(relay, now);'
 m n-within "relays: their age is bound by what is allowed" \
-  router/relay_group.c 'MAX(bound, WATCH_LEAST + SLOW_ANSWER));' \
-  'bound > 0 ? relay_longest_age(times) : 0);'
+  router/relay_group.c 'MAX(bound, WATCH_LEAST + SLOW_ANSWER_MAX));' \
+  'bound > 0 ? relay_news_age_max(times) : 0);'
 m n-often "relays: they ask the store often enough to stay fresh" \
   router/news_source.c 'relay_group_watch_wait(source->group, call->kind, now));' \
   'call->wait);'
 m n-standin "relays: none is fresh by the one in its place" \
-  router/relay_group.c 'return age_by(group, FALSE, now);' \
-  'return age_by(group, TRUE, now);'
+  router/relay_group.c 'return news_age_from(group, FALSE, now);' \
+  'return news_age_from(group, TRUE, now);'
 m n-whole "relays: they name what there is to who asks from before a list" \
   router/follower.c \
   'is_same || (!is_first &&
@@ -236,9 +236,9 @@
   router/router.c 'router->news->lags_since != 0)' \
   'router->news->lags_since < 0)'
 m n-level "relays: none is fresh by news that it lacks" \
-  router/relay_group.c 'if (!is_level(group, relay))' 'if (FALSE)'
+  router/relay_group.c 'if (!holds_all_news(group, relay))' 'if (FALSE)'
 m n-again "news: a relay that failed is asked again" router/news_source.c \
-  'source->must_ask = FALSE; /* a relay that failed' '/* a relay that failed'
+  'source->must_ask_store = FALSE; /* a relay that failed' '/* a relay that failed'
 m n-silent "news: no call is given up while its answer arrives" \
   router/news_source.c 'MAX(source->behind_since, source->progress_at) +' \
   'source->behind_since +'
@@ -268,7 +268,7 @@
 m n-pack "news: long answers are compressed" io/news_codec.c \
   'size > SHORT_ANSWER ?' 'FALSE ?'
 m p-lost "prefill: an arrival after a lost prompt is paid for" \
-  router/prefill.c 'return retry_exchange_take(router, service, now);
+  router/prefill.c 'return retry_exchange_try_take(router, service, now);
 }
 
 static void log_again' 'return TRUE;
@@ -280,17 +280,17 @@
   'if (0) {'
 m p-turned "prefill: one that was turned away goes on within the budget" \
   router/prefill.c 'if (kind == OUTCOME_NOT_RUN)
-    return retry_exchange_left(router, service, now);' \
+    return retry_exchange_has_extra(router, service, now);' \
   'if (kind == OUTCOME_NOT_RUN)
     return TRUE;'
 m n-step "relays: members take over one by one in an outage" \
-  router/relay_group.c 'if (relay_group_before(group, now).heard >= wanted)
+  router/relay_group.c 'if (relay_group_relays_before(group, now).heard >= wanted)
     return wait;' ''
 m n-behind "relays: one that lost the store unknowingly asks another" \
-  router/news_source.c '#define BEHIND_MOST (300 * MP_MS)' \
-  '#define BEHIND_MOST (60 * MP_SEC)'
+  router/news_source.c '#define STORE_SILENCE_MAX (300 * MP_MS)' \
+  '#define STORE_SILENCE_MAX (60 * MP_SEC)'
 m n-most "relays: all take over within a second when none is heard" \
-  router/relay_group.c 'return MIN(wait, TAKE_OVER_MOST);' \
+  router/relay_group.c 'return MIN(wait, TAKEOVER_WAIT_MAX);' \
   'return 10 * wait;'
 m n-back "news: what an older list names does not come back" \
   router/follower.c \
@@ -318,7 +318,7 @@
 m s-late "late loads keep requests at home" router/endpoint_table.c \
   'return COST_OTHER_ZONE_LATE;' 'return COST_OTHER_ZONE_ENGINE;'
 m a-door "accounts: an unknown key is refused" router/accounts.c \
-  'account = route_table_account(router->routes, digest);' \
+  'account = route_table_find_account(router->routes, digest);' \
   'account = router->routes->accounts->pdata[0];'
 m a-two "accounts: two keys are none" router/accounts.c 'if (call->keys == 1)' \
   'if (call->keys >= 1)'
@@ -335,7 +335,7 @@
   'at = (gint64)beat->sent_us + clock->behind -' 'at = now -'
 m p-known "proof: changes that are not known prove nothing" \
   router/config_proof.c \
-  '!knows_all_of(proof, beat->changed[STORE_CONFIGURATION]))' 'FALSE)'
+  '!knows_changes_up_to(proof, beat->changed[STORE_CONFIGURATION]))' 'FALSE)'
 m p-stale "proof: an answer counts from its question" router/news_source.c \
   'gint64 at = source->asked_at;' 'gint64 at = now;'
 m l-cut "limits: scaled by the share heard" router/shared_totals.c \
@@ -348,13 +348,13 @@
 m l-small "limits: small requests pass first" router/account_limits.c \
   'if (cost <= SMALL_SHARE * limit->burst)' 'if (FALSE)'
 m k-large "relays: the largest machines" router/relay_group.c \
-  'guint64 rank = CAPACITY_MOST - MIN(capacity, CAPACITY_MOST);' \
+  'guint64 rank = CAPACITY_MAX - MIN(capacity, CAPACITY_MAX);' \
   'guint64 rank = 0; (void)capacity;'
 m g-peak "stages: prompts that stop coming move nothing" router/stages.c \
   'use->prefill_busy = average->prefill_peak;' \
   'use->prefill_busy = average->prefill_busy;'
 m d-hang "a plain endpoint that hangs is in doubt" router/path.c \
-  'request->suspect_at = now + silence_suspect(request);' ''
+  'request->suspect_at = now + silence_suspect_after(request);' ''
 m q-refused "crash: a connection that stands proves no end" \
   router/crash_watch.c 'if (outcome->kind == OUTCOME_UNREACHABLE &&' 'if ('
 m q-silent "crash: silence proves no end" router/crash_watch.c \
@@ -391,7 +391,7 @@
 m v-early "lives: an earlier one changes nothing" router/endpoint_table.c \
   'return ENDPOINT_OUTDATED;' 'return ENDPOINT_SAME;'
 m v-hash "lives: told apart in digests" router/endpoint_table.c \
-  'seed = (guint64)record->born_unix_ms;' 'seed = 0;'
+  'seed = (guint64)record->started_unix_ms;' 'seed = 0;'
 m v-loads "lives: loads of an earlier one are not the later's" router/path.c \
   'return endpoint_table_get_life(router->endpoints, open->endpoint,
                                  open->life);' \
@@ -399,7 +399,7 @@
 m i-item "store: an object that can't be read is known by its name" \
   platform/store.c 'is_whole ? read_content(span) : g_strdup("");' \
   'is_whole ? read_content(span) : g_strdup("");
-    if (object.text != NULL && object.text[0] == 0) { out->nameless++; return; }'
+    if (object.text != NULL && object.text[0] == 0) { out->unreadable_names++; return; }'
 m i-stage "store: an unknown stage is none" platform/records.c \
   'else
     return FALSE;
@@ -515,14 +515,14 @@
   '  return json_span_ends(items);' \
   '  return TRUE;'
 m b-hides "lists: bytes that may hide an object are told" platform/store.c \
-  'out->partial = list.hides || out->nameless > 0;' \
+  'out->partial = list.hides || out->unreadable_names > 0;' \
   'out->partial = FALSE;'
 m b-partial "lists: one that may hide objects removes none" router/follower.c \
   'follower->partial |= reply->partial;' \
   ''
 m b-again "lists: such a one is read again" router/follower.c \
-  'follower->list_at = now + PARTIAL_AGAIN;' \
-  'follower->list_at = 0;'
+  'follower->relist_at = now + PARTIAL_AGAIN;' \
+  'follower->relist_at = 0;'
 m b-watch 'watches: one that can'"'"'t be cut has the list read' platform/store.c \
   '    out->status = STORE_HISTORY_GONE;
     return TRUE;' \
--- a/test/crash_fleet.cc
+++ b/test/crash_fleet.cc
@@ -44,7 +44,7 @@
 }
 
 void Fleet::list(World &world, const Engine &engine, bool gone) {
-  world.born_unix_ms = engine.born;
+  world.started_unix_ms = engine.born;
   world.endpoint({engine.id.c_str(), "llm", "a",
                   engine.is_prefill ? STAGE_PREFILL : STAGE_DECODE},
                  true, gone);
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -69,7 +69,7 @@
   one.world->now = now;
   one.world->max_connections = options.max_connections;
   one.world->configure();
-  one.world->born_unix_ms = 1000;
+  one.world->started_unix_ms = 1000;
   for (const Plain &endpoint : endpoints)
     one.world->endpoint(
         {endpoint.id.c_str(), "app", endpoint.zone.c_str(), STAGE_NONE});
--- a/test/router_world.cc
+++ b/test/router_world.cc
@@ -148,7 +148,7 @@
   llm->name = g_strdup("llm");
   llm->is_engine = TRUE;
   llm->kv_tokens = 10000;
-  llm->event_tokens = 10;
+  llm->tokens_per_event = 10;
   llm->handle_life = 500 * ms;
   llm->switch_time = 6 * second;
   table->version = version;
@@ -182,7 +182,7 @@
   record.address = mp_addr_parse("10.0.0.1:80");
   record.ready = ready;
   record.stage = place.stage;
-  record.born_unix_ms = born_unix_ms;
+  record.started_unix_ms = started_unix_ms;
   record.position = store_position(era, revision);
   router_set_endpoint(router, &record, gone, now);
 }
--- a/test/router_world.h
+++ b/test/router_world.h
@@ -95,10 +95,10 @@
 };
 
 /* the hash of an endpoint's life; 0: it began at a time that is not known */
-inline guint32 life_of(const char *id, gint64 born_unix_ms = 0) {
+inline guint32 life_of(const char *id, gint64 started_unix_ms = 0) {
   EndpointRecord record = {};
   record.id = const_cast<char *>(id);
-  record.born_unix_ms = born_unix_ms;
+  record.started_unix_ms = started_unix_ms;
   return endpoint_life_hash(&record);
 }
 
@@ -159,7 +159,7 @@
   /* digest of what callers ask for; 0: each asks for something else */
   guint64 content = 0;
   /* start of the life that the next record of an endpoint tells, Unix ms */
-  gint64 born_unix_ms = 0;
+  gint64 started_unix_ms = 0;
   /* that the next record of an endpoint has in the store */
   gint64 revision = 0;
   guint64 era = 0; /* of the store */
--- a/test/test_accounts.cc
+++ b/test/test_accounts.cc
@@ -52,10 +52,10 @@
 TEST_F(Accounts, AnInstanceThatLacksAChangeDoesNotSayThatAKeyIsUnknown) {
   NewsState news = {};
   router_set_news(world.router, &news);
-  news_state_name(&news, store_position(0, 101), world.now);
+  news_state_advance_newest(&news, store_position(0, 101), world.now);
   world.key = "key-4";
   EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_OLD_CONFIGURATION);
-  news_state_hold(&news, store_position(0, 101), world.now);
+  news_state_advance_held(&news, store_position(0, 101), world.now);
   EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
 }
 
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -97,7 +97,7 @@
   World world;
 
   void SetUp() override {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
   }
   /* the endpoint of this dispatch turns it away, and asks for rest */
@@ -110,7 +110,7 @@
     EndpointRecord record = {};
     EndpointSignals said = routing::signals_rest(time);
     record.id = const_cast<char *>(id);
-    record.born_unix_ms = world.born_unix_ms;
+    record.started_unix_ms = world.started_unix_ms;
     router_endpoint_signals(world.router, id, endpoint_life_hash(&record),
                             &said, world.now);
   }
@@ -192,7 +192,7 @@
 
 TEST_F(RestWorld, ALaterLifeHasNone) {
   ask("app-1", 30 * second);
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
   EXPECT_GT(plain_at("app-1", 5), 0u);
 }
@@ -214,7 +214,7 @@
   ASSERT_EQ(digest.n, 1u);
   EXPECT_EQ(digest.row[0].failing, 100u);
   World other;
-  other.born_unix_ms = 1000;
+  other.started_unix_ms = 1000;
   other.populate();
   router_set_instances(other.router, 2, 2);
   router_peer_load(other.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -84,7 +84,7 @@
 class History {
 public:
   History() : world(100, 10.0, 3 * second) {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
   }
   /* what was sent though it was forbidden; empty: nothing */
@@ -103,11 +103,11 @@
   guint32 life_of(unsigned i, gint64 born) const {
     EndpointRecord record = {};
     record.id = const_cast<char *>(place[i].id);
-    record.born_unix_ms = born;
+    record.started_unix_ms = born;
     return endpoint_life_hash(&record);
   }
   void record(unsigned i, gint64 revision) {
-    world.born_unix_ms = words[i].born;
+    world.started_unix_ms = words[i].born;
     world.revision = revision;
     world.endpoint(place[i], words[i].ready);
   }
--- a/test/test_held.cc
+++ b/test/test_held.cc
@@ -94,7 +94,7 @@
     for (const Sent &check : checks)
       world.outcome(check.number, OUTCOME_UNREACHABLE);
     world.advance(5 * second);
-    world.born_unix_ms += 1000;
+    world.started_unix_ms += 1000;
     world.endpoint({"app-1", "app", "a", STAGE_NONE});
     world.endpoint({"app-2", "app", "b", STAGE_NONE});
   }
--- a/test/test_life_hash.cc
+++ b/test/test_life_hash.cc
@@ -22,7 +22,7 @@
     for (gint64 born = 0; born < 64; born++, lives++) {
       EndpointRecord record = {};
       record.id = id.data();
-      record.born_unix_ms = 1780000000000 + born;
+      record.started_unix_ms = 1780000000000 + born;
       seen.insert(endpoint_life_hash(&record));
     }
   }
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -276,11 +276,11 @@
 }
 
 TEST_F(RateWorld, ALaterLifeHasNone) {
-  world.born_unix_ms = 1000;
+  world.started_unix_ms = 1000;
   world.populate();
   std::string limited = served("/safe/x", 1);
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({limited.c_str(), "app", "a", STAGE_NONE});
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
 }
--- a/test/test_router.cc
+++ b/test/test_router.cc
@@ -134,12 +134,12 @@
 TEST_F(Routed, AnInstanceThatLacksAChangeDoesNotSayThatThereIsNoRoute) {
   NewsState news = {};
   router_set_news(world.router, &news);
-  news_state_hold(&news, store_position(0, 100), world.now);
-  news_state_name(&news, store_position(0, 101), world.now);
+  news_state_advance_held(&news, store_position(0, 100), world.now);
+  news_state_advance_newest(&news, store_position(0, 101), world.now);
   guint64 request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OLD_CONFIGURATION);
   EXPECT_GT(world.end(request).retry_after_ms, 0);
-  news_state_hold(&news, store_position(0, 101), world.now);
+  news_state_advance_held(&news, store_position(0, 101), world.now);
   request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
 }
--- a/test/test_suspicions.cc
+++ b/test/test_suspicions.cc
@@ -22,7 +22,7 @@
   std::vector<Sent> broken;
 
   void SetUp() override {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
     for (const char *id : {"app-3", "app-4", "app-5"})
       world.endpoint({id, "app", "a", STAGE_NONE});
