--- a/router/config_proof.c
+++ b/router/config_proof.c
@@ -1,15 +1,16 @@
 /*
 ** config_proof.c
-** Since when the configuration known here may be out of date
+** Upper bound of the age of the configuration known here
 */
 
 #include "router/config_proof.h"
 #include "router/follower.h"
 
-/* what is known of a relay's clock */
+/* What is known of a relay's clock. */
 typedef struct RelayClock {
-  gint64 behind;  /* this clock less the relay's, at the least */
-  gint64 bounded; /* when that was found out */
+  /* Lower bound of this clock's time less the relay's, us. */
+  gint64 offset_min;
+  gint64 bounded_at; /* Time at which the bound was found. */
 } RelayClock;
 
 void config_proof_init(ConfigProof *proof) {
@@ -31,15 +32,20 @@
   proof->known = store_position_later(proof->known, position);
 }
 
-/* of the same era alone: what the relay's store had lost, or has lost since,
-** is not told by a revision */
+/*
+** Positions count within one era only: a revision doesn't tell what the
+** relay's store had lost in a restore, or has lost since.
+*/
 static gboolean knows_changes_up_to(const ConfigProof *proof,
                                     StorePosition changed) {
   return changed.era == proof->known.era &&
          !store_position_is_before(proof->known, changed);
 }
 
-/* the relay's clock showed 'sent_us' after the question had been sent */
+/*
+** The relay's clock showed 'sent_us' after the request had been sent at
+** 'asked_us' of this clock, so the difference bounds the offset from below.
+*/
 static void bound_clock(ConfigProof *proof, mp_Addr relay,
                         const mp_RelayBeat *beat, gint64 now) {
   RelayClock *clock = g_hash_table_lookup(proof->clocks, &relay);
@@ -47,8 +53,8 @@
     clock = g_new0(RelayClock, 1);
     g_hash_table_insert(proof->clocks, g_memdup2(&relay, sizeof relay), clock);
   }
-  clock->behind = (gint64)beat->asked_us - (gint64)beat->sent_us;
-  clock->bounded = now;
+  clock->offset_min = (gint64)beat->asked_us - (gint64)beat->sent_us;
+  clock->bounded_at = now;
 }
 
 void config_proof_apply_heartbeat(ConfigProof *proof, mp_Addr relay,
@@ -61,19 +67,19 @@
   if (clock == NULL || beat->proof_ms == CONFIG_PROOF_NONE ||
       !knows_changes_up_to(proof, beat->changed[STORE_CONFIGURATION]))
     return;
-  at = (gint64)beat->sent_us + clock->behind - beat->proof_ms * MP_MS;
+  at = (gint64)beat->sent_us + clock->offset_min - beat->proof_ms * MP_MS;
   proof->at = MAX(proof->at, MIN(at, now));
 }
 
 gboolean config_proof_must_bound_clock(const ConfigProof *proof, mp_Addr relay,
                                        gint64 now) {
   const RelayClock *clock = g_hash_table_lookup(proof->clocks, &relay);
-  return clock == NULL || now - clock->bounded > CONFIG_PROOF_CLOCK_AGE_MAX;
+  return clock == NULL || now - clock->bounded_at > CONFIG_PROOF_CLOCK_AGE_MAX;
 }
 
 guint32 config_proof_age_ms(const ConfigProof *proof, gint64 now) {
   if (proof->at == 0)
     return CONFIG_PROOF_NONE;
-  /* rounded up, so that nobody is told a later moment */
+  /* Rounded up, so that no instance is told a later time than the true one. */
   return (guint32)MIN((now - proof->at) / MP_MS + 1, CONFIG_PROOF_NONE - 1);
 }
--- a/router/config_proof.h
+++ b/router/config_proof.h
@@ -1,19 +1,22 @@
 /*
 ** config_proof.h
-** Since when the configuration known here may be out of date
+** Upper bound of the age of the configuration known here
 **
-** A key that was taken away must not be served for long, also by an instance
-** that is cut off and hears nothing. So each instance knows a moment of its
-** own steady clock at which its configuration was certainly the newest one:
-** when it asked the store and the answer had nothing newer; or, told by a
-** relay, a moment of the relay's clock that is carried over to its own.
+** A client key that was revoked must not be accepted for long, even by an
+** instance that is cut off from the network and hears nothing. So each
+** instance keeps a time, on its own steady clock, at which its configuration
+** was certainly the newest one, the proof. It is either the time at which it
+** asked the store and was told nothing newer, or a time on a relay's clock,
+** told by that relay (relay_group.h) and converted to its own clock.
 **
-** A heartbeat may have waited in a queue for seconds, or this instance may
-** have been stopped since it came, so the time of its arrival proves nothing.
-** The difference of the two clocks is bounded by a question and its answer:
-** the relay's clock showed what the answer says after the question was sent.
-** Invariants: the moment is never later than the true one, and a relay proves
-** nothing to an instance that knows another era of the store than it does.
+** The arrival of a heartbeat proves nothing, because it may have waited in a
+** queue for seconds, or this instance may have been stopped since it came. The
+** offset between the two clocks is bounded by a request and its answer
+** instead: the relay's clock showed the time in the answer after the request
+** had been sent.
+**
+** Invariants: the time kept is never later than the true one. A relay proves
+** nothing to an instance that knows another era of the store than the relay.
 */
 
 #ifndef ROUTER_CONFIG_PROOF_H
@@ -21,33 +24,48 @@
 
 #include "router/store_position.h"
 
-/* proof_ms of a heartbeat whose sender has no proof */
+/* proof_ms in a heartbeat whose sender has no proof. */
 #define CONFIG_PROOF_NONE G_MAXUINT32
-/* a relay's clock is bounded anew after this, so that a drift of 100 us a
-** second between two clocks makes 1 ms at most */
+/*
+** The offset to a relay's clock is bounded anew when it is older than this,
+** us: clocks that drift apart by 100 us a second differ by 1 ms at most by
+** then.
+*/
 #define CONFIG_PROOF_CLOCK_AGE_MAX (10 * MP_SEC)
 
 typedef struct ConfigProof {
-  gint64 at;           /* it was the newest then; 0: never known */
-  StorePosition known; /* changes up to there are known here */
-  GHashTable *clocks;  /* relay's address -> RelayClock */
+  /* Time in us at which the configuration was the newest one; 0: unknown. */
+  gint64 at;
+  /* Changes of the configuration up to this position are known here. */
+  StorePosition known;
+  GHashTable *clocks; /* address of a relay -> RelayClock */
 } ConfigProof;
 
+/* 'proof' is the caller's; config_proof_clear frees what it holds. */
 void config_proof_init(ConfigProof *proof);
 void config_proof_clear(ConfigProof *proof);
 
-/* the store has answered that there was nothing newer at that moment */
+/* Records that the store had nothing newer at the time 'at'. */
 void config_proof_confirm_by_store(ConfigProof *proof, gint64 at);
-/* changes up to there are known */
+/* Records that changes up to this position are known here. */
 void config_proof_advance_known(ConfigProof *proof, StorePosition position);
-/* a relay's heartbeat; counts when this instance knows the changes it names */
+/*
+** Handles a relay's heartbeat. It counts only when this instance knows the
+** changes that it names.
+*/
 void config_proof_apply_heartbeat(ConfigProof *proof, mp_Addr relay,
                                   const mp_RelayBeat *beat, gint64 now);
-/* should this relay be asked, so that its clock is bounded? */
+/*
+** Returns TRUE when the relay should be sent a request so that the offset to
+** its clock can be bounded.
+*/
 gboolean config_proof_must_bound_clock(const ConfigProof *proof, mp_Addr relay,
                                        gint64 now);
 
-/* since the configuration was the newest; milliseconds, CONFIG_PROOF_NONE */
+/*
+** Returns the milliseconds since the configuration was certainly the newest
+** one, rounded up, or CONFIG_PROOF_NONE.
+*/
 guint32 config_proof_age_ms(const ConfigProof *proof, gint64 now);
 
 #endif
--- a/router/follower.c
+++ b/router/follower.c
@@ -1,6 +1,6 @@
 /*
 ** follower.c
-** Following one kind of object of the store
+** Replicates one kind of the store's objects: list, then watch
 */
 
 #include <string.h>
@@ -11,32 +11,45 @@
 #include "router/follower.h"
 #include "router/text_patch.h"
 
-/* waits after failures in a row: doubled from the first to the most; changes
-** are heard within this after the store is back */
-#define RETRY_FIRST (100 * MP_MS)
-#define RETRY_MOST (800 * MP_MS)
-#define RETRY_DOUBLED 6 /* times at most */
-/* the store may still be silent: no long wait until it has answered */
-#define WAIT_AFTER_FAILURE (300 * MP_MS)
-/* a list that may hide objects is read again after this: what went before it
-** is known to have gone then, if the list is whole; one call in 5 s for each
-** instance that follows the store is a hundredth of what a small store takes
+/*
+** Waits after failures in a row: doubled from the first one up to the longest.
+** Changes are received within the longest wait after the store is back.
+*/
+#define RETRY_WAIT_FIRST (100 * MP_MS)
+#define RETRY_WAIT_MAX (800 * MP_MS)
+#define RETRY_DOUBLINGS_MAX 6 /* 6.4 s, beyond each longest wait */
+/* The store may still be silent: no long watch until it has answered. */
+#define WATCH_WAIT_AFTER_FAILURE (300 * MP_MS)
+/*
+** A partial list is read again after this. What was removed before it is known
+** to be gone then, if that list is complete. One call in 5 s for each instance
+** that follows the store is a hundredth of the load that a small store takes.
+*/
+#define PARTIAL_RELIST_DELAY (5 * MP_SEC)
+/*
+** The first list of an era is read again after this, and that one counts as it
+** stands: endpoints that are alive have registered again within 2 s of the
+** store's return.
+*/
+#define RECONCILE_DELAY (2500 * MP_MS)
+/*
+** What is known from a list that may be stale is listed again after this:
+** instances that start together have found their relays by then.
+*/
+#define STALE_RELIST_DELAY (1 * MP_SEC)
+/*
+** Largest number of tombstones that are kept for other instances, inclusive:
+** ten times the endpoints of the largest deployment planned for
+** (docs/CAPACITY.md).
 */
-#define PARTIAL_AGAIN (5 * MP_SEC)
-/* the first list of an era is read again after this, and counts then as it
-** stands: endpoints that live have entered themselves anew within 2 s of the
-** store's return */
-#define RECONCILE_AFTER (2500 * MP_MS)
-/* what is known by a list that may be old is listed again after this:
-** instances that start together have found their relays by then */
-#define VERIFY_AFTER (1 * MP_SEC)
-/* objects that are gone and still told to others: ten times the endpoints
-** of the largest deployment planned for (docs/CAPACITY.md) */
-#define GONE_MOST 8000
-/* shorter texts travel whole, bytes: an endpoint's has some 300 */
-#define SHORT_TEXT (4 << 10)
-
-static void object_clear(gpointer p) {
+#define TOMBSTONES_MAX 8000
+/*
+** Texts shorter than this, in bytes, travel whole; an endpoint's text has
+** about 300 bytes.
+*/
+#define HISTORY_TEXT_MIN (4 << 10)
+
+static void clear_object(gpointer p) {
   StoreObject *object = p;
   g_free(object->name);
   g_free(object->text);
@@ -59,7 +72,7 @@
 
 GArray *store_objects_new(void) {
   GArray *objects = g_array_new(FALSE, TRUE, sizeof(StoreObject));
-  g_array_set_clear_func(objects, object_clear);
+  g_array_set_clear_func(objects, clear_object);
   return objects;
 }
 
@@ -77,7 +90,7 @@
   follower->host = *host;
   follower->watch_wait = watch_wait;
   follower->pause = pause;
-  follower->retry_wait_max = RETRY_MOST;
+  follower->retry_wait_max = RETRY_WAIT_MAX;
   follower->names =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   follower->objects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -91,13 +104,17 @@
 }
 
 gint64 follower_next_call_time(const Follower *follower) {
-  return follower->open || follower->taking ? G_MAXINT64 : follower->retry_at;
+  return follower->open || follower->is_handling_reply ? G_MAXINT64
+                                                       : follower->retry_at;
 }
 
-static void list_again(Follower *follower);
+static void begin_relist(Follower *follower);
 
-/* of the names, positions and texts of all objects that there are; 0: none */
-static guint64 digest_of(const Follower *follower) {
+/*
+** Returns a digest of the names, positions and texts of all objects that
+** exist; 0: there are none.
+*/
+static guint64 content_digest(const Follower *follower) {
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -110,7 +127,7 @@
                           (guint64)object->position.revision};
     if (object->text == NULL)
       continue;
-    /* a sum: the order in a table is no property of what it holds */
+    /* A sum doesn't depend on the order of the hash table. */
     digest +=
         XXH3_64bits_withSeed(message, sizeof message,
                              XXH3_64bits(object->text, strlen(object->text)));
@@ -119,9 +136,9 @@
 }
 
 void follower_check_relist(Follower *follower, gint64 now) {
-  if (!follower->open && !follower->taking && follower->relist_at != 0 &&
-      follower->relist_at <= now)
-    list_again(follower);
+  if (!follower->open && !follower->is_handling_reply &&
+      follower->relist_at != 0 && follower->relist_at <= now)
+    begin_relist(follower);
 }
 
 void follower_begin_call(Follower *follower, gboolean by_instance,
@@ -131,31 +148,34 @@
   follower->by_instance = by_instance;
   follower->open_list_is_stale = FALSE;
   follower->listing =
-      !follower->watching || (follower->lapsed && !by_instance);
+      !follower->watching || (follower->must_list_store && !by_instance);
   call->kind = follower->kind;
   call->in_full = follower->in_full;
   if (!follower->listing) {
     call->operation = STORE_WATCH;
     call->position = follower->position;
-    /* one that fails again soon is found out soon */
+    /* If the store is lost again, a short watch finds out soon. */
     call->wait = follower->failures > 0
-                     ? MIN(follower->watch_wait, WAIT_AFTER_FAILURE)
+                     ? MIN(follower->watch_wait, WATCH_WAIT_AFTER_FAILURE)
                      : follower->watch_wait;
   } else {
     call->operation = STORE_LIST;
     call->after = follower->after;
     if (by_instance)
-      call->digest = digest_of(follower);
+      call->digest = content_digest(follower);
   }
 }
 
 /*
-** An older position than one that was seen does not take effect. An object
-** that is known to be gone is back when an answer as new as that says so,
-** also under its old position.
+** Returns TRUE when an object in a reply is newer than what is known of it.
+** 'at' is the store's position in that reply. An object that is known to be
+** gone exists again when a reply as new as its removal says so, even at its
+** old position. What was known from a stale list is replaced by anything that
+** differs.
 */
-static gboolean is_news(const Follower *follower, const FollowedObject *known,
-                        const StoreObject *object, StorePosition at) {
+static gboolean is_newer_state(const Follower *follower,
+                               const FollowedObject *known,
+                               const StoreObject *object, StorePosition at) {
   if (known == NULL)
     return TRUE;
   if (object->gone)
@@ -164,26 +184,26 @@
     return store_position_compare(known->position, object->position) != 0 ||
            g_strcmp0(known->text, object->text) != 0;
   if (known->text == NULL)
-    return !store_position_is_before(at, known->learned) ||
+    return !store_position_is_before(at, known->changed_by) ||
            store_position_is_before(known->position, object->position);
   return store_position_is_before(known->position, object->position);
 }
 
-static void forget_gone(Follower *follower) {
+static void drop_tombstones(Follower *follower) {
   GHashTableIter iterator;
   gpointer value;
-  if (follower->gone <= GONE_MOST)
+  if (follower->tombstone_count <= TOMBSTONES_MAX)
     return;
   g_hash_table_iter_init(&iterator, follower->objects);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const FollowedObject *object = value;
     if (object->text != NULL)
       continue;
-    follower->forgotten =
-        store_position_later(follower->forgotten, object->learned);
+    follower->removals_unknown_to = store_position_later(
+        follower->removals_unknown_to, object->changed_by);
     g_hash_table_iter_remove(&iterator);
   }
-  follower->gone = 0;
+  follower->tombstone_count = 0;
 }
 
 static void add_changes(TextHistory *history, const GArray *changes) {
@@ -194,18 +214,21 @@
   }
 }
 
-static void add_difference(const FollowedObject *known,
-                           const StoreObject *object) {
+static void add_own_patch(const FollowedObject *known,
+                          const StoreObject *object) {
   GBytes *patch = text_patch_new(known->text, object->text);
   text_history_add(known->history, known->position, object->position, patch);
   g_bytes_unref(patch);
 }
 
-/* keep what changed, for others */
-static void keep_history(FollowedObject *known, const StoreObject *object) {
+/*
+** Keeps the patch that leads to the new text, for other instances. A short
+** text has no history, and a history doesn't span two eras.
+*/
+static void update_history(FollowedObject *known, const StoreObject *object) {
   if (object->gone || known->text == NULL ||
       known->position.era != object->position.era ||
-      strlen(object->text) < SHORT_TEXT) {
+      strlen(object->text) < HISTORY_TEXT_MIN) {
     text_history_free(known->history);
     known->history = NULL;
     return;
@@ -215,59 +238,70 @@
   if (object->changes != NULL)
     add_changes(known->history, object->changes);
   else if (store_position_is_before(known->position, object->position))
-    add_difference(known, object);
+    add_own_patch(known, object);
 }
 
-/* it changed after all that is known: nobody can know more and lack it. A list
-** names no position of what it removes */
-static gboolean is_new(const Follower *follower, const StoreObject *told) {
-  return !follower->listing && !told->gone &&
-         store_position_is_before(follower->known, told->position);
+/*
+** Returns TRUE when the object changed after all that is known, so that its
+** position is exactly the one of the change: no instance can know more and
+** lack it. A list names no position for what it removes.
+*/
+static gboolean is_newest_change(const Follower *follower,
+                                 const StoreObject *update) {
+  return !follower->listing && !update->gone &&
+         store_position_is_before(follower->known, update->position);
 }
 
-/* others are told that there is news; not by a list that may be old */
-static void name_change(Follower *follower, StorePosition at) {
+/*
+** Tells other instances that there is a change, unless the list may be stale.
+*/
+static void announce_change(Follower *follower, StorePosition at) {
   if (!follower->open_list_is_stale)
     follower->changed = store_position_later(follower->changed, at);
 }
 
-/* 'at' is the store's position in that answer */
-static void keep_object(Follower *follower, const StoreObject *told,
-                        StorePosition at) {
-  const char *text = told->gone ? NULL : told->text;
-  FollowedObject *object = g_hash_table_lookup(follower->objects, told->name);
+/* 'at' is the store's position in that reply. */
+static void store_object(Follower *follower, const StoreObject *update,
+                         StorePosition at) {
+  const char *text = update->gone ? NULL : update->text;
+  FollowedObject *object =
+      g_hash_table_lookup(follower->objects, update->name);
   if (object == NULL) {
     object = g_new0(FollowedObject, 1);
-    g_hash_table_insert(follower->objects, g_strdup(told->name), object);
+    g_hash_table_insert(follower->objects, g_strdup(update->name), object);
   } else
-    follower->gone -= object->text == NULL;
-  keep_history(object, told);
+    follower->tombstone_count -= object->text == NULL;
+  update_history(object, update);
   object->position =
       follower->from_stale_list
-          ? told->position
-          : store_position_later(object->position, told->position);
-  object->learned = is_new(follower, told)
-                        ? told->position
-                        : store_position_later(at, object->position);
+          ? update->position
+          : store_position_later(object->position, update->position);
+  object->changed_by = is_newest_change(follower, update)
+                           ? update->position
+                           : store_position_later(at, object->position);
   g_free(object->text);
   object->text = g_strdup(text);
-  follower->gone += text == NULL;
-  name_change(follower, object->learned);
-  forget_gone(follower);
+  follower->tombstone_count += text == NULL;
+  announce_change(follower, object->changed_by);
+  drop_tombstones(follower);
 }
 
-static void take_object(Follower *follower, const StoreObject *object,
-                        StorePosition at) {
+static void apply_object(Follower *follower, const StoreObject *object,
+                         StorePosition at) {
   const FollowedObject *known =
       g_hash_table_lookup(follower->objects, object->name);
-  if (!is_news(follower, known, object, at))
+  if (!is_newer_state(follower, known, object, at))
     return;
-  keep_object(follower, object, at);
+  store_object(follower, object, at);
   follower->host.object(follower->host.data, follower->kind, object);
 }
 
-/* the text that the changes make of the one known; FALSE: they do not fit */
-static gboolean resolve(const Follower *follower, StoreObject *object) {
+/*
+** Sets the text that the patches produce from the known one. FALSE: they don't
+** fit it.
+*/
+static gboolean resolve_changes(const Follower *follower,
+                                StoreObject *object) {
   const FollowedObject *known =
       g_hash_table_lookup(follower->objects, object->name);
   if (known == NULL || known->text == NULL || object->changes->len == 0 ||
@@ -279,30 +313,32 @@
   return object->text != NULL;
 }
 
-static gboolean resolve_all(const Follower *follower,
-                            const StoreReply *reply) {
+static gboolean resolve_all_changes(const Follower *follower,
+                                    const StoreReply *reply) {
   guint i;
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++) {
     StoreObject *object = &g_array_index(reply->objects, StoreObject, i);
-    if (object->changes != NULL && !resolve(follower, object))
+    if (object->changes != NULL && !resolve_changes(follower, object))
       return FALSE;
   }
   return TRUE;
 }
 
-static void take_objects(Follower *follower, const StoreReply *reply) {
+static void apply_objects(Follower *follower, const StoreReply *reply) {
   guint i;
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++) {
     const StoreObject *object = &g_array_index(reply->objects, StoreObject, i);
     if ((follower->listing || reply->whole) && !object->gone)
       g_hash_table_add(follower->names, g_strdup(object->name));
     if (object->gone || object->text != NULL)
-      take_object(follower, object, reply->at);
+      apply_object(follower, object, reply->at);
   }
 }
 
-/* all objects are named: the others are gone, at the store's position 'at' */
-static void keep_listed(Follower *follower, StorePosition at) {
+/*
+** Marks as gone, at the store's position 'at', all objects that 'names' lacks.
+*/
+static void remove_unlisted(Follower *follower, StorePosition at) {
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -312,48 +348,53 @@
     if (object->text == NULL || g_hash_table_contains(follower->names, name))
       continue;
     g_clear_pointer(&object->text, g_free);
-    object->learned = store_position_later(at, object->position);
-    name_change(follower, object->learned);
-    follower->gone++;
+    object->changed_by = store_position_later(at, object->position);
+    announce_change(follower, object->changed_by);
+    follower->tombstone_count++;
   }
-  forget_gone(follower);
+  drop_tombstones(follower);
 }
 
-/* 'names' holds all objects there are */
-static void take_names(Follower *follower, StorePosition at) {
-  follower->forgotten = store_position_later(follower->forgotten, at);
-  keep_listed(follower, at);
+/* 'names' holds all objects that exist at the store's position 'at'. */
+static void apply_complete_names(Follower *follower, StorePosition at) {
+  follower->removals_unknown_to =
+      store_position_later(follower->removals_unknown_to, at);
+  remove_unlisted(follower, at);
   follower->host.listed(follower->host.data, follower->kind, follower->names);
   g_hash_table_remove_all(follower->names);
 }
 
-static void end_list(Follower *follower, const StoreReply *reply, gint64 now) {
-  /* changes made while the pages are read are watched from the first */
+static void finish_list(Follower *follower, const StoreReply *reply,
+                        gint64 now) {
+  /*
+  ** Changes made while the pages were read are watched from the first page on.
+  */
   follower->position = follower->listed;
   if (follower->partial) {
     g_hash_table_remove_all(follower->names);
-    follower->relist_at = now + PARTIAL_AGAIN;
+    follower->relist_at = now + PARTIAL_RELIST_DELAY;
   } else if (follower->reconciling) {
     g_hash_table_remove_all(follower->names);
-    follower->relist_at = now + RECONCILE_AFTER;
-    /* an era in which nothing has changed is news, too */
+    follower->relist_at = now + RECONCILE_DELAY;
+    /* A new era must be announced even if nothing changed in it. */
     follower->changed =
         store_position_later(follower->changed, follower->position);
   } else
-    take_names(follower, follower->position);
+    apply_complete_names(follower, follower->position);
   follower->from_stale_list =
       follower->open_list_is_stale || reply->from_stale_list;
   if (follower->from_stale_list)
-    follower->relist_at = now + VERIFY_AFTER;
+    follower->relist_at = now + STALE_RELIST_DELAY;
   follower->reconciling = FALSE;
   follower->watching = TRUE;
   follower->known = store_position_later(follower->known, follower->position);
-  if (store_position_is_none(follower->changed)) /* no object is news too */
-    name_change(follower, follower->known);
+  /* A complete list without objects must be announced, too. */
+  if (store_position_is_none(follower->changed))
+    announce_change(follower, follower->known);
 }
 
-static void take_list(Follower *follower, const StoreReply *reply,
-                      gint64 now) {
+static void apply_list_page(Follower *follower, const StoreReply *reply,
+                            gint64 now) {
   guint count = reply->objects != NULL ? reply->objects->len : 0;
   follower->partial |= reply->partial;
   g_clear_pointer(&follower->after, g_free);
@@ -363,10 +404,10 @@
     follower->after = g_strdup(last->name);
     return;
   }
-  end_list(follower, reply, now);
+  finish_list(follower, reply, now);
 }
 
-static void list_again(Follower *follower) {
+static void begin_relist(Follower *follower) {
   follower->watching = FALSE;
   follower->position = store_position_none();
   follower->reconciling = FALSE;
@@ -381,30 +422,35 @@
 }
 
 void follower_abandon_store_call(Follower *follower, gint64 now) {
-  follower->lapsed = has_one_object(follower);
+  follower->must_list_store = has_one_object(follower);
   follower_abandon_call(follower, now);
 }
 
-static void failed(Follower *follower, gint64 now) {
-  gint64 wait = RETRY_FIRST << MIN(follower->failures, RETRY_DOUBLED);
+static void record_failure(Follower *follower, gint64 now) {
+  gint64 wait = RETRY_WAIT_FIRST
+                << MIN(follower->failures, RETRY_DOUBLINGS_MAX);
   if (follower->failures++ == 0)
     follower->host.lost(follower->host.data, follower->kind);
-  follower->lapsed = has_one_object(follower);
+  follower->must_list_store = has_one_object(follower);
   follower->retry_at = now + MIN(wait, follower->retry_wait_max);
 }
 
-/* a list that is older than what is known would bring old things back, and so
-** would anything of an older era */
-static gboolean is_overtaken(const Follower *follower,
-                             const StoreReply *reply) {
+/*
+** Returns TRUE for a list that is older than what is known, and for any reply
+** of an older era: they would bring old states back.
+*/
+static gboolean is_outdated(const Follower *follower,
+                            const StoreReply *reply) {
   if (follower->listing)
     return store_position_is_before(reply->at, follower->known);
   return reply->at.era < follower->known.era;
 }
 
-/* a watch that the store answers in a newer era says nothing of what stands
-** there, and a list whose pages are of two eras is none */
-static gboolean is_of_two_eras(const Follower *follower,
+/*
+** Returns TRUE when the store answers a watch in another era, which says
+** nothing of its present objects, or when the pages of a list are of two eras.
+*/
+static gboolean spans_two_eras(const Follower *follower,
                                const StoreReply *reply) {
   if (follower->listing)
     return follower->after != NULL && reply->at.era != follower->listed.era;
@@ -414,7 +460,7 @@
 void follower_observe_era(Follower *follower, guint64 era) {
   if (follower_is_synced(follower) && follower->known.era < era &&
       follower->watching && !follower->open)
-    list_again(follower);
+    begin_relist(follower);
 }
 
 void follower_abandon_call(Follower *follower, gint64 now) {
@@ -426,72 +472,86 @@
   return !store_position_is_none(follower->known);
 }
 
-/* a relay's answer that names all objects there are */
-static void take_whole(Follower *follower, const StoreReply *reply,
-                       gint64 now) {
+/*
+** Handles a relay's reply that names all objects that exist ('whole'). In a
+** newer era it removes none, and a list follows.
+*/
+static void apply_complete_watch(Follower *follower, const StoreReply *reply,
+                                 gint64 now) {
   if (reply->whole && reply->at.era > follower->known.era)
-    follower->relist_at = now + RECONCILE_AFTER;
+    follower->relist_at = now + RECONCILE_DELAY;
   else if (reply->whole &&
            !store_position_is_before(reply->at, follower->known))
-    take_names(follower, reply->at);
+    apply_complete_names(follower, reply->at);
   g_hash_table_remove_all(follower->names);
 }
 
-/* 'returned': what was known is of another era than the list */
+/*
+** 'is_other_era': what was known is of another era than the list, or came from
+** a stale list that is disproved.
+*/
 static void begin_list(Follower *follower, const StoreReply *reply,
-                       gboolean returned) {
+                       gboolean is_other_era) {
   follower->listed = reply->at;
-  follower->reconciling = returned;
+  follower->reconciling = is_other_era;
 }
 
-static void forget_position(gpointer name, gpointer value, gpointer data) {
+static void reset_position(gpointer name, gpointer value, gpointer data) {
   FollowedObject *object = value;
   (void)name;
   (void)data;
   object->position = store_position_none();
-  object->learned = store_position_none();
+  object->changed_by = store_position_none();
 }
 
-/* the store has nothing as new as what a list showed that may have been from
-** before the store's era: it was */
-static void forget_positions(Follower *follower) {
-  g_hash_table_foreach(follower->objects, forget_position, NULL);
+/*
+** Drops the positions of all that was known: it came from a list that may have
+** predated the store's era, and the store has nothing as new, so it did.
+*/
+static void reset_positions(Follower *follower) {
+  g_hash_table_foreach(follower->objects, reset_position, NULL);
   follower->known = store_position_none();
   follower->changed = store_position_none();
-  follower->forgotten = store_position_none();
+  follower->removals_unknown_to = store_position_none();
 }
 
-static gboolean is_disproved(const Follower *follower,
-                             const StoreReply *reply) {
+static gboolean disproves_stale_list(const Follower *follower,
+                                     const StoreReply *reply) {
   return follower->from_stale_list && follower->listing &&
          !reply->from_stale_list && reply->status == STORE_OK &&
          reply->at.era == follower->known.era &&
          store_position_is_before(reply->at, follower->known);
 }
 
-static void take(Follower *follower, const StoreReply *reply, gint64 now) {
-  gboolean disproved = is_disproved(follower, reply);
-  gboolean returned = disproved || (follower_is_synced(follower) &&
-                                    reply->at.era != follower->known.era);
-  if (disproved)
-    forget_positions(follower);
+static void apply_reply(Follower *follower, const StoreReply *reply,
+                        gint64 now) {
+  gboolean is_disproved = disproves_stale_list(follower, reply);
+  gboolean is_other_era =
+      is_disproved ||
+      (follower_is_synced(follower) && reply->at.era != follower->known.era);
+  if (is_disproved)
+    reset_positions(follower);
   if (reply->status == STORE_HISTORY_GONE) {
-    if (follower->history_gone) /* the list before was of no use either */
-      follower->retry_at = now + RETRY_FIRST;
-    follower->history_gone = TRUE;
-    list_again(follower);
+    /*
+    ** The list after the previous such answer did not help, so the next one
+    ** waits.
+    */
+    if (follower->history_was_gone)
+      follower->retry_at = now + RETRY_WAIT_FIRST;
+    follower->history_was_gone = TRUE;
+    begin_relist(follower);
     return;
   }
-  if (reply->status != STORE_OK || is_overtaken(follower, reply)) {
+  if (reply->status != STORE_OK || is_outdated(follower, reply)) {
     follower->overtaken += reply->status == STORE_OK;
-    failed(follower, now);
+    record_failure(follower, now);
     return;
   }
-  if (is_of_two_eras(follower, reply)) {
-    list_again(follower);
+  if (spans_two_eras(follower, reply)) {
+    begin_relist(follower);
     return;
   }
-  if (!resolve_all(follower, reply)) {
+  if (!resolve_all_changes(follower, reply)) {
     follower->in_full = TRUE;
     return;
   }
@@ -499,35 +559,36 @@
   if (follower->failures > 0)
     follower->host.regained(follower->host.data, follower->kind);
   follower->failures = 0;
-  follower->lapsed = FALSE;
+  follower->must_list_store = FALSE;
   if (!follower->listing)
-    follower->history_gone = FALSE;
+    follower->history_was_gone = FALSE;
   if (follower->listing && follower->after == NULL)
-    begin_list(follower, reply, returned);
-  take_objects(follower, reply);
+    begin_list(follower, reply, is_other_era);
+  apply_objects(follower, reply);
   if (!follower->listing && reply->objects != NULL && reply->objects->len > 0)
     follower->retry_at = now + follower->pause;
   if (!follower->listing) {
-    take_whole(follower, reply, now);
+    apply_complete_watch(follower, reply, now);
     follower->position = store_position_later(follower->position, reply->at);
     follower->known = follower->position;
   } else
-    take_list(follower, reply, now);
+    apply_list_page(follower, reply, now);
 }
 
 void follower_handle_reply(Follower *follower, const StoreReply *reply,
                            gint64 now) {
   follower->open = FALSE;
   follower->retry_at = now;
-  follower->taking = TRUE;
-  take(follower, reply, now);
-  follower->taking = FALSE;
+  follower->is_handling_reply = TRUE;
+  apply_reply(follower, reply, now);
+  follower->is_handling_reply = FALSE;
   follower_check_relist(follower, now);
 }
 
-/* the text, or what has changed since */
-static void write_content(const FollowedObject *known, StorePosition since,
-                          gboolean in_full, StoreObject *out) {
+/* Writes the text, or the patches since 'since'. */
+static void write_text_or_changes(const FollowedObject *known,
+                                  StorePosition since, gboolean in_full,
+                                  StoreObject *out) {
   if (known->history != NULL && !in_full)
     out->changes = text_history_since(known->history, since);
   if (out->changes == NULL)
@@ -537,8 +598,8 @@
 void follower_answer(const Follower *follower, const FollowerQuery *query,
                      StoreReply *out) {
   gboolean is_first = store_position_is_none(query->since);
-  gboolean is_same =
-      is_first && query->digest != 0 && query->digest == digest_of(follower);
+  gboolean is_same = is_first && query->digest != 0 &&
+                     query->digest == content_digest(follower);
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -548,16 +609,16 @@
   out->status = follower_is_synced(follower) ? STORE_OK : STORE_FAILED;
   if (out->status != STORE_OK)
     return;
-  out->whole =
-      is_same || (!is_first &&
-                  store_position_is_before(query->since, follower->forgotten));
+  out->whole = is_same ||
+               (!is_first && store_position_is_before(
+                                 query->since, follower->removals_unknown_to));
   out->objects = store_objects_new();
   g_hash_table_iter_init(&iterator, follower->objects);
   while (g_hash_table_iter_next(&iterator, &name, &value)) {
     const FollowedObject *known = value;
     StoreObject object = {0};
     gboolean is_old =
-        is_same || !store_position_is_before(query->since, known->learned);
+        is_same || !store_position_is_before(query->since, known->changed_by);
     if (is_old && !(out->whole && known->text != NULL))
       continue;
     if (is_first && known->text == NULL)
@@ -566,7 +627,7 @@
     object.position = known->position;
     object.gone = known->text == NULL;
     if (!is_old)
-      write_content(known, query->since, query->in_full, &object);
+      write_text_or_changes(known, query->since, query->in_full, &object);
     g_array_append_val(out->objects, object);
   }
 }
--- a/router/follower.h
+++ b/router/follower.h
@@ -1,41 +1,47 @@
 /*
 ** follower.h
-** Following one kind of object of the store: list, then watch
+** Replicates one kind of the store's objects: list, then watch
 **
-** A Follower decides which call to make next and what an answer means; it
-** does no input or output. Its host performs StoreCall and hands back a
-** StoreReply. Invariants: one call is open at a time; an object never
-** takes effect over a newer position of itself; a list that took several
-** calls takes effect for absent objects only when it is whole. One in which
-** something could not be read that may hide objects removes none, and is read
-** again until it is whole.
+** A Follower holds a copy of all objects of one kind. It decides which call to
+** make next and what an answer means; it does no input or output. The code
+** that drives it (news_source.h) takes a StoreCall, has it performed and hands
+** back a StoreReply. The callbacks in FollowerHost report each change. A call
+*may go to the store or to another instance that follows it; positions
+** are always the store's.
 **
-** A store that was restored from a copy names a larger era. What it lists then
-** may be older than what is known, and lacks what is only not written again
-** yet. So a watch that ends in a newer era is followed by a list; that list
-** removes no object, and a second one, RECONCILE_AFTER later, does. An answer
-** of an older era than the one known has no effect at all.
+** Invariants: at most one call is open. An object is never replaced by an
+** older position of itself. A list that takes several pages removes objects
+** only when it is complete. A list in which something was unreadable that may
+** hide objects (a partial list) removes none, and is read again until it is
+** complete.
 **
-** A list that may be old may even be from before the era that its answer
-** names, and a revision that was given out again may stand for another text.
-** So what is known by such a list is listed again soon, and told on with that
-** reserve.
+** A store that was restored from a backup names a larger era. What it lists
+** then may be older than what is known here, and may lack objects that merely
+** have not been written again yet. So a watch that ends in a newer era is
+** followed by a list. That list removes no object; a second one,
+** RECONCILE_DELAY later, does. An answer of an older era than the one known
+** has no effect at all.
 **
-** Catching up costs no more than the present: one that followed a kind of a
-** single object, and lost the store, reads that object again. A watch from
-** the old revision would bring each version since.
+** A list that may be stale may even predate the era that its answer names, and
+** a revision that was assigned again may stand for another text. So what is
+** known only from such a list is listed again soon, and is passed on to other
+** instances with the mark 'from_stale_list'.
 **
-** Between instances long texts travel as their changes. Changes that do not
-** make the text that they were made for take no effect, and the texts are then
-** asked for in full.
+** Catching up reads the present state only: after losing the store, a follower
+** of a kind with a single object lists that object again. A watch from the old
+** revision would return each version since.
 **
-** A follower keeps what it has read, so that it can answer the same calls
-** for other instances (follower_answer). Objects that are gone stay for a
-** while without their text, so that others hear that they are gone. A list
-** says nothing of objects that went before it: who asks for the changes since
-** an earlier revision is told the names of all objects there are. (A relay
-** that had just started named no removal before its start, and vouched for
-** all changes; its members sent requests to an endpoint that had left.)
+** Between instances, long texts travel as patches. Patches that don't fit the
+** text known here are not applied, and the texts are then requested in full.
+**
+** A follower keeps the texts that it has read, so that it can answer the same
+** calls for other instances (follower_answer). Objects that are gone stay for
+** a while as tombstones, without their text, so that other instances hear of
+** the removal. A list doesn't mention objects that were removed before it. So
+** an instance that asks for the changes since an earlier revision than the
+** list is told the names of all objects that exist. Otherwise a relay that had
+** just started would name no removal before its start and yet vouch for all
+** changes, and its members would send requests to an endpoint that had left.
 */
 
 #ifndef ROUTER_FOLLOWER_H
@@ -46,173 +52,271 @@
 #include "madderpier.h"
 #include "router/text_history.h"
 
+/* Kinds of objects in the store. */
 typedef enum StoreKind {
-  STORE_CONFIGURATION, /* the operators' configuration, one object */
-  STORE_ENDPOINTS,     /* what may run requests */
-  STORE_INSTANCES,     /* instances of this system; kept by themselves */
-  STORE_QUARANTINE,    /* requests that end endpoints; our own */
-  STORE_LEASES         /* who may do what only one may do; our own */
+  STORE_CONFIGURATION, /* The operators' configuration, one object. */
+  STORE_ENDPOINTS,     /* Endpoints, which run requests. */
+  /* Instances of this system; they register themselves. */
+  STORE_INSTANCES,
+  /* Requests that crash endpoints; written by this system. */
+  STORE_QUARANTINE,
+  /* Leases on duties of a single instance; written by this system. */
+  STORE_LEASES
 } StoreKind;
 
 typedef enum StoreOperation {
   STORE_LIST,
   STORE_WATCH,
   STORE_CREATE,
-  STORE_READ,    /* one object */
-  STORE_REPLACE, /* one object, if it is still at that revision */
-  STORE_REMOVE   /* likewise */
+  STORE_READ, /* Reads one object. */
+  /* Replaces one object if it is still at the given revision. */
+  STORE_REPLACE,
+  STORE_REMOVE /* Removes one object under the same condition. */
 } StoreOperation;
 
 struct LeaseRecord;
 struct InstanceRecord;
 struct QuarantineRecord;
 
+/* A call to make; names of operations say which ones use a member. */
 typedef struct StoreCall {
   StoreKind kind;
   StoreOperation operation;
-  const char *after; /* LIST: continue behind this name, or NULL */
-  StorePosition
-      position;     /* WATCH: the last one known; REPLACE: the object's */
-  gint64 wait;      /* WATCH: answer after so long at the latest */
-  gboolean stale;   /* LIST: seconds old will do */
-  gboolean in_full; /* asked of an instance: no changes in place of texts */
-  guint64 digest;   /* LIST of an instance: of what is known; 0: nothing is */
-  const char *name; /* CREATE, READ, REPLACE */
-  const struct InstanceRecord *instance; /* CREATE, REPLACE of an instance */
-  const struct LeaseRecord *lease;       /* CREATE and REPLACE of a lease */
-  const struct QuarantineRecord *quarantine; /* the same of such a request */
+  /* LIST: continue after this name; NULL: from the start. */
+  const char *after;
+  /* WATCH: the last position known; REPLACE: the object's position. */
+  StorePosition position;
+  /* WATCH: us after which to answer even without a change. */
+  gint64 wait;
+  gboolean stale;   /* LIST: an answer that is seconds old is good enough. */
+  gboolean in_full; /* Sent to an instance: it must send texts, not patches. */
+  /* LIST sent to an instance: digest of the objects known here; 0: none. */
+  guint64 digest;
+  const char *name; /* CREATE, READ, REPLACE: name of the object. */
+  /* CREATE and REPLACE of an instance. */
+  const struct InstanceRecord *instance;
+  const struct LeaseRecord *lease; /* CREATE and REPLACE of a lease. */
+  /* CREATE and REPLACE of a quarantined request. */
+  const struct QuarantineRecord *quarantine;
 } StoreCall;
 
 typedef enum StoreStatus {
   STORE_OK,
-  STORE_HISTORY_GONE, /* WATCH: list again */
-  STORE_CONFLICT,     /* CREATE; REPLACE: at another revision */
-  STORE_NOT_FOUND,    /* READ, REPLACE, REMOVE */
-  STORE_FAILED        /* no answer, or none that can be used */
+  /* WATCH: the store no longer has the changes; list again. */
+  STORE_HISTORY_GONE,
+  /* CREATE: the object exists; REPLACE: it is at another revision. */
+  STORE_CONFLICT,
+  STORE_NOT_FOUND, /* READ, REPLACE, REMOVE: there is no such object. */
+  STORE_FAILED     /* There was no answer, or none that can be used. */
 } StoreStatus;
 
 typedef struct StoreObject {
   char *name;
-  StorePosition position; /* of its last change */
+  StorePosition position; /* Position of the object's last change. */
   gboolean gone;
-  char *text; /* its content; empty when it can't be read; NULL when gone, or
-              ** as it was (StoreReply.whole) */
-  GArray *changes; /* TextChange: of an instance, in place of the text: what
-                   ** they make of the text that the asker has; or NULL */
+  /*
+  ** Its content; empty when it is unreadable. NULL when the object is gone, or
+  ** unchanged (StoreReply.whole).
+  */
+  char *text;
+  /*
+  ** Array of TextChange, sent by an instance in place of the text: the patches
+  ** that turn the caller's text into the present one; or NULL.
+  */
+  GArray *changes;
 } StoreObject;
 
 typedef struct StoreReply {
   StoreStatus status;
-  GArray *objects;  /* StoreObject; may be NULL */
-  gboolean more;    /* LIST: it goes on behind the last name */
-  StorePosition at; /* of the store; its era is known of a failed call, too,
-                    ** unless there was no answer */
-  gboolean whole;   /* WATCH: it names all objects there are, those that have
-                    ** not changed without their text; others are gone */
-  guint unreadable_names; /* objects that were left out: their names can't be
-                             read */
-  gboolean partial; /* LIST: there may be others than those that it names */
-  gboolean from_stale_list; /* an instance that knows an old list alone */
+  GArray *objects; /* Array of StoreObject; may be NULL. */
+  gboolean more;   /* LIST: another page follows after the last name. */
+  /*
+  ** Position of the store. Its era is set in a failed reply, too, unless there
+  ** was no answer.
+  */
+  StorePosition at;
+  /*
+  ** WATCH: the reply names all objects that exist, unchanged ones without
+  ** their text; all others are gone.
+  */
+  gboolean whole;
+  /*
+  ** Number of objects that were left out because their names are unreadable.
+  */
+  guint unreadable_names;
+  gboolean partial; /* LIST: objects may exist that the reply doesn't name. */
+  /*
+  ** The answer is from an instance that knows only a list that may be stale.
+  */
+  gboolean from_stale_list;
 } StoreReply;
 
-/* an empty array of StoreObject that clears its elements */
+/* Returns an empty array of StoreObject that frees its elements' contents. */
 GArray *store_objects_new(void);
+/* Frees the reply's contents and sets its members to 0. */
 void store_reply_clear(StoreReply *reply);
-/* all that it tells is of this era of the store */
+/* Sets the era of the reply's position and of all its objects' positions. */
 void store_reply_set_era(StoreReply *reply, guint64 era);
 
-/* what a follower tells its host */
+/*
+** Callbacks through which a follower reports changes. 'data' is passed to each
+** of them.
+*/
 typedef struct FollowerHost {
   void *data;
-  /* an object is new, changed or gone */
+  /* An object is new, changed or gone. */
   void (*object)(void *data, StoreKind kind, const StoreObject *object);
-  /* a list is whole: 'names' are the keys of all objects there are */
+  /* A list is complete: the keys of 'names' are all objects that exist. */
   void (*listed)(void *data, StoreKind kind, GHashTable *names);
-  void (*lost)(void *data, StoreKind kind);     /* no answers any more */
-  void (*regained)(void *data, StoreKind kind); /* answers again */
+  /* A call failed, or its answer was outdated, and the one before it did not.
+   */
+  void (*lost)(void *data, StoreKind kind);
+  /* A call succeeded again after failures. */
+  void (*regained)(void *data, StoreKind kind);
 } FollowerHost;
 
-/* an object as it was read last */
+/* An object as it was read last. */
 typedef struct FollowedObject {
-  StorePosition position; /* the newest one seen */
-  StorePosition learned;  /* not before the position of its last change */
-  char *text;             /* NULL: it is gone */
-  TextHistory *history;   /* its latest changes; NULL: its text is short */
+  StorePosition position; /* The newest position seen of the object. */
+  /* An upper bound of the position of its last change, inclusive. */
+  StorePosition changed_by;
+  char *text; /* NULL: the object is gone (a tombstone). */
+  /* Its latest changes; NULL: the text is short, or has not changed. */
+  TextHistory *history;
 } FollowedObject;
 
+/*
+** State of one follower. Code elsewhere reads its members; news_source.c sets
+** 'retry_wait_max', 'open_list_is_stale' and 'retry_at'.
+*/
 typedef struct Follower {
   StoreKind kind;
   FollowerHost host;
-  gint64 watch_wait; /* longest wait of one watch */
-  gint64 pause; /* after news: what comes meanwhile costs no call of its own */
-  gint64 retry_wait_max; /* longest wait after failures in a row */
-  gboolean watching;     /* else the next call lists */
-  gboolean lapsed;       /* watching: the store has first to be listed again */
-  gboolean listing;      /* the open call is a list */
-  gboolean in_full;      /* changes did not fit: whole texts are asked for */
-  gboolean open;         /* a call is out */
-  gboolean taking;       /* a reply is being taken: no call begins. (One that a
-                         ** hook began before a list was whole was answered with
-                         ** a page, which was read as a watch's events; the next
-                         ** page was never asked for) */
-  gboolean by_instance;  /* the open call is not the store's to answer */
-  StorePosition position; /* of the store, as far as it was read */
-  StorePosition listed; /* of the store, at the first page of the open list */
-  gboolean reconciling; /* the open list is the first one of an era */
-  gboolean open_list_is_stale; /* the open list may be older than its era */
-  gboolean from_stale_list;    /* so may be all that is known */
-  char *after;                 /* a list goes on behind this name */
-  gboolean partial;            /* the list may hide objects: it removes none */
-  gint64 relist_at;            /* it is read again then; 0: no need */
-  GHashTable *names;           /* seen by the list that is being read */
-  GHashTable *objects;         /* name -> FollowedObject */
-  guint gone;                  /* of these, objects that are gone */
-  StorePosition known;         /* every change up to there is in 'objects' */
-  StorePosition changed;       /* the last 'learned' that others are told of */
-  StorePosition forgotten;     /* removals up to there may not be known */
-  gint64 retry_at;             /* no call before then */
-  unsigned failures;           /* in a row */
-  gboolean history_gone; /* the last watch said so, and none has ended since */
-  guint overtaken;       /* lists older than what was known, since the start */
+  gint64 watch_wait; /* Longest wait in us of one watch. */
+  /*
+  ** us without a call after a watch brought changes: changes that are made
+  ** meanwhile share the next call.
+  */
+  gint64 pause;
+  gint64 retry_wait_max; /* Longest wait in us after failures in a row. */
+  gboolean watching;     /* The next call is a watch; else it is a list. */
+  /* While watching: the store itself must be listed before it is watched. */
+  gboolean must_list_store;
+  gboolean listing; /* The open call is a list. */
+  gboolean in_full; /* Patches did not fit: whole texts are requested. */
+  gboolean open;    /* A call is open. */
+  /*
+  ** A reply is being applied: no call may begin. A call that a callback began
+  ** before the list was complete would be answered with a page of the list,
+  ** that page would be read as a watch's events, and the next page would never
+  ** be requested.
+  */
+  gboolean is_handling_reply;
+  /* The open call goes to an instance, not to the store. */
+  gboolean by_instance;
+  StorePosition position; /* Position of the store up to which it was read. */
+  /* Position of the store at the first page of the open list. */
+  StorePosition listed;
+  gboolean reconciling; /* The open list is the first one of an era. */
+  /* The open list may be older than the era that it names. */
+  gboolean open_list_is_stale;
+  gboolean from_stale_list; /* The same holds for all that is known. */
+  /* The list continues after this name; NULL: from the start. */
+  char *after;
+  /* The open list may hide objects: it removes none. */
+  gboolean partial;
+  /* Time in us at which the objects are listed again; 0: no need. */
+  gint64 relist_at;
+  GHashTable *names;     /* Names seen so far by the open list. */
+  GHashTable *objects;   /* name -> FollowedObject */
+  guint tombstone_count; /* Number of tombstones among 'objects'. */
+  /* Every change up to this position, inclusive, is in 'objects'. */
+  StorePosition known;
+  /* The latest 'changed_by' that is announced to other instances. */
+  StorePosition changed;
+  /* Removals up to this position, inclusive, may be missing from 'objects'. */
+  StorePosition removals_unknown_to;
+  gint64 retry_at;   /* No call is made before this time, us. */
+  unsigned failures; /* Number of failures in a row. */
+  /*
+  ** The last watch ended with STORE_HISTORY_GONE, and none has succeeded
+  ** since.
+  */
+  gboolean history_was_gone;
+  /*
+  ** Number of answers, since the start, that were dropped because they were
+  ** older than what was known.
+  */
+  guint overtaken;
 } Follower;
 
+/*
+** Initialises 'follower', whose memory is the caller's; times are in us.
+** 'host' is copied.
+*/
 void follower_init(Follower *follower, StoreKind kind, gint64 watch_wait,
                    gint64 pause, const FollowerHost *host);
+/* Frees what the follower holds, not 'follower' itself. */
 void follower_clear(Follower *follower);
 
-/* when the next call may be made; G_MAXINT64 while one is out */
+/*
+** Returns the time in us before which no call is made; G_MAXINT64 while a call
+** is open or a reply is being applied.
+*/
 gint64 follower_next_call_time(const Follower *follower);
-/* it is about to be asked whether a call is due */
+/*
+** Switches to a list when one is due at 'now' and no call is open. To be
+** called before follower_begin_call.
+*/
 void follower_check_relist(Follower *follower, gint64 now);
-/* the call to make now, of the store or ('by_instance') of another instance;
-** the texts live until its reply is handed in */
+/*
+** Begins the next call, to the store or ('by_instance') to another instance,
+** and writes it to 'call'. The texts in it stay valid until its reply is
+** handed in.
+*/
 void follower_begin_call(Follower *follower, gboolean by_instance,
                          StoreCall *call);
+/*
+** Hands in the reply to the open call; it is cleared by the caller. Callbacks
+** are called from here.
+*/
 void follower_handle_reply(Follower *follower, const StoreReply *reply,
                            gint64 now);
-/* the call went to somebody else than the store, and came to nothing */
+/*
+** Closes a call to an instance that brought nothing. It doesn't count as a
+** failure of the store; the next call may begin at 'now'.
+*/
 void follower_abandon_call(Follower *follower, gint64 now);
-/* the store names an era, to whomever: a watch of an older one is in vain */
+/*
+** Handles an era that the store named to any instance. If it is newer than
+** what is known and no call is open, the next call lists: a watch from a
+** position of an older era is useless.
+*/
 void follower_observe_era(Follower *follower, guint64 era);
-/* the store is silent, and its call was given up */
+/* Closes a call to a store that is silent. It doesn't count as a failure. */
 void follower_abandon_store_call(Follower *follower, gint64 now);
-/* a list was whole, or a watch has gone on from one */
+/* Returns TRUE once a list was complete or was succeeded by a watch. */
 gboolean follower_is_synced(const Follower *follower);
 
-/* what another follower asks for */
+/* A call of another follower, to be answered by follower_answer. */
 typedef struct FollowerQuery {
-  StorePosition since; /* none: everything */
-  gboolean in_full;    /* as in StoreCall */
-  guint64 digest;      /* of what it knows, where it asks for everything */
+  /* Changes after this position are requested; none: all objects are. */
+  StorePosition since;
+  gboolean in_full; /* As in StoreCall. */
+  /*
+  ** Digest of what the caller knows when it requests all objects; 0: nothing.
+  */
+  guint64 digest;
 } FollowerQuery;
 
 /*
-** What the store would answer to another follower, as far as this one
-** knows: everything, or what has changed after a position, whole when removals
-** since then may not be known. The status is STORE_FAILED until a list was
-** whole. Long texts are told by their changes, unless they are wanted
-** 'in_full'; who knows everything already is told the names alone. Clear 'out'
-** afterwards.
+** Writes to 'out' what the store would answer to another follower, as far as
+** this one knows: all objects, or those that changed after a position. When
+** removals since that position may be unknown here, the reply names all
+** objects ('whole'). The status is STORE_FAILED until a list was complete.
+** Long texts are sent as patches unless 'in_full' is set. A caller that has
+** everything already, by its digest, is sent the names alone. The caller
+** clears 'out' with store_reply_clear.
 */
 void follower_answer(const Follower *follower, const FollowerQuery *query,
                      StoreReply *out);
--- a/router/lease.c
+++ b/router/lease.c
@@ -7,14 +7,17 @@
 
 #include "router/lease.h"
 
-/* the one object there is */
+/* The only lease object there is. */
 #define LEASE_NAME "engine-stages"
-/* pause after a call that failed */
-#define LEASE_RETRY (1 * MP_SEC)
-/* another's lease is waited for so many lengths */
-#define LEASE_PATIENCE 2
-/* a fence has the revision below the era: no store counts to this in one era,
-** and JSON numbers hold both for two million eras */
+/* Pause after a call that failed. */
+#define LEASE_RETRY_DELAY (1 * MP_SEC)
+/* Another instance's lease is waited for this many times its length. */
+#define TAKEOVER_WAIT_LENGTHS 2
+/*
+** A fencing token has the era above the revision: no store reaches 2 to the
+** power of 32 revisions in one era, and JSON numbers can hold both for two
+** million eras.
+*/
 #define FENCE_ERA_SHIFT 32
 
 void lease_record_clear(LeaseRecord *record) {
@@ -26,19 +29,22 @@
   memset(lease, 0, sizeof *lease);
   lease->holder = g_strdup(holder);
   lease->length = length;
-  lease->free_from = now + LEASE_PATIENCE * length;
+  lease->free_from = now + TAKEOVER_WAIT_LENGTHS * length;
 }
 
 void lease_clear(Lease *lease) {
   g_free(lease->holder);
 }
 
-/* when another's lease has certainly lapsed, and one length more */
+/*
+** Returns when another instance's lease has certainly expired, and one
+** 'length' has passed since.
+*/
 static gint64 takeover_allowed_at(const Lease *lease) {
   if (lease->own || lease->absent)
     return lease->free_from;
   return MAX(lease->free_from,
-             lease->seen_at + LEASE_PATIENCE * lease->length);
+             lease->seen_at + TAKEOVER_WAIT_LENGTHS * lease->length);
 }
 
 static StoreOperation next_operation(const Lease *lease, gint64 now) {
@@ -69,14 +75,17 @@
   return TRUE;
 }
 
-/* until another one may take it, it is looked at now and then */
-static void wait_until_free(Lease *lease, gint64 now) {
+/*
+** Until another instance's lease may be taken, the object is read once per
+** 'length'.
+*/
+static void delay_until_takeover(Lease *lease, gint64 now) {
   if (now < takeover_allowed_at(lease))
     lease->retry_at = MIN(now + lease->length, takeover_allowed_at(lease));
 }
 
-/* the object as the store has it */
-static void observe(Lease *lease, const LeaseReply *reply, gint64 now) {
+/* Applies the object as the store has it. */
+static void apply_record(Lease *lease, const LeaseReply *reply, gint64 now) {
   if (!lease->known || lease->absent ||
       store_position_compare(lease->position, reply->position) != 0)
     lease->seen_at = now;
@@ -86,29 +95,30 @@
   lease->term = reply->record.term;
   lease->own = reply->record.holder != NULL &&
                strcmp(reply->record.holder, lease->holder) == 0;
-  wait_until_free(lease, now);
+  delay_until_takeover(lease, now);
 }
 
-/* nothing certain is known: read it before the next step */
-static void forget(Lease *lease, gint64 now) {
+/* Nothing certain is known: the object is read before the next step. */
+static void invalidate(Lease *lease, gint64 now) {
   lease->known = FALSE;
-  lease->retry_at = now + LEASE_RETRY;
+  lease->retry_at = now + LEASE_RETRY_DELAY;
 }
 
 void lease_observe_era(Lease *lease, guint64 era, gint64 now) {
-  gboolean is_return = lease->era != 0 || lease->known;
+  gboolean has_era_changed = lease->era != 0 || lease->known;
   if (era <= lease->era)
     return;
   lease->era = era;
-  lease->free_from = now + LEASE_PATIENCE * lease->length;
-  if (!is_return)
+  lease->free_from = now + TAKEOVER_WAIT_LENGTHS * lease->length;
+  if (!has_era_changed)
     return; /* nothing was held */
   lease->held_until = 0;
-  forget(lease, now);
+  invalidate(lease, now);
 }
 
-/* a write of an older era may have met an object by chance alone */
-static gboolean is_of_past(const Lease *lease, const LeaseReply *reply) {
+/* A write of an older era may have met an object only by chance. */
+static gboolean is_from_other_era(const Lease *lease,
+                                  const LeaseReply *reply) {
   return reply->era != lease->era ||
          (lease->sent_era != 0 && lease->sent_era != lease->era);
 }
@@ -123,18 +133,18 @@
   lease->open = FALSE;
   lease->retry_at = now;
   lease_observe_era(lease, reply->era, now);
-  if (is_of_past(lease, reply))
-    forget(lease, now);
+  if (is_from_other_era(lease, reply))
+    invalidate(lease, now);
   else if (reply->status == STORE_NOT_FOUND) {
     lease->known = !wrote;
     lease->absent = !wrote;
-    wait_until_free(lease, now);
+    delay_until_takeover(lease, now);
   } else if (has_object(reply)) {
-    observe(lease, reply, now);
+    apply_record(lease, reply, now);
     if (wrote && reply->status == STORE_OK && lease->own)
       lease->held_until = lease->sent_at + lease->length;
   } else
-    forget(lease, now);
+    invalidate(lease, now);
 }
 
 gint64 lease_fence(const Lease *lease) {
@@ -152,5 +162,5 @@
 
 void lease_give_up(Lease *lease, gint64 now) {
   lease->held_until = 0;
-  forget(lease, now + LEASE_PATIENCE * lease->length);
+  invalidate(lease, now + TAKEOVER_WAIT_LENGTHS * lease->length);
 }
--- a/router/lease.h
+++ b/router/lease.h
@@ -2,22 +2,24 @@
 ** lease.h
 ** A lease on one duty, kept as one object of the store
 **
-** Whoever replaced the object last, on the condition that nobody else did
-** since it was read, holds the lease for 'length' from the moment before
-** that call. Its position is the fence: it grows with every holder. Nobody
-** renews: a lease is taken when there is something to do, and lapses.
+** At most one instance at a time performs the duty of changing the stages of
+** engines (stages.h). The instance that replaced the lease object last, on the
+** condition that no other had replaced it since it was read, holds the lease
+** for 'length' from the time just before that call. The object's position is
+** the fencing token: it grows with every holder. A lease is not renewed: it is
+** taken when there is something to do, and expires.
 **
-** A store that was restored from a copy may have lost the object while its
-** holder counts on it. So no lease is held over a change of the store's era,
-** and none is taken within twice 'length' of it, or of when an instance that
-** did not see it first hears of an era.
+** A store that was restored from a backup may have lost the object while its
+** holder relies on it. So no lease is held across a change of the store's era,
+** and none is taken within twice 'length' of such a change, or of the time at
+** which an instance that did not see the change first hears of an era.
 **
-** Invariants. A lease counts as held only from an answer of the store that
+** Invariants: a lease counts as held only after an answer of the store that
 ** says so, and never longer than 'length' after the call was made. Another
-** instance's lease is taken only after its revision has stood still for
-** twice 'length' by this instance's steady clock, so that two holders are
-** at least one 'length' apart. After a call without an answer the object
-** is read again before anything else.
+** instance's lease is taken only after its position has stayed the same for
+** twice 'length' by this instance's steady clock, so that the terms of two
+** holders are at least one 'length' apart. After a call without an answer the
+** object is read again before anything else. Times are in us.
 */
 
 #ifndef ROUTER_LEASE_H
@@ -26,64 +28,84 @@
 #include "router/follower.h"
 
 typedef struct Lease {
-  char *holder;  /* this instance's name */
-  gint64 length; /* 0: no lease is ever taken */
-  gboolean open; /* a call is out */
+  char *holder;  /* Name of this instance. */
+  gint64 length; /* Duration of a lease; 0: no lease is ever taken. */
+  gboolean open; /* A call is open. */
   StoreOperation operation;
   gint64 sent_at;
-  gint64 retry_at;  /* no call before then */
-  gboolean known;   /* what follows was read from the store */
-  gboolean absent;  /* there is no object yet */
-  gboolean own;     /* this instance replaced it last */
-  guint64 era;      /* of the store, the latest heard of; 0: none */
-  guint64 sent_era; /* when the open call was made */
-  gint64 free_from; /* none is taken before then */
+  gint64 retry_at;  /* No call is made before this time. */
+  gboolean known;   /* The members below were read from the store. */
+  gboolean absent;  /* There is no object yet. */
+  gboolean own;     /* This instance replaced the object last. */
+  guint64 era;      /* Latest era of the store that was named; 0: none was. */
+  guint64 sent_era; /* Value of 'era' when the open call was made. */
+  gint64 free_from; /* No lease is taken before this time. */
   StorePosition position;
-  gint64 seen_at;    /* when this position was first seen */
-  guint64 term;      /* counts the holders; makes every record differ */
-  gint64 held_until; /* 0: not held */
+  gint64 seen_at; /* Time at which 'position' was first seen. */
+  /* Counts the holders; makes each record differ from the one before. */
+  guint64 term;
+  /* End of this instance's lease, exclusive; 0: it is not held. */
+  gint64 held_until;
 } Lease;
 
-/* the object's content */
+/* Content of the lease object. */
 typedef struct LeaseRecord {
   char *holder;
   guint64 term;
 } LeaseRecord;
 
+/* Frees the record's contents, not the record. */
 void lease_record_clear(LeaseRecord *record);
 
-/* what the store answered */
+/* Answer of the store to a call of the lease. */
 typedef struct LeaseReply {
   StoreStatus status;
-  guint64 era;            /* of the store; 0: it was not said */
-  StorePosition position; /* OK and CONFLICT; none: it was not said */
-  LeaseRecord record;     /* OK and CONFLICT */
+  guint64 era; /* Era of the store; 0: the answer names none. */
+  /* OK and CONFLICT: the object's position; none: the answer names none. */
+  StorePosition position;
+  LeaseRecord record; /* OK and CONFLICT: the object's content. */
 } LeaseReply;
 
-/* 'now' is when this instance started */
+/*
+** Initialises 'lease', whose memory is the caller's; 'holder' is copied. 'now'
+** is the time at which this instance started.
+*/
 void lease_init(Lease *lease, const char *holder, gint64 length, gint64 now);
+/* Frees what the lease holds, not 'lease' itself. */
 void lease_clear(Lease *lease);
 
 /*
-** The duty is wanted: the next call towards holding the lease. FALSE when
-** none is due now; lease_next_call_time tells when to ask again. Texts in
-*'call' live
-** until its reply is handed in.
+** Begins the next call towards holding the lease, when the duty is wanted.
+** Returns FALSE when none is due now; lease_next_call_time tells when to try
+** again. The texts in 'call' stay valid until its reply is handed in.
 */
 gboolean lease_begin_call(Lease *lease, StoreCall *call, LeaseRecord *record,
                           gint64 now);
+/* Handles the reply to the open call, which the caller clears. */
 void lease_handle_reply(Lease *lease, const LeaseReply *reply, gint64 now);
-/* G_MAXINT64 while a call is out */
+/*
+** Returns the time before which no call is due; G_MAXINT64 while a call is
+** open.
+*/
 gint64 lease_next_call_time(const Lease *lease);
 
-/* the store has named this era, here or to another instance */
+/*
+** Records an era that the store has named, to this instance or another one. A
+** newer era ends a lease that is held.
+*/
 void lease_observe_era(Lease *lease, guint64 era, gint64 now);
-/* what the holder's orders bear: grows with each holder and each era */
+/*
+** Returns the fencing token that the holder's orders carry; it grows with each
+** holder and each era.
+*/
 gint64 lease_fence(const Lease *lease);
 
-/* is it held, and for at least 'span' more? */
+/* Returns TRUE when the lease is held for more than 'span' from now on. */
 gboolean lease_is_held(const Lease *lease, gint64 span, gint64 now);
-/* somebody has seen a newer fence: stop at once */
+/*
+** Ends the lease at once because a newer fencing token was seen. No call is
+** made for twice 'length' and the usual pause after a failure.
+*/
 void lease_give_up(Lease *lease, gint64 now);
 
 #endif
--- a/router/lives.c
+++ b/router/lives.c
@@ -1,18 +1,21 @@
 /*
 ** lives.c
-** Lives of endpoints: from one start of a process to its end
+** Incarnations of endpoints: from one start of a process to its end
 **
-** Invariant: what an endpoint's earlier life held (runs, prompts,
-** reservations, orders) is gone when a later one is known, whether the
-** connections to the earlier one have broken off yet or not.
+** An incarnation ("life" in names) is identified by the endpoint's id and a
+** hash of its start time.
+**
+** Invariant: what an earlier incarnation held (runs, prompts, reservations,
+** orders) is gone when a later one is known, whether the connections to the
+** earlier one have broken yet or not.
 */
 
 #include <string.h>
 
 #include "router/state.h"
 
-static guint64 check_endpoint(void *data, const Endpoint *endpoint,
-                              gint64 timeout, gint64 now) {
+static guint64 send_check(void *data, const Endpoint *endpoint, gint64 timeout,
+                          gint64 now) {
   Router *router = data;
   Endpoint *target = endpoint_table_get_life(
       router->endpoints, endpoint->record.id, endpoint->hash);
@@ -22,9 +25,9 @@
   return target != NULL ? dispatcher_send(router, &dispatch, target, now) : 0;
 }
 
-static void endpoint_ended(void *data, const char *endpoint, guint32 life,
-                           const QuarantineSuspect *suspects, guint count,
-                           const char *how, gint64 now) {
+static void handle_endpoint_end(void *data, const char *endpoint, guint32 life,
+                                const QuarantineSuspect *suspects, guint count,
+                                const char *how, gint64 now) {
   Router *router = data;
   guint i;
   router_count(router, ENDPOINT_ENDS);
@@ -36,13 +39,16 @@
 }
 
 CrashWatch *lives_watch_new(Router *router) {
-  CrashWatchHost host = {router, check_endpoint, endpoint_ended};
+  CrashWatchHost host = {router, send_check, handle_endpoint_end};
   return crash_watch_new(&host);
 }
 
-/* a dispatch of a request that is open at this life of the endpoint */
-static guint64 open_dispatch(const Router *router, const char *endpoint,
-                             guint32 life) {
+/*
+** Returns the number of an open dispatch to this incarnation; 0: there is
+** none.
+*/
+static guint64 find_open_dispatch(const Router *router, const char *endpoint,
+                                  guint32 life) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, router->requests);
@@ -55,7 +61,10 @@
   return 0;
 }
 
-/* prompts that the endpoint had read, and what was reserved there, are gone */
+/*
+** Forgets the prompts that the endpoint had processed and the decode endpoint
+** that was reserved there: they are gone.
+*/
 static void drop_prompts(Router *router, const char *endpoint) {
   GHashTableIter iterator;
   gpointer value;
@@ -74,20 +83,19 @@
 }
 
 /*
-** The endpoint's process has started again, as a record says: this life of it
-** is over. Runs on it have ended, whether their connections have broken off
-** yet or not: they are tried again, or not, by the same rules as others that
-** broke off.
+** Ends an incarnation after a record shows that the endpoint's process has
+** restarted. Runs on it have ended, whether their connections have broken yet
+** or not: they are retried, or not, by the same rules as other broken runs.
 */
-static void end_life(Router *router, Endpoint *endpoint, gint64 now) {
+static void end_incarnation(Router *router, Endpoint *endpoint, gint64 now) {
   char *id = g_strdup(endpoint->record.id);
   guint32 life = endpoint->hash;
   guint64 number;
   router_log(router, MP_LOG_EP_RESTARTED, " endpoint=%s", id);
   drop_prompts(router, id);
   stages_restarted(router->stages, id);
-  endpoint->avoid_until = G_MAXINT64; /* none is sent there any more */
-  while ((number = open_dispatch(router, id, life)) != 0) {
+  endpoint->avoid_until = G_MAXINT64; /* nothing is sent there any more */
+  while ((number = find_open_dispatch(router, id, life)) != 0) {
     Outcome outcome = {0};
     outcome.dispatch = number;
     outcome.kind = OUTCOME_BROKEN;
@@ -98,7 +106,7 @@
   g_free(id);
 }
 
-static void forget_endpoint(Router *router, const Endpoint *known,
+static void remove_endpoint(Router *router, const Endpoint *known,
                             gint64 now) {
   char *id;
   guint32 life;
@@ -113,9 +121,12 @@
   g_free(id);
 }
 
-/* a restored store may have it from before the endpoint said that it leaves */
-static void keep_leaving(Endpoint *known, const EndpointRecord *record,
-                         gint64 now) {
+/*
+** A restored store may hold the record from before the endpoint announced that
+** it leaves; it stays leaving.
+*/
+static void keep_leaving_state(Endpoint *known, const EndpointRecord *record,
+                               gint64 now) {
   if (endpoint_record_is_restored(record, &known->record) &&
       !known->record.ready)
     availability_leave(&known->availability, now);
@@ -127,7 +138,7 @@
   gboolean was_ready = known != NULL && known->record.ready;
   EndpointNews news;
   if (gone) {
-    forget_endpoint(router, known, now);
+    remove_endpoint(router, known, now);
     return;
   }
   news = endpoint_table_compare(router->endpoints, record);
@@ -136,9 +147,9 @@
     return;
   }
   if (known != NULL && news == ENDPOINT_RESTARTED)
-    end_life(router, known, now);
+    end_incarnation(router, known, now);
   if (known != NULL && news == ENDPOINT_SAME)
-    keep_leaving(known, record, now);
+    keep_leaving_state(known, record, now);
   endpoint_table_set(router->endpoints, record, now);
   if (news == ENDPOINT_RESTARTED)
     rates_endpoints_changed(router);
--- a/router/news_source.c
+++ b/router/news_source.c
@@ -1,31 +1,43 @@
 /*
 ** news_source.c
-** Whom an instance asks for the news of one kind of the store's objects
+** Chooses whom an instance asks for changes of one kind of objects
 */
 
 #include <string.h>
 
 #include "router/news_source.h"
 
-/* an answer may come so much later than a watch's wait: a slow store */
-#define WATCH_SLACK (700 * MP_MS)
-/* other calls to the store are given up after this */
-#define CALL_PATIENCE (1000 * MP_MS)
-/* before anything is known, the first call is given up so soon that another
-** instance is asked in its place; each further one has twice the time */
-#define FIRST_PATIENCE (400 * MP_MS)
-/* an instance answers from memory; a large configuration takes its link some
-** hundred milliseconds */
-#define INSTANCE_PATIENCE (1000 * MP_MS)
-/* a store that is silent for so long while another instance has news is left
-** for a relay; a slow one answers within 200 ms */
+/*
+** An answer to a watch may come this much later than its wait: a slow store.
+*/
+#define WATCH_ANSWER_MARGIN (700 * MP_MS)
+/* Other calls to the store are given up after this. */
+#define CALL_TIMEOUT (1000 * MP_MS)
+/*
+** Before anything is known, the first call is given up this early, so that
+** another instance is asked instead. The wait doubles with each further call,
+** up to CALL_TIMEOUT.
+*/
+#define FIRST_CALL_TIMEOUT (400 * MP_MS)
+/*
+** An instance answers from memory; sending a large configuration over its link
+** takes some hundred milliseconds.
+*/
+#define INSTANCE_CALL_TIMEOUT (1000 * MP_MS)
+/*
+** A store that is silent for this long while another instance has changes is
+** abandoned for a relay; a slow store answers within 200 ms.
+*/
 #define STORE_SILENCE_MAX (300 * MP_MS)
 
-/* longest waits after failures: instances change rarely, and what ends
-** endpoints is told between instances besides; and who stands in for relays
-** that the store does not answer is one of many that ask */
-#define RARE_RETRY (5 * MP_SEC)
-#define STAND_IN_RETRY (1400 * MP_MS)
+/*
+** Longest waits after failures. Instances change rarely, and news of requests
+** that crash endpoints is sent between instances as well. An instance that
+** substitutes for relays that the store does not answer is one of many that
+** ask.
+*/
+#define RARE_RETRY_WAIT_MAX (5 * MP_SEC)
+#define SUBSTITUTE_RETRY_WAIT (1400 * MP_MS)
 
 void news_source_init(NewsSource *source, RelayGroup *group,
                       const NewsSourceHost *host, const mp_Addr *seeds,
@@ -36,10 +48,10 @@
   source->seeds_count = seeds_count;
   if (source->follower.kind == STORE_INSTANCES ||
       source->follower.kind == STORE_QUARANTINE)
-    source->follower.retry_wait_max = RARE_RETRY;
+    source->follower.retry_wait_max = RARE_RETRY_WAIT_MAX;
 }
 
-static gboolean knows(const NewsSource *source) {
+static gboolean is_synced(const NewsSource *source) {
   return follower_is_synced(&source->follower);
 }
 
@@ -48,8 +60,11 @@
                                    source->follower.known, now);
 }
 
-/* the same, or any relay that knows something while all is to be listed */
-static mp_Addr relay_to_ask(const NewsSource *source, gint64 now) {
+/*
+** Returns a relay that has news; while everything is to be listed, any relay
+** that knows something.
+*/
+static mp_Addr choose_relay(const NewsSource *source, gint64 now) {
   if (source->follower.watching)
     return relay_with_news(source, now);
   return relay_group_choose_source(source->group, source->follower.kind,
@@ -57,12 +72,13 @@
 }
 
 /*
-** Ask a relay that has news; FALSE when none can be asked. One that is not
-** listed yet has no known address: another one is asked, or the store.
+** Asks a relay that has news, and returns FALSE when none can be asked. A
+** relay that is not listed yet has no known address: another one is asked, or
+** the store.
 */
 static gboolean ask_relay(NewsSource *source, gint64 now, NewsAction *out) {
   mp_Addr relay;
-  while ((relay = relay_to_ask(source, now)) != 0) {
+  while ((relay = choose_relay(source, now)) != 0) {
     out->instance = source->host.control_of(source->host.data, relay);
     if (out->instance != 0) {
       source->asked = relay;
@@ -77,15 +93,15 @@
 }
 
 /*
-** After every second failure of the store, of one that knows nothing. A seed
-** that knows nothing either has the store asked at once: its turn was put off
-** by 1.2 s otherwise, and an instance that started 0.3 s before the store
-** entered itself that late.
+** Asks a seed after each odd number of failures of the store in a row, while
+** nothing is known. When the last seed knew nothing either, the store is asked
+** at once. Otherwise the store's turn comes 1.2 s later, and an instance that
+** started 0.3 s before the store registers that late.
 */
 static gboolean ask_seed(NewsSource *source, NewsAction *out) {
   gboolean has_failed = source->seed_failed;
   source->seed_failed = FALSE;
-  if (has_failed || knows(source) || source->seeds_count == 0 ||
+  if (has_failed || is_synced(source) || source->seeds_count == 0 ||
       source->follower.failures % 2 == 0)
     return FALSE;
   out->instance = source->seeds[source->next_seed++ % source->seeds_count];
@@ -97,9 +113,12 @@
   out->step = NEWS_ASK_STORE;
 }
 
-/* one that follows the store: others only when the store has not answered */
-static void choose_for_follower(NewsSource *source, gint64 now,
-                                NewsAction *out) {
+/*
+** Chooses for an instance that follows the store: it asks another one only
+** when the store has not answered.
+*/
+static void choose_for_store_reader(NewsSource *source, gint64 now,
+                                    NewsAction *out) {
   gboolean is_behind = source->is_behind || source->follower.failures > 0;
   source->is_behind = FALSE;
   if (is_behind && !source->must_ask_store && ask_relay(source, now, out))
@@ -109,79 +128,87 @@
 }
 
 /*
-** One that starts reads the store once, before it knows who follows it: a
-** relay's link would take seconds for all that start at once. An old list
-** will do, and costs less: changes after it are heard in a moment, from a
+** An instance that starts reads the store once, before it knows who follows
+** it: a relay's link would take seconds for all instances that start at once.
+** A stale list suffices and costs less: changes after it arrive at once from a
 ** watch or from a relay. The quarantine is short and waits for the relay.
 */
 static gboolean is_first_list(const NewsSource *source, RelayRole role) {
-  return !knows(source) && source->follower.kind != STORE_QUARANTINE &&
+  return !is_synced(source) && source->follower.kind != STORE_QUARANTINE &&
          (role == RELAY_ROLE_STARTING || role == RELAY_ROLE_MEMBER);
 }
 
-/* One of many that stand in for relays asks for the quarantine once the store
-** answers it about what matters more: a call that fails is a call */
-static gboolean may_wait(const NewsSource *source, gint64 now) {
+/*
+** One of many substitutes for relays asks for the quarantine only once the
+** store answers it about what matters more, because a failed call costs, too.
+*/
+static gboolean can_wait(const NewsSource *source, gint64 now) {
   return source->follower.kind == STORE_QUARANTINE &&
          relay_group_is_substitute(source->group, now) &&
          !relay_group_is_store_answering(source->group, now);
 }
 
-static void choose(NewsSource *source, gint64 now, NewsAction *out) {
+static void choose_target(NewsSource *source, gint64 now, NewsAction *out) {
   RelayRole role = relay_group_role(source->group, now);
-  if (may_wait(source, now))
+  if (can_wait(source, now))
     return;
   if (is_first_list(source, role))
-    choose_for_follower(source, now, out);
+    choose_for_store_reader(source, now, out);
   else if (role == RELAY_ROLE_STARTING)
-    return; /* nobody to ask yet */
+    return; /* there is nobody to ask yet */
   else if (role != RELAY_ROLE_MEMBER || source->must_ask_store)
-    choose_for_follower(source, now, out);
+    choose_for_store_reader(source, now, out);
   else if (!ask_relay(source, now, out) && source->must_ask_store)
     ask_store(out);
 }
 
-static gint64 store_patience(const NewsSource *source, const StoreCall *call) {
-  gint64 patience = CALL_PATIENCE;
+static gint64 store_timeout(const NewsSource *source, const StoreCall *call) {
+  gint64 patience = CALL_TIMEOUT;
   if (call->operation == STORE_WATCH)
-    return call->wait + WATCH_SLACK;
-  if (!knows(source))
-    patience = FIRST_PATIENCE << MIN(source->follower.failures, 2);
-  return MIN(patience, CALL_PATIENCE);
+    return call->wait + WATCH_ANSWER_MARGIN;
+  if (!is_synced(source))
+    patience = FIRST_CALL_TIMEOUT << MIN(source->follower.failures, 2);
+  return MIN(patience, CALL_TIMEOUT);
 }
 
 void news_source_progress(NewsSource *source, gint64 now) {
   source->progress_at = MAX(source->progress_at, now);
 }
 
-/* how long a silent store is waited for while another instance has news: not
-** at all when it has not answered this instance lately */
-static gint64 silence_most(const NewsSource *source, gint64 now) {
+/*
+** Returns how long a silent store is waited for while another instance has
+** news: 0 when the store has not answered this instance recently.
+*/
+static gint64 store_silence_allowed(const NewsSource *source, gint64 now) {
   gboolean answers = source->progress_at > source->asked_at ||
                      relay_group_is_store_answering(source->group, now);
   return answers ? STORE_SILENCE_MAX : 0;
 }
 
-static void leave_store(NewsSource *source, gint64 now, NewsAction *out) {
+static void abandon_store_call(NewsSource *source, gint64 now,
+                               NewsAction *out) {
   source->behind_since = 0;
   follower_abandon_store_call(&source->follower, now);
   out->step = NEWS_ABANDON_STORE_CALL;
 }
 
-/* a watch of an older era than one that was heard of since tells nothing */
-static gboolean is_in_vain(const NewsSource *source) {
+/*
+** A watch from an older era than one that was named since then tells nothing.
+*/
+static gboolean is_watch_of_older_era(const NewsSource *source) {
   return source->at_store && source->asked_for == STORE_WATCH &&
          source->asked_era < relay_group_era(source->group);
 }
 
 /*
-** A call to the store is out, and another instance knows more than it has
-** brought. It should answer any moment; one that is silent is lost. An answer
-** that arrives is not given up, however long it takes.
+** Checks an open call. When another instance knows more than a call to the
+** store has brought, the store should answer any moment; one that is silent is
+** abandoned. A call is not given up while its answer is arriving, however long
+** it takes.
 */
-static void look_behind(NewsSource *source, gint64 now, NewsAction *out) {
-  if (is_in_vain(source)) {
-    leave_store(source, now, out);
+static void check_open_call(NewsSource *source, gint64 now, NewsAction *out) {
+  if (is_watch_of_older_era(source)) {
+    abandon_store_call(source, now, out);
     return;
   }
   if (!source->at_store || relay_with_news(source, now) == 0) {
@@ -191,16 +218,16 @@
   if (source->behind_since == 0)
     source->behind_since = now;
   out->at = MAX(source->behind_since, source->progress_at) +
-            silence_most(source, now);
+            store_silence_allowed(source, now);
   if (now < out->at)
     return;
   source->is_behind = TRUE;
-  source->must_ask_store =
-      FALSE; /* a relay that failed before may answer now */
-  leave_store(source, now, out);
+  /* A relay that failed before may answer now. */
+  source->must_ask_store = FALSE;
+  abandon_store_call(source, now, out);
 }
 
-static void note_call(NewsSource *source, StoreCall *call, gint64 now) {
+static void record_call(NewsSource *source, StoreCall *call, gint64 now) {
   if (source->follower.relist_at > now)
     call->wait = MIN(call->wait, source->follower.relist_at - now);
   if (source->proof_age_max > 0)
@@ -220,10 +247,12 @@
 }
 
 /*
-** What an answer of the store proves: that it had nothing newer when it was
-** asked, or, for a watch that waited its whole time in vain, at its end.
+** Records what a reply of the store proves: that it had nothing newer when it
+** was asked or, for a watch that ended without changes after its whole wait,
+** at the end of that wait.
 */
-static void prove(NewsSource *source, const StoreReply *reply, gint64 now) {
+static void record_proof(NewsSource *source, const StoreReply *reply,
+                         gint64 now) {
   gint64 at = source->asked_at;
   if (source->follower.kind != STORE_CONFIGURATION || source->asked_stale ||
       source->follower.failures > 0 || !source->follower.watching)
@@ -238,22 +267,22 @@
   gint64 due = follower_next_call_time(&source->follower);
   memset(out, 0, sizeof *out);
   out->at = G_MAXINT64;
-  if (source->follower.taking)
+  if (source->follower.is_handling_reply)
     return;
   follower_check_relist(&source->follower, now);
   if (due == G_MAXINT64) {
-    look_behind(source, now, out);
+    check_open_call(source, now, out);
     return;
   }
   source->behind_since = 0;
-  /* the pause after a failure of the store is none of the relays' */
+  /* The pause after a failure of the store does not delay calls to relays. */
   if (due > now &&
       (source->follower.failures == 0 || relay_with_news(source, now) == 0)) {
     out->at = due;
     return;
   }
   source->asked = 0;
-  choose(source, now, out);
+  choose_target(source, now, out);
   if (out->step == NEWS_WAIT)
     return;
   source->at_store = out->step == NEWS_ASK_STORE;
@@ -265,13 +294,15 @@
       out->call.operation == STORE_LIST && source->proof_age_max == 0 &&
       is_first_list(source, relay_group_role(source->group, now));
   source->follower.open_list_is_stale = out->call.stale;
-  note_call(source, &out->call, now);
-  out->patience = source->at_store ? store_patience(source, &out->call)
-                                   : INSTANCE_PATIENCE;
+  record_call(source, &out->call, now);
+  out->patience = source->at_store ? store_timeout(source, &out->call)
+                                   : INSTANCE_CALL_TIMEOUT;
 }
 
-/* the store says that nothing has changed up to a revision before which
-** another instance has named a change */
+/*
+** Returns TRUE when the store says that nothing has changed up to a position,
+** and another instance has announced a change at or before it.
+*/
 static gboolean misses_change(const NewsSource *source,
                               const StoreReply *reply) {
   const NewsState *news =
@@ -282,17 +313,20 @@
          !store_position_is_before(reply->at, news->newest);
 }
 
-/* a watch that ended in another era says nothing of what stands now */
-static gboolean tells_present(const NewsSource *source,
-                              const StoreReply *reply) {
+/* A watch that ended in another era says nothing of the present objects. */
+static gboolean shows_present_state(const NewsSource *source,
+                                    const StoreReply *reply) {
   return reply->status == STORE_OK &&
          (source->asked_for != STORE_WATCH ||
           reply->at.era == source->follower.known.era);
 }
 
-/* an instance that knows an older era than this one has no news for it, nor
-** has one that knows an old list alone for one that knows better */
-static gboolean is_of_past(const NewsSource *source, const StoreReply *reply) {
+/*
+** Returns TRUE for an answer of an instance that knows an older era than this
+** one, or that knows only a stale list when this one knows better.
+*/
+static gboolean is_outdated_answer(const NewsSource *source,
+                                   const StoreReply *reply) {
   const Follower *follower = &source->follower;
   if (source->at_store)
     return FALSE;
@@ -307,7 +341,7 @@
   gboolean by_relay = source->asked != 0;
   gboolean is_answer = reply->status != STORE_FAILED;
   relay_group_observe_era(source->group, reply->at.era);
-  if (is_of_past(source, reply))
+  if (is_outdated_answer(source, reply))
     is_answer = FALSE;
   if (misses_change(source, reply)) {
     source->missed++;
@@ -316,16 +350,16 @@
   }
   if (source->at_store) {
     source->must_ask_store = FALSE;
-    if (tells_present(source, reply))
+    if (shows_present_state(source, reply))
       relay_group_confirm_store(source->group, source->follower.kind, now);
   }
   if (!source->at_store && !by_relay && !is_answer) {
-    source->seed_failed = TRUE; /* that is no failure of the store */
+    source->seed_failed = TRUE; /* this is no failure of the store */
     follower_abandon_call(&source->follower, now);
     return;
   }
   if (by_relay && !is_answer) {
-    /* that is no outage of the store */
+    /* this is no outage of the store */
     relay_group_suspend_relay(source->group, source->asked);
     source->must_ask_store = TRUE;
     follower_abandon_call(&source->follower, now);
@@ -335,9 +369,9 @@
   relay_group_advance_held(source->group, source->follower.kind,
                            source->follower.known, now);
   if (source->at_store && reply->status == STORE_OK)
-    prove(source, reply, now);
+    record_proof(source, reply, now);
   if (source->at_store && reply->status == STORE_FAILED &&
       relay_group_is_substitute(source->group, now))
     source->follower.retry_at =
-        MAX(source->follower.retry_at, now + STAND_IN_RETRY);
+        MAX(source->follower.retry_at, now + SUBSTITUTE_RETRY_WAIT);
 }
--- a/router/news_state.c
+++ b/router/news_state.c
@@ -1,6 +1,6 @@
 /*
 ** news_state.c
-** How an instance's knowledge compares to what any instance has named
+** How far an instance lags behind the store for one kind of objects
 */
 
 #include "router/news_state.h"
@@ -9,7 +9,7 @@
   return store_position_is_before(state->held, state->newest);
 }
 
-static void compare(NewsState *state, gint64 now) {
+static void update_lag(NewsState *state, gint64 now) {
   if (!news_state_is_behind(state))
     state->lags_since = 0;
   else if (state->lags_since == 0)
@@ -19,13 +19,13 @@
 void news_state_advance_held(NewsState *state, StorePosition position,
                              gint64 now) {
   state->held = store_position_later(state->held, position);
-  compare(state, now);
+  update_lag(state, now);
 }
 
 void news_state_advance_newest(NewsState *state, StorePosition position,
                                gint64 now) {
   state->newest = store_position_later(state->newest, position);
-  compare(state, now);
+  update_lag(state, now);
 }
 
 gint64 news_state_lag(const NewsState *state, gint64 now) {
--- a/router/news_state.h
+++ b/router/news_state.h
@@ -1,11 +1,16 @@
 /*
 ** news_state.h
-** How an instance's knowledge of one kind of the store's objects compares to
-** what any instance has named
+** How far an instance lags behind the store for one kind of objects
 **
-** Invariant: 'held' and 'newest' never decrease within a life. The store, or
-** an instance that follows it, names a position before anybody lacks it. What
-** is held of an older era lacks all that is named of a newer one.
+** An instance learns of changes in the store in two ways: it holds them, or it
+** hears in a heartbeat that another instance holds them. This module keeps the
+** latest position of both and the time since which the first one is behind.
+** "News" are changes of the store's objects.
+**
+** Invariant: 'held' and 'newest' never decrease while the process runs. The
+** store, or an instance that follows it, announces a position before any
+** instance counts as lacking it. What is held of an older era lacks all that
+** is announced of a newer one.
 */
 
 #ifndef ROUTER_NEWS_STATE_H
@@ -14,20 +19,26 @@
 #include "router/store_position.h"
 
 typedef struct NewsState {
-  StorePosition held;   /* every change up to there is known here */
-  StorePosition newest; /* the last change that any instance has named */
-  gint64 lags_since;    /* us; since 'newest' is not held; 0: it is held */
+  /* Every change up to this position, inclusive, is known here. */
+  StorePosition held;
+  /* Position of the latest change that any instance has announced. */
+  StorePosition newest;
+  /* Time in us since which 'newest' is not held; 0: it is held. */
+  gint64 lags_since;
 } NewsState;
 
-/* changes up to there are known here now */
+/* Records that changes up to this position are known here. */
 void news_state_advance_held(NewsState *state, StorePosition position,
                              gint64 now);
-/* another instance has named a change there */
+/* Records that another instance has announced a change at this position. */
 void news_state_advance_newest(NewsState *state, StorePosition position,
                                gint64 now);
-/* has a change been named that is not known here? */
+/* Returns TRUE when a change has been announced that is not known here. */
 gboolean news_state_is_behind(const NewsState *state);
-/* for how long a newer change has been known elsewhere, us; 0: none is */
+/*
+** Returns for how many us a newer change has been announced that is not known
+** here; 0: there is none.
+*/
 gint64 news_state_lag(const NewsState *state, gint64 now);
 
 #endif
--- a/router/records.h
+++ b/router/records.h
@@ -1,7 +1,10 @@
 /*
 ** records.h
-** What the platform tells about routes, services and endpoints
-** A dialect fills these; the router reads them.
+** Configuration and endpoints as the platform describes them
+**
+** A platform's dialect (platform/) parses the platform's objects into these
+** records; the router reads them. Times are in microseconds unless a name or a
+** comment says otherwise. A record owns its strings.
 */
 
 #ifndef ROUTER_RECORDS_H
@@ -22,65 +25,78 @@
   char *name;
   char *health_path;
   gboolean is_engine;
-  guint32 slots;            /* engines: requests at once */
-  guint32 kv_tokens;        /* engines: memory, in tokens */
-  guint32 tokens_per_event; /* engines: tokens in one event of a stream */
-  gint64 handle_life;       /* engines: microseconds */
-  gint64 switch_time;       /* engines: to change the stage; 0: they can't */
+  guint32 slots;            /* Engines: requests that run at the same time. */
+  guint32 kv_tokens;        /* Engines: size of the KV cache in tokens. */
+  guint32 tokens_per_event; /* Engines: tokens in one event of a stream. */
+  /* Engines: us that a KV handle stays valid after its prefill. */
+  gint64 handle_life;
+  /*
+  ** Engines: us that a change of the stage takes; 0: the stage can't change.
+  */
+  gint64 switch_time;
   guint32 max_connections;
 } Service;
 
 typedef enum RouteKind {
-  ROUTE_SAFE,   /* may run more than once */
-  ROUTE_UNSAFE, /* may run at most once */
-  ROUTE_STREAM  /* an answer in pieces; at most once unless resumable */
+  ROUTE_SAFE,   /* A request may run more than once. */
+  ROUTE_UNSAFE, /* A request may run at most once. */
+  /*
+  ** The response is a stream; a request may run at most once unless the route
+  ** is resumable.
+  */
+  ROUTE_STREAM
 } RouteKind;
 
-/* one of the services that share a route's requests */
+/* One of the services among which a route's requests are split. */
 typedef struct RouteTarget {
   char *service;
   guint32 weight;
 } RouteTarget;
 
-/* what a limit of an account counts */
+/* The unit in which the limit of a client account counts. */
 typedef enum AccountUnit {
   ACCOUNT_REQUESTS,
-  ACCOUNT_TOKENS /* of the prompt, and the most that may be generated */
+  /* Tokens of the prompt plus the largest number that may be generated. */
+  ACCOUNT_TOKENS
 } AccountUnit;
 
-/* a client account: who may send requests, and how many */
+/* A client account: who may send requests, and how many. */
 typedef struct Account {
   char *name;
-  guint32 priority; /* in the place of its requests' routes'; 0 is highest */
+  guint32 priority; /* Replaces the priority of the route; 0 is the highest. */
   AccountUnit unit;
-  guint32 plain_tokens; /* what a request without counts costs, in tokens */
-  double rate;          /* units a second, over all instances; 0: no limit */
-  double burst;         /* units above that at once */
+  /* Cost in tokens of a request that names no token counts. */
+  guint32 plain_tokens;
+  double rate;  /* Units per second over all instances; 0: no limit. */
+  double burst; /* Units that may be used at once beyond the rate. */
 } Account;
 
-/* tells two texts apart */
+/* A 128-bit hash by which texts are compared. */
 typedef struct TextDigest {
   guint64 low, high;
 } TextDigest;
 
 typedef struct Route {
-  gint refs;         /* tables that hold it */
-  TextDigest digest; /* of the text that it was written as */
+  gint refs;         /* Number of tables that hold this route. */
+  TextDigest digest; /* Digest of the text from which the route was read. */
   char *name;
   char *host;
-  char *prefix; /* begins and ends with a slash */
+  char *prefix; /* Path prefix; begins and ends with a slash. */
   RouteKind kind;
   gboolean resumable;
-  gboolean is_public; /* its requests need no account's key */
-  guint32 attempts;   /* most endpoints that may run one request */
-  gint64 timeout;     /* longest that a request is held */
-  gint64 objective;   /* time within which an answer earns all */
-  gint64 gap;         /* longest pause between pieces */
-  guint32 priority;   /* 0 is the highest */
-  GArray *targets;    /* RouteTarget, one at least */
+  gboolean is_public; /* Its requests need no account's key. */
+  /* Largest number of endpoints that may run one request. */
+  guint32 attempts;
+  gint64 timeout; /* Longest time in us for which a request is held. */
+  /* Time in us within which an answer has its full value. */
+  gint64 objective;
+  /* Longest acceptable pause in us between two pieces of a stream. */
+  gint64 gap;
+  guint32 priority; /* 0 is the highest. */
+  GArray *targets;  /* Array of RouteTarget with at least one element. */
 } Route;
 
-/* limits on what callers may send */
+/* Limits on what callers may send; sizes in bytes, times in us. */
 typedef struct CallerLimits {
   gsize max_head_bytes;
   gsize max_body_bytes;
@@ -88,53 +104,72 @@
   gint64 idle_timeout;
 } CallerLimits;
 
-/* one configuration, whole; immutable once built, shared by reference */
+/*
+** One complete configuration. A table is immutable once it is built, and
+** shared by reference.
+*/
 typedef struct RouteTable {
   gint refs;
   guint64 version;
-  GPtrArray *routes;   /* Route */
-  GHashTable *by_text; /* TextDigest -> Route, the same */
-  GPtrArray *services; /* Service */
-  GPtrArray *accounts; /* Account; NULL: requests need no key */
-  KeyTable *keys;      /* of 'accounts' */
+  GPtrArray *routes;   /* Array of Route. */
+  GHashTable *by_text; /* TextDigest -> Route, the same routes. */
+  GPtrArray *services; /* Array of Service. */
+  GPtrArray *accounts; /* Array of Account; NULL: requests need no key. */
+  KeyTable *keys;      /* Keys of 'accounts'. */
   CallerLimits limits;
 } RouteTable;
 
+/*
+** Returns an empty table with one reference; the last route_table_unref frees
+** it.
+*/
 RouteTable *route_table_new(void);
 RouteTable *route_table_ref(RouteTable *table);
 void route_table_unref(RouteTable *table);
 
-/* append an empty row, which was written as this text */
+/* Appends an empty route for this text and returns it. The table owns it. */
 Route *route_table_add_route(RouteTable *table, const char *text, gsize size);
-/* append the row that stands in 'older' (or NULL) with this text; FALSE: none
-** does. Rows do not change once they are shared */
+/*
+** Appends the route that 'older' (or NULL) holds for this text, and shares it
+** with 'older'. Returns FALSE, and appends nothing, when 'older' has none.
+** Routes do not change once they are shared.
+*/
 gboolean route_table_share_route(RouteTable *table, const RouteTable *older,
                                  const char *text, gsize size);
+/* Appends an empty service and returns it. The table owns it. */
 Service *route_table_add_service(RouteTable *table);
-/* from now on requests of routes that are not public need a key; adding an
-** account says so too */
+/*
+** Makes requests of routes that are not public need a key from now on. Adding
+** an account does this, too.
+*/
 void route_table_require_keys(RouteTable *table);
+/* Appends an empty account and returns it. The table owns it. */
 Account *route_table_add_account(RouteTable *table);
-/* a key of the account that was added last */
+/* Adds a key of the account that was added last. */
 void route_table_add_key(RouteTable *table, const char *key);
-/* the account that has the key of this digest (mp_digest), or NULL */
+/* Returns the account whose key has this digest (mp_digest), or NULL. */
 const Account *route_table_find_account(const RouteTable *table,
                                         const char *digest);
-/* what a request costs of its account's limit, in the limit's unit */
+/* Returns what a request costs of its account's limit, in the limit's unit. */
 double account_cost(const Account *account, guint32 prompt_tokens,
                     guint32 output_tokens);
+/* Adds a service to which requests go in proportion to 'weight'. */
 void route_add_target(Route *route, const char *service, guint32 weight);
 
-/* the route of this host with the longest prefix of the path, or NULL */
+/*
+** Returns the route of this host with the longest prefix that matches the
+** path, or NULL.
+*/
 const Route *route_table_find_route(const RouteTable *table, const char *host,
                                     const char *path);
+/* Returns the service with this name, or NULL. */
 const Service *route_table_find_service(const RouteTable *table,
                                         const char *name);
 
-/* the service for a request; 'draw' is uniform over guint32 */
+/* Returns the service for a request; 'draw' is uniform over guint32. */
 const char *route_choose_service(const Route *route, guint32 draw);
 
-/* may the requests of this route run more than once? */
+/* Returns TRUE when requests of this route may run more than once. */
 gboolean route_is_repeatable(const Route *route);
 
 /* }================================================================== */
@@ -152,37 +187,58 @@
 } EndpointStage;
 
 /*
-** An endpoint as the platform's list has it. Its process may start again under
-** the same id: a life of it is told by the id and the time of its start. What
-** was sent to an earlier life, and what that held, is gone with it.
+** An endpoint as the platform's list has it. The endpoint's process may
+** restart under the same id; an incarnation of it is identified by the id and
+** the process's start time. What was sent to an earlier incarnation, and what
+** that one held, is lost with it.
 */
 typedef struct EndpointRecord {
-  char *id; /* appears nowhere else in the list */
-  gint64
-      started_unix_ms; /* start of this life, by its own clock; 0: not said */
-  StorePosition position; /* of the store's last write of this; none: it is not
-                          ** known */
+  char *id; /* Unique in the list. */
+  /*
+  ** Unix time in ms at which this incarnation started, by the endpoint's
+  ** clock; 0: not stated.
+  */
+  gint64 started_unix_ms;
+  /*
+  ** Position of the store's last write of this endpoint; none: it is not
+  ** known.
+  */
+  StorePosition position;
   char *service;
   char *zone;
   mp_Addr address;
-  gboolean ready; /* FALSE: it is leaving */
+  gboolean ready; /* FALSE: the endpoint is leaving. */
   guint32 slots;
   EndpointStage stage;
-  gint64 warmup_left; /* how long it will still be slow; microseconds */
+  /* Time in us for which the endpoint will still be slow after its start. */
+  gint64 warmup_left;
 } EndpointRecord;
 
+/*
+** Frees the record's strings and sets its members to 0; the record itself
+** stays the caller's.
+*/
 void endpoint_record_clear(EndpointRecord *record);
 
-/* an instance of this system as it enters itself in the store */
+/* An instance of this system as it registers itself in the store. */
 typedef struct InstanceRecord {
-  mp_Addr exchange; /* where it hears datagrams of the others */
-  mp_Addr control;  /* where it tells others what it knows; 0: nowhere */
-  char *zone;       /* its data centre */
-  guint32 capacity; /* of its machine, for work that only some instances do:
-                    ** thousandths of a core, or a tenth of as many Mbit/s
-                    ** where the link has less; 0: not known */
+  /* Address at which it receives datagrams of other instances. */
+  mp_Addr exchange;
+  /*
+  ** Address at which it answers other instances about the store's objects; 0:
+  ** nowhere.
+  */
+  mp_Addr control;
+  char *zone; /* Name of its data centre. */
+  /*
+  ** Capacity of its machine for work that only some instances do: thousandths
+  ** of a core, or a tenth of that many Mbit/s where the link has less; 0: not
+  ** known.
+  */
+  guint32 capacity;
 } InstanceRecord;
 
+/* As endpoint_record_clear. */
 void instance_record_clear(InstanceRecord *record);
 
 /* }================================================================== */
--- a/router/retry_budget.h
+++ b/router/retry_budget.h
@@ -1,17 +1,18 @@
 /*
 ** retry_budget.h
-** How many extra arrivals the instances may cause at one service
+** Limits how many extra arrivals the instances cause at one service
 **
-** The bound holds over all instances together, in every sliding window:
+** An extra arrival is any arrival of a request at an endpoint beyond its
+** first. The limit holds over all instances together, in every sliding window:
 ** extra arrivals <= ratio * requests + slack. Each instance counts its own
-** requests and extra arrivals and those that the others tell with their
-** digests, and keeps to a part of the bound that leaves room for what is
-** on its way. Of what remains, it takes no more than an equal part in
-** each period, a period being longer than a digest travels: so many of
-** them may see the same failure at once. Instances that are not heard
-** from keep their share of the slack; their requests count nothing.
+** requests and extra arrivals and those that other instances report in their
+** load digests, and uses only a part of the limit, which leaves room for
+** reports that are still in transit. In each period it takes no more than an
+** equal share of what remains, because all instances may see the same failure
+** at once; a period is longer than a digest travels. Instances that are not
+** heard from keep their share of the slack; their requests don't count.
 **
-** A young instance does not know what was spent before its life, so until
+** An instance that has just started does not know what was spent before. Until
 ** one window has passed it spends against its own requests alone.
 */
 
@@ -22,54 +23,67 @@
 
 #define RETRY_BUDGET_BUCKETS 20
 
+/* Settings of the budget, and the start of this instance. */
 typedef struct RetryPolicy {
   double ratio;
-  double slack;  /* over all instances */
-  gint64 window; /* microseconds */
-  gint64 born;   /* when this instance started */
+  /* Extra arrivals allowed beyond the ratio, over all instances. */
+  double slack;
+  gint64 window; /* Length of the sliding window, us. */
+  gint64 born;   /* Time at which this instance started, us. */
 } RetryPolicy;
 
-/* who shares the budget, as this instance sees it now */
+/* The instances that share the budget, as this one sees them now. */
 typedef struct RetrySharers {
-  unsigned instances;    /* that there are */
-  unsigned heard;        /* of them, heard from lately; this one included */
-  double draw;           /* random, from 0 to 1 */
-  gboolean in_summaries; /* some are heard in summaries alone */
+  unsigned instances; /* Number of all instances. */
+  /* Number of those heard from recently, this one included. */
+  unsigned heard;
+  double draw; /* Random number, uniform from 0 to 1. */
+  /* Some are heard from only through summaries of their data centres. */
+  gboolean in_summaries;
 } RetrySharers;
 
+/* Numbers of requests and of extra arrivals. */
 typedef struct RetryCounts {
   guint32 requests;
   guint32 extras;
 } RetryCounts;
 
+/* Counts for one service; a zeroed one is valid. */
 typedef struct RetryBudget {
-  gint64 bucket[RETRY_BUDGET_BUCKETS]; /* which span of time it counts */
+  /* Number of the time span that each bucket counts. */
+  gint64 bucket[RETRY_BUDGET_BUCKETS];
   RetryCounts own[RETRY_BUDGET_BUCKETS];
   RetryCounts others[RETRY_BUDGET_BUCKETS];
-  RetryCounts total; /* own, since the start; told to the others */
-  RetryCounts near;  /* heard of instances, not of data centres, since then */
-  gint64 period;     /* the present one's number */
-  guint32 period_quota; /* extra arrivals it allows here */
+  /* Own counts since the start, which are reported to the others. */
+  RetryCounts total;
+  /* Counts reported by instances, not by summaries, since the start. */
+  RetryCounts near;
+  gint64 period; /* Number of the present period. */
+  /* Extra arrivals that this instance may cause in the period. */
+  guint32 period_quota;
   guint32 period_taken;
 } RetryBudget;
 
-/* a request for the service came */
+/* Counts a request for the service. */
 void retry_budget_count_request(RetryBudget *budget, const RetryPolicy *policy,
                                 gint64 now);
-/* an extra arrival that could not be helped */
+/* Counts an extra arrival that could not be avoided. */
 void retry_budget_count_extra(RetryBudget *budget, const RetryPolicy *policy,
                               gint64 now);
-/* another instance has told so many more */
+/* Adds what another instance has reported beyond its last report. */
 void retry_budget_add_others(RetryBudget *budget, const RetryPolicy *policy,
                              const RetryCounts *more, gint64 now);
-/* requests a second that other instances get: lately, or over the window if
-** that is more, since after a pause they may come back at once */
+/*
+** Returns the requests per second that other instances receive: recently, or
+** over the window if that is more, because they may return at once after a
+** pause.
+*/
 double retry_budget_others_rate(const RetryBudget *budget,
                                 const RetryPolicy *policy, gint64 now);
-/* would there be one more extra arrival left, by the bound alone? */
+/* Returns TRUE when one more extra arrival remains, by the limit alone. */
 gboolean retry_budget_has_extra(RetryBudget *budget, const RetryPolicy *policy,
                                 const RetrySharers *sharers, gint64 now);
-/* may there be one more extra arrival? Spends it when so */
+/* Returns TRUE when one more extra arrival is allowed now, and counts it. */
 gboolean retry_budget_try_take(RetryBudget *budget, const RetryPolicy *policy,
                                const RetrySharers *sharers, gint64 now);
 
--- a/router/retry_exchange.c
+++ b/router/retry_exchange.c
@@ -1,6 +1,6 @@
 /*
 ** retry_exchange.c
-** What instances tell each other about their retry budgets
+** Exchanges the counts of retry budgets between instances
 */
 
 #include <string.h>
@@ -55,11 +55,12 @@
   return NULL;
 }
 
-static guint32 grown(guint32 before, guint32 after) {
+static guint32 counter_growth(guint32 before, guint32 after) {
   return after >= before ? after - before : after;
 }
 
-static ServiceState *state_of(const Router *router, guint32 service) {
+static ServiceState *find_service_state(const Router *router,
+                                        guint32 service) {
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -71,9 +72,12 @@
   return NULL;
 }
 
-/* what a young instance hears first was spent before its life */
-static gboolean is_old_news(const Router *router, const mp_LoadDigest *before,
-                            gint64 now) {
+/*
+** What an instance that has just started hears first from a peer was spent
+** before its own start.
+*/
+static gboolean is_before_start(const Router *router,
+                                const mp_LoadDigest *before, gint64 now) {
   return before == NULL && now - router->retry.born < router->retry.window;
 }
 
@@ -85,23 +89,24 @@
 void retry_exchange_receive(Router *router, const mp_LoadDigest *before,
                             const mp_LoadDigest *after, gint64 now) {
   unsigned i;
-  if (is_old_news(router, before, now))
+  if (is_before_start(router, before, now))
     return;
   for (i = 0; i < after->retry_count; i++) {
     const mp_RetryRow *row = &after->retry[i];
     const mp_RetryRow *old = find_row(before, row->service);
-    ServiceState *state = state_of(router, row->service);
+    ServiceState *state = find_service_state(router, row->service);
     RetryCounts more;
     if (state == NULL)
       continue;
-    more.requests = grown(old != NULL ? old->requests : 0, row->requests);
-    more.extras = grown(old != NULL ? old->extras : 0, row->extras);
+    more.requests =
+        counter_growth(old != NULL ? old->requests : 0, row->requests);
+    more.extras = counter_growth(old != NULL ? old->extras : 0, row->extras);
     add_counts(&state->budget.near, &more);
     retry_budget_add_others(&state->budget, &router->retry, &more, now);
   }
 }
 
-/* sums shrink only when a relay starts to count anew */
+/* Sums shrink only when a relay starts to count anew. */
 static guint32 sum_growth(guint32 before, guint32 after) {
   return after >= before ? after - before : 0;
 }
@@ -112,7 +117,7 @@
   for (i = 0; before != NULL && i < after->retry_count; i++) {
     const mp_RetryRow *row = &after->retry[i];
     const mp_RetryRow *old = find_row(before, row->service);
-    ServiceState *state = state_of(router, row->service);
+    ServiceState *state = find_service_state(router, row->service);
     RetryCounts more;
     if (state == NULL)
       continue;
--- a/router/retry_exchange.h
+++ b/router/retry_exchange.h
@@ -1,8 +1,10 @@
 /*
 ** retry_exchange.h
-** What instances tell each other about their retry budgets
-** Totals since an instance's start travel with every digest: one that is
-** lost is made good by the next, and a smaller total is a new life's.
+** Exchanges the counts of retry budgets between instances
+**
+** Each load digest carries the totals since its sender's start. So a lost
+** digest is made up for by the next one, and a smaller total comes from a
+** sender that has restarted.
 */
 
 #ifndef ROUTER_RETRY_EXCHANGE_H
@@ -10,22 +12,33 @@
 
 #include "router/state.h"
 
-/* this instance's own totals */
+/* Writes this instance's own totals to 'out'. */
 void retry_exchange_write(const Router *router, mp_LoadDigest *out);
-/* those and what was heard of instances: the whole data centre's */
+/*
+** Writes the data centre's totals to 'out': those of this instance and what
+** other instances have reported to it.
+*/
 void retry_exchange_write_sum(const Router *router, mp_LoadDigest *out);
-/* a peer's digest replaces the one before; NULL: there was none */
+/*
+** Counts what a digest of a peer reports beyond 'before', the one that it
+** replaces; NULL: there was none.
+*/
 void retry_exchange_receive(Router *router, const mp_LoadDigest *before,
                             const mp_LoadDigest *after, gint64 now);
-/* the same of a data centre's sums. The first ones that a relay tells are
-** only where its counting begins */
+/*
+** As retry_exchange_receive, for the sums of a data centre. The first sums
+** that a relay reports only set the point from which it is counted.
+*/
 void retry_exchange_receive_sum(Router *router, const mp_LoadDigest *before,
                                 const mp_LoadDigest *after, gint64 now);
 
-/* is one more arrival beyond the first left for that service? */
+/* Returns TRUE when one more extra arrival remains for that service. */
 gboolean retry_exchange_has_extra(Router *router, const char *service,
                                   gint64 now);
-/* may a request for that service cause one more arrival? Spends it */
+/*
+** Returns TRUE when a request for that service may cause one more extra
+** arrival, and counts it.
+*/
 gboolean retry_exchange_try_take(Router *router, const char *service,
                                  gint64 now);
 
--- a/router/silence.c
+++ b/router/silence.c
@@ -1,33 +1,43 @@
 /*
 ** silence.c
-** How long an endpoint may say nothing of a dispatch
+** Timeouts for an endpoint that sends nothing for a dispatch
 */
 
 #include "router/silence.h"
 
-/* repeatable streams are resumed after this silence: so many objectives
-** before the first piece, so many of the longest pauses between pieces */
+/*
+** Repeatable streams are resumed after a silence of this many objectives
+** before the first piece, or this many of the longest pauses between pieces;
+** at least SILENCE_MIN.
+*/
 #define HEAD_SILENCE_OBJECTIVES 1.7
 #define PIECE_SILENCE_GAPS 3
-#define SILENCE_LEAST (500 * MP_MS)
-/* an engine that says nothing of a run for so long is in doubt: with the
-** prompt read, a head comes within some ten milliseconds */
+#define SILENCE_MIN (500 * MP_MS)
+/*
+** An engine that sends nothing for a run for this long is suspected: once the
+** prompt is processed, a head comes within some ten milliseconds.
+*/
 #define SUSPECT_SILENCE (400 * MP_MS)
-/* so is a plain endpoint after so many objectives; without it one that hangs
-** kept its share of the requests that must not be repeated */
+/*
+** A plain endpoint is suspected after this many objectives. Without that, one
+** that hangs keeps its share of the requests that must not be repeated.
+*/
 #define PLAIN_SUSPECT_OBJECTIVES 2
-/* plain repeatable requests: silence of so many objectives */
+/*
+** Repeatable requests of plain services fail after a silence of this many
+** objectives.
+*/
 #define SAFE_SILENCE_OBJECTIVES 2.5
-/* no plain endpoint is in doubt before this */
-#define PLAIN_SUSPECT_LEAST (100 * MP_MS)
+/* No plain endpoint is suspected earlier than this. */
+#define PLAIN_SUSPECT_MIN (100 * MP_MS)
 
 gint64 silence_head_timeout(const Request *request) {
   double wait = HEAD_SILENCE_OBJECTIVES * (double)request->route->objective;
-  return MAX((gint64)wait, SILENCE_LEAST);
+  return MAX((gint64)wait, SILENCE_MIN);
 }
 
 gint64 silence_piece_timeout(const Request *request) {
-  return MAX(PIECE_SILENCE_GAPS * request->route->gap, SILENCE_LEAST);
+  return MAX(PIECE_SILENCE_GAPS * request->route->gap, SILENCE_MIN);
 }
 
 gint64 silence_deadline(const Request *request, gint64 now) {
@@ -43,5 +53,5 @@
 gint64 silence_suspect_after(const Request *request) {
   gint64 objectives = PLAIN_SUSPECT_OBJECTIVES * request->route->objective;
   return request->service->is_engine ? SUSPECT_SILENCE
-                                     : MAX(objectives, PLAIN_SUSPECT_LEAST);
+                                     : MAX(objectives, PLAIN_SUSPECT_MIN);
 }
--- a/router/silence.h
+++ b/router/silence.h
@@ -1,6 +1,6 @@
 /*
 ** silence.h
-** How long an endpoint may say nothing of a dispatch, in microseconds
+** Timeouts for an endpoint that sends nothing for a dispatch, in microseconds
 */
 
 #ifndef ROUTER_SILENCE_H
@@ -8,13 +8,21 @@
 
 #include "router/state.h"
 
-/* before the head of a stream, and between two of its pieces: then it is
-** resumed elsewhere, if that may be */
+/*
+** Timeout before the head of a stream, and between two of its pieces. A stream
+** is then resumed on another endpoint, if that is allowed.
+*/
 gint64 silence_head_timeout(const Request *request);
 gint64 silence_piece_timeout(const Request *request);
-/* when silence of the endpoint is taken for a failure; 0: never */
+/*
+** Returns the time at which the endpoint's silence counts as a failure, for a
+** dispatch that begins at 'now'; 0: never.
+*/
 gint64 silence_deadline(const Request *request, gint64 now);
-/* silence after which the endpoint is in doubt, for the next choices alone */
+/*
+** Returns the silence after which the endpoint is suspected, which only
+** affects the next choices of an endpoint.
+*/
 gint64 silence_suspect_after(const Request *request);
 
 #endif
--- a/router/store_position.c
+++ b/router/store_position.c
@@ -1,6 +1,6 @@
 /*
 ** store_position.c
-** A position in the store's history
+** A position in the store's history of changes
 */
 
 #include "router/store_position.h"
--- a/router/store_position.h
+++ b/router/store_position.h
@@ -1,12 +1,15 @@
 /*
 ** store_position.h
-** A position in the store's history
+** A position in the store's history of changes
 **
-** The store counts its changes. When it is restored from a copy, its count
-** goes back, and the same revisions are given out again: its era, which rises
-** by one then, tells them apart. Invariants. A revision is compared only
-** within its era, and a position of an older era is before each one of a newer
-** era. The compiler refuses to compare two positions by an operator.
+** The store numbers its changes with revisions. When it is restored from a
+** backup, its counter goes back and the same revisions are assigned again. The
+** store's era, which grows by one at each restore, tells them apart: a
+** position is a pair of an era and a revision.
+**
+** Invariants: revisions are compared only within one era, and each position of
+** an older era is before each position of a newer one. A position is a struct,
+** so the compiler refuses to compare two of them with an operator.
 */
 
 #ifndef ROUTER_STORE_POSITION_H
@@ -18,7 +21,9 @@
 
 typedef mp_StorePosition StorePosition;
 
-/* size of a position's text */
+/*
+** Size in bytes of the buffer for store_position_format, with the final NUL.
+*/
 #define STORE_POSITION_TEXT_SIZE 48
 
 static inline StorePosition store_position(guint64 era, gint64 revision) {
@@ -28,17 +33,22 @@
   return position;
 }
 
-/* before everything that the store has */
+/* Returns the position before all changes of the store. */
 static inline StorePosition store_position_none(void) {
   return store_position(0, 0);
 }
 
+/* Returns TRUE when the revision is 0 or less, whatever the era. */
 gboolean store_position_is_none(StorePosition position);
-/* as strcmp: negative when 'one' is before 'other' */
+/*
+** Compares as strcmp does: the result is negative when 'one' is before
+** 'other', 0 when they are equal and positive otherwise.
+*/
 int store_position_compare(StorePosition one, StorePosition other);
 gboolean store_position_is_before(StorePosition one, StorePosition other);
+/* Returns the later one of the two positions. */
 StorePosition store_position_later(StorePosition one, StorePosition other);
-/* ERA.REVISION; returns 'out' */
+/* Writes ERA.REVISION in decimal to 'out' and returns 'out'. */
 const char *store_position_format(StorePosition position,
                                   char out[STORE_POSITION_TEXT_SIZE]);
 
--- a/router/text_history.c
+++ b/router/text_history.c
@@ -1,28 +1,31 @@
 /*
 ** text_history.c
-** The latest changes of one object's text
+** The latest changes of one object's text, as patches
 */
 
 #include "router/text_history.h"
 #include "router/text_patch.h"
 
-/* bounds of a history: changes, and bytes of their patches */
-#define CHANGES_MOST 128
-#define BYTES_MOST (16 << 10)
+/*
+** Bounds of a history, inclusive: the number of changes, and the bytes of all
+** their patches.
+*/
+#define CHANGES_MAX 128
+#define PATCH_BYTES_MAX (16 << 10)
 
 struct TextHistory {
   GArray *changes; /* TextChange, the oldest one first */
-  gsize bytes;     /* of their patches */
+  gsize bytes;     /* total size of the patches */
 };
 
-static void change_clear(gpointer p) {
+static void clear_change(gpointer p) {
   TextChange *change = p;
   g_bytes_unref(change->patch);
 }
 
 GArray *text_changes_new(void) {
   GArray *changes = g_array_new(FALSE, FALSE, sizeof(TextChange));
-  g_array_set_clear_func(changes, change_clear);
+  g_array_set_clear_func(changes, clear_change);
   return changes;
 }
 
@@ -62,7 +65,7 @@
   g_free(history);
 }
 
-static void forget_oldest(TextHistory *history) {
+static void drop_oldest(TextHistory *history) {
   history->bytes -= g_bytes_get_size(change_at(history->changes, 0)->patch);
   g_array_remove_index(history->changes, 0);
 }
@@ -77,11 +80,12 @@
 void text_history_add(TextHistory *history, StorePosition from,
                       StorePosition to, GBytes *patch) {
   while (history->changes->len > 0 && leaves_gap(history, from))
-    forget_oldest(history);
+    drop_oldest(history);
   text_changes_add(history->changes, from, to, patch);
   history->bytes += g_bytes_get_size(patch);
-  while (history->changes->len > CHANGES_MOST || history->bytes > BYTES_MOST)
-    forget_oldest(history);
+  while (history->changes->len > CHANGES_MAX ||
+         history->bytes > PATCH_BYTES_MAX)
+    drop_oldest(history);
 }
 
 GArray *text_history_since(const TextHistory *history,
--- a/router/text_patch.c
+++ b/router/text_patch.c
@@ -1,6 +1,6 @@
 /*
 ** text_patch.c
-** The difference of two texts, as bytes, by zstd
+** Binary patches between two versions of a text, made with zstd
 */
 
 #include <string.h>
@@ -9,18 +9,24 @@
 
 #include "router/text_patch.h"
 
-/* of zstd: the fastest one that finds what was moved */
-#define LEVEL 1
-/* largest text that a patch may make, bytes */
-#define TEXT_MOST (16 << 20)
-/* log2 of the window that holds two such texts */
-#define WINDOW_LOG_MOST 25
-#define WINDOW_LOG_LEAST 10
+/* zstd's fastest level that still finds parts of the text that were moved. */
+#define COMPRESSION_LEVEL 1
+/* Size in bytes of the largest text that a patch may produce, inclusive. */
+#define PATCHED_TEXT_MAX (16 << 20)
+/*
+** Base-2 logarithm of the window's size: the largest one holds two texts of
+** PATCHED_TEXT_MAX bytes.
+*/
+#define WINDOW_LOG_MAX 25
+#define WINDOW_LOG_MIN 10
 
-/* the window must hold both texts, or nothing of the older one is found */
-static int window_log(gsize size) {
-  int log = WINDOW_LOG_LEAST;
-  while (log < WINDOW_LOG_MOST && ((gsize)1 << log) < size)
+/*
+** Returns the logarithm for two texts of 'size' bytes together. The window
+** must hold both, or the encoder finds no matches in the older text.
+*/
+static int window_log_for(gsize size) {
+  int log = WINDOW_LOG_MIN;
+  while (log < WINDOW_LOG_MAX && ((gsize)1 << log) < size)
     log++;
   return log;
 }
@@ -28,39 +34,42 @@
 GBytes *text_patch_new(const char *from, const char *to) {
   gsize from_size = strlen(from);
   gsize to_size = strlen(to);
-  gsize room = ZSTD_compressBound(to_size);
-  guint8 *patch = g_malloc(room);
+  gsize capacity = ZSTD_compressBound(to_size);
+  guint8 *patch = g_malloc(capacity);
   ZSTD_CCtx *context = ZSTD_createCCtx();
   gsize size;
-  ZSTD_CCtx_setParameter(context, ZSTD_c_compressionLevel, LEVEL);
+  ZSTD_CCtx_setParameter(context, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
   ZSTD_CCtx_setParameter(context, ZSTD_c_checksumFlag, 1);
   ZSTD_CCtx_setParameter(context, ZSTD_c_windowLog,
-                         window_log(from_size + to_size));
+                         window_log_for(from_size + to_size));
   ZSTD_CCtx_refPrefix(context, from, from_size);
-  size = ZSTD_compress2(context, patch, room, to, to_size);
+  size = ZSTD_compress2(context, patch, capacity, to, to_size);
   ZSTD_freeCCtx(context);
-  g_assert(!ZSTD_isError(size)); /* 'room' is enough for any text */
+  /* 'capacity' suffices for any text of this size */
+  g_assert(!ZSTD_isError(size));
   return g_bytes_new_take(g_realloc(patch, size), size);
 }
 
 char *text_patch_apply(const char *from, const void *patch, gsize size) {
-  unsigned long long made = ZSTD_getFrameContentSize(patch, size);
+  unsigned long long declared_size = ZSTD_getFrameContentSize(patch, size);
   ZSTD_DCtx *context;
   char *to;
-  gsize got;
-  if (made > TEXT_MOST) /* errors are larger than any size */
+  gsize written;
+  /* zstd's error codes are larger than any size */
+  if (declared_size > PATCHED_TEXT_MAX)
     return NULL;
-  to = g_malloc(made + 1);
+  to = g_malloc(declared_size + 1);
   context = ZSTD_createDCtx();
-  ZSTD_DCtx_setParameter(context, ZSTD_d_windowLogMax, WINDOW_LOG_MOST);
+  ZSTD_DCtx_setParameter(context, ZSTD_d_windowLogMax, WINDOW_LOG_MAX);
   ZSTD_DCtx_refPrefix(context, from, strlen(from));
-  got = ZSTD_decompressDCtx(context, to, made, patch, size);
+  written = ZSTD_decompressDCtx(context, to, declared_size, patch, size);
   ZSTD_freeDCtx(context);
-  if (ZSTD_isError(got) || got != made || memchr(to, '\0', got) != NULL) {
+  if (ZSTD_isError(written) || written != declared_size ||
+      memchr(to, '\0', written) != NULL) {
     g_free(to);
     return NULL;
   }
-  to[got] = '\0';
+  to[written] = '\0';
   return to;
 }
 
--- a/router/text_patch.h
+++ b/router/text_patch.h
@@ -1,9 +1,10 @@
 /*
 ** text_patch.h
-** The difference of two texts, as bytes, by zstd
+** Binary patches between two versions of a text, made with zstd
 **
-** A patch holds a checksum of the text that it makes: applied to another
-** text than it was made from, it makes none.
+** A patch holds a checksum of the text that it produces. Applied to another
+** text than the one that it was made from, it fails instead of producing a
+** wrong text.
 */
 
 #ifndef ROUTER_TEXT_PATCH_H
@@ -11,13 +12,17 @@
 
 #include <glib.h>
 
-/* the patch that makes 'to' of 'from'; "" as 'from' compresses 'to' alone.
-** Free it with g_bytes_unref */
+/*
+** Returns the patch that turns 'from' into 'to', to be freed with
+** g_bytes_unref. With "" as 'from' it is 'to' alone, compressed.
+*/
 GBytes *text_patch_new(const char *from, const char *to);
-/* the text that the patch makes of 'from', to be freed; NULL: it fits another
-** one, or is spoilt */
+/*
+** Returns the text that the patch produces from 'from', to be freed with
+** g_free. NULL: the patch was made from another text or is corrupt.
+*/
 char *text_patch_apply(const char *from, const void *patch, gsize size);
-/* do these bytes begin like a patch? No text does */
+/* Returns TRUE when these bytes begin as a patch does; no text begins so. */
 gboolean text_patch_is_patch(const void *bytes, gsize size);
 
 #endif
