--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -132,9 +132,10 @@
 m r-young "BUDGET: no slack in a young life" router/retry_budget.c \
   'return now - policy->born < policy->window;' 'return FALSE;'
 m r-others "BUDGET: what others spent counts" router/retry_exchange.c \
-  'more.extras = grown(' 'more.extras = 0 * grown('
+  'more.extras = counter_growth(' 'more.extras = 0 * counter_growth('
 m r-part "BUDGET: no more than an equal part a period" router/retry_budget.c \
-  'double part = MAX(left, 0) / among;' 'double part = MAX(left, 0) + 0 * among;'
+  'double share = MAX(left, 0) / sharing;' \
+  'double share = MAX(left, 0) + 0 * sharing;'
 m r-silent "BUDGET: silent instances keep their slack" router/retry_budget.c \
   'MIN(heard, 1.0)' '1.0'
 m r-lease "ONE: another's lease is waited for" router/lease.c \
@@ -215,7 +216,7 @@
   router/relay_group.c 'before.fresh += is_fresh(group, relay, now);' \
   'before.fresh += is_heard(relay, now);'
 m n-within "relays: their age is bound by what is allowed" \
-  router/relay_group.c 'MAX(bound, WATCH_LEAST + SLOW_ANSWER_MAX));' \
+  router/relay_group.c 'MAX(bound, WATCH_WAIT_MIN + SLOW_ANSWER_MAX));' \
   'bound > 0 ? relay_news_age_max(times) : 0);'
 m n-often "relays: they ask the store often enough to stay fresh" \
   router/news_source.c 'relay_group_watch_wait(source->group, call->kind, now));' \
@@ -225,8 +226,9 @@
   'return news_age_from(group, TRUE, now);'
 m n-whole "relays: they name what there is to who asks from before a list" \
   router/follower.c \
-  'is_same || (!is_first &&
-                  store_position_is_before(query->since, follower->forgotten));' \
+  'is_same ||
+               (!is_first && store_position_is_before(
+                                 query->since, follower->removals_unknown_to));' \
   'is_same;'
 m n-noroute "router: old news say nothing of a route they lack" \
   router/router.c \
@@ -238,7 +240,8 @@
 m n-level "relays: none is fresh by news that it lacks" \
   router/relay_group.c 'if (!holds_all_news(group, relay))' 'if (FALSE)'
 m n-again "news: a relay that failed is asked again" router/news_source.c \
-  'source->must_ask_store = FALSE; /* a relay that failed' '/* a relay that failed'
+  'may answer now. */
+  source->must_ask_store = FALSE;' 'may answer now. */'
 m n-silent "news: no call is given up while its answer arrives" \
   router/news_source.c 'MAX(source->behind_since, source->progress_at) +' \
   'source->behind_since +'
@@ -294,7 +297,8 @@
   'return 10 * wait;'
 m n-back "news: what an older list names does not come back" \
   router/follower.c \
-  'return !store_position_is_before(at, known->learned) ||' 'return TRUE ||'
+  'return !store_position_is_before(at, known->changed_by) ||' \
+  'return TRUE ||'
 m n-old "news: an older list takes no effect" router/follower.c \
   'return store_position_is_before(reply->at, follower->known);' \
   'return FALSE;'
@@ -332,7 +336,7 @@
   'if (promises_not_run(kind))' 'if (FALSE)'
 m p-arrival "proof: a heartbeat counts from when it was sent" \
   router/config_proof.c \
-  'at = (gint64)beat->sent_us + clock->behind -' 'at = now -'
+  'at = (gint64)beat->sent_us + clock->offset_min -' 'at = now -'
 m p-known "proof: changes that are not known prove nothing" \
   router/config_proof.c \
   '!knows_changes_up_to(proof, beat->changed[STORE_CONFIGURATION]))' 'FALSE)'
@@ -387,7 +391,8 @@
   'if (account == NULL)
     return call->content;' 'return call->content;'
 m v-later "lives: a later one ends what runs" router/lives.c \
-  'while ((number = open_dispatch(router, id, life)) != 0)' 'while (FALSE)'
+  'while ((number = find_open_dispatch(router, id, life)) != 0)' \
+  'while (FALSE)'
 m v-early "lives: an earlier one changes nothing" router/endpoint_table.c \
   'return ENDPOINT_OUTDATED;' 'return ENDPOINT_SAME;'
 m v-hash "lives: told apart in digests" router/endpoint_table.c \
@@ -409,7 +414,7 @@
   return TRUE;
 }'
 m n-taking "news: no call begins while a reply is taken" router/follower.c \
-  'follower->open || follower->taking ?' 'follower->open ?'
+  'follower->open || follower->is_handling_reply ?' 'follower->open ?'
 m n-seed "news: a seed that knows nothing is no failure of the store" \
   router/news_source.c \
   'if (!source->at_store && !by_relay && !is_answer)' 'if (FALSE)'
@@ -521,7 +526,7 @@
   'follower->partial |= reply->partial;' \
   ''
 m b-again "lists: such a one is read again" router/follower.c \
-  'follower->relist_at = now + PARTIAL_AGAIN;' \
+  'follower->relist_at = now + PARTIAL_RELIST_DELAY;' \
   'follower->relist_at = 0;'
 m b-watch 'watches: one that can'"'"'t be cut has the list read' platform/store.c \
   '    out->status = STORE_HISTORY_GONE;
