--- a/router/follower.c
+++ b/router/follower.c
@@ -168,9 +168,10 @@
 
 /*
 ** Returns TRUE when an object in a reply is newer than what is known of it.
-** 'at' is the store's position in that reply. An object that is known to be
-** gone exists again when a reply as new as its removal says so, even at its
-** old position. What was known from a stale list is replaced by anything that
+** 'at' is the store's position in that reply. A removal applies to any object
+** that exists, whatever its position. An object that is known to be gone
+** exists again when a reply as new as its removal says so, even at its old
+** position. What was known from a stale list is replaced by anything that
 ** differs.
 */
 static gboolean is_newer_state(const Follower *follower,
@@ -260,7 +261,7 @@
     follower->changed = store_position_later(follower->changed, at);
 }
 
-/* 'at' is the store's position in that reply. */
+/* Stores the new state of an object; 'at' is the store's position. */
 static void store_object(Follower *follower, const StoreObject *update,
                          StorePosition at) {
   const char *text = update->gone ? NULL : update->text;
--- a/router/follower.h
+++ b/router/follower.h
@@ -6,8 +6,8 @@
 ** make next and what an answer means; it does no input or output. The code
 ** that drives it (news_source.h) takes a StoreCall, has it performed and hands
 ** back a StoreReply. The callbacks in FollowerHost report each change. A call
-*may go to the store or to another instance that follows it; positions
-** are always the store's.
+** may go to the store or to another instance that follows it; positions are
+** always the store's.
 **
 ** Invariants: at most one call is open. An object is never replaced by an
 ** older position of itself. A list that takes several pages removes objects
@@ -65,10 +65,10 @@
 } StoreKind;
 
 typedef enum StoreOperation {
-  STORE_LIST,
-  STORE_WATCH,
-  STORE_CREATE,
-  STORE_READ, /* Reads one object. */
+  STORE_LIST,   /* Lists all objects, in pages. */
+  STORE_WATCH,  /* Waits for changes after a position. */
+  STORE_CREATE, /* Creates one object. */
+  STORE_READ,   /* Reads one object. */
   /* Replaces one object if it is still at the given revision. */
   STORE_REPLACE,
   STORE_REMOVE /* Removes one object under the same condition. */
@@ -78,7 +78,7 @@
 struct InstanceRecord;
 struct QuarantineRecord;
 
-/* A call to make; names of operations say which ones use a member. */
+/* A call to make. The operations that use a member stand before its colon. */
 typedef struct StoreCall {
   StoreKind kind;
   StoreOperation operation;
@@ -166,10 +166,12 @@
   void *data;
   /* An object is new, changed or gone. */
   void (*object)(void *data, StoreKind kind, const StoreObject *object);
-  /* A list is complete: the keys of 'names' are all objects that exist. */
+  /*
+  ** A complete list, or a relay's reply that is 'whole', was read: the keys of
+  ** 'names' are all objects that exist.
+  */
   void (*listed)(void *data, StoreKind kind, GHashTable *names);
-  /* A call failed, or its answer was outdated, and the one before it did not.
-   */
+  /* A call failed or its answer was outdated, for the first time in a row. */
   void (*lost)(void *data, StoreKind kind);
   /* A call succeeded again after failures. */
   void (*regained)(void *data, StoreKind kind);
@@ -293,9 +295,12 @@
 ** position of an older era is useless.
 */
 void follower_observe_era(Follower *follower, guint64 era);
-/* Closes a call to a store that is silent. It doesn't count as a failure. */
+/*
+** Closes a call to a store that is silent. It doesn't count as a failure. A
+** follower of a single object lists when it returns to the store.
+*/
 void follower_abandon_store_call(Follower *follower, gint64 now);
-/* Returns TRUE once a list was complete or was succeeded by a watch. */
+/* Returns TRUE once a list was read to its end, even a partial one. */
 gboolean follower_is_synced(const Follower *follower);
 
 /* A call of another follower, to be answered by follower_answer. */
@@ -313,8 +318,8 @@
 ** Writes to 'out' what the store would answer to another follower, as far as
 ** this one knows: all objects, or those that changed after a position. When
 ** removals since that position may be unknown here, the reply names all
-** objects ('whole'). The status is STORE_FAILED until a list was complete.
-** Long texts are sent as patches unless 'in_full' is set. A caller that has
+** objects ('whole'). The status is STORE_FAILED until follower_is_synced. Long
+** texts are sent as patches unless 'in_full' is set. A caller that has
 ** everything already, by its digest, is sent the names alone. The caller
 ** clears 'out' with store_reply_clear.
 */
--- a/router/lease.h
+++ b/router/lease.h
@@ -31,12 +31,12 @@
   char *holder;  /* Name of this instance. */
   gint64 length; /* Duration of a lease; 0: no lease is ever taken. */
   gboolean open; /* A call is open. */
-  StoreOperation operation;
-  gint64 sent_at;
-  gint64 retry_at;  /* No call is made before this time. */
-  gboolean known;   /* The members below were read from the store. */
-  gboolean absent;  /* There is no object yet. */
-  gboolean own;     /* This instance replaced the object last. */
+  StoreOperation operation; /* Operation of that call. */
+  gint64 sent_at;           /* Time at which the open call was made. */
+  gint64 retry_at;          /* No call is made before this time. */
+  gboolean known;           /* The object's state was read from the store. */
+  gboolean absent;          /* There is no object yet. */
+  gboolean own;             /* This instance replaced the object last. */
   guint64 era;      /* Latest era of the store that was named; 0: none was. */
   guint64 sent_era; /* Value of 'era' when the open call was made. */
   gint64 free_from; /* No lease is taken before this time. */
--- a/router/lives.c
+++ b/router/lives.c
@@ -14,6 +14,7 @@
 
 #include "router/state.h"
 
+/* Callback of the crash watch: sends a check, and returns its number or 0. */
 static guint64 send_check(void *data, const Endpoint *endpoint, gint64 timeout,
                           gint64 now) {
   Router *router = data;
@@ -25,6 +26,7 @@
   return target != NULL ? dispatcher_send(router, &dispatch, target, now) : 0;
 }
 
+/* Callback of the crash watch: counts the end against the suspects. */
 static void handle_endpoint_end(void *data, const char *endpoint, guint32 life,
                                 const QuarantineSuspect *suspects, guint count,
                                 const char *how, gint64 now) {
@@ -62,8 +64,8 @@
 }
 
 /*
-** Forgets the prompts that the endpoint had processed and the decode endpoint
-** that was reserved there: they are gone.
+** Forgets, in all requests, the prompts that the endpoint had processed and
+** the reservations of it for the decode stage: they are gone.
 */
 static void drop_prompts(Router *router, const char *endpoint) {
   GHashTableIter iterator;
--- a/router/news_source.c
+++ b/router/news_source.c
@@ -142,7 +142,7 @@
 ** One of many substitutes for relays asks for the quarantine only once the
 ** store answers it about what matters more, because a failed call costs, too.
 */
-static gboolean can_wait(const NewsSource *source, gint64 now) {
+static gboolean should_defer_call(const NewsSource *source, gint64 now) {
   return source->follower.kind == STORE_QUARANTINE &&
          relay_group_is_substitute(source->group, now) &&
          !relay_group_is_store_answering(source->group, now);
@@ -150,7 +150,7 @@
 
 static void choose_target(NewsSource *source, gint64 now, NewsAction *out) {
   RelayRole role = relay_group_role(source->group, now);
-  if (can_wait(source, now))
+  if (should_defer_call(source, now))
     return;
   if (is_first_list(source, role))
     choose_for_store_reader(source, now, out);
@@ -163,12 +163,12 @@
 }
 
 static gint64 store_timeout(const NewsSource *source, const StoreCall *call) {
-  gint64 patience = CALL_TIMEOUT;
+  gint64 timeout = CALL_TIMEOUT;
   if (call->operation == STORE_WATCH)
     return call->wait + WATCH_ANSWER_MARGIN;
   if (!is_synced(source))
-    patience = FIRST_CALL_TIMEOUT << MIN(source->follower.failures, 2);
-  return MIN(patience, CALL_TIMEOUT);
+    timeout = FIRST_CALL_TIMEOUT << MIN(source->follower.failures, 2);
+  return MIN(timeout, CALL_TIMEOUT);
 }
 
 void news_source_progress(NewsSource *source, gint64 now) {
@@ -337,7 +337,7 @@
 
 void news_source_reply(NewsSource *source, const StoreReply *reply,
                        gint64 now) {
-  static const StoreReply list_again = {.status = STORE_HISTORY_GONE};
+  static const StoreReply relist_reply = {.status = STORE_HISTORY_GONE};
   gboolean by_relay = source->asked != 0;
   gboolean is_answer = reply->status != STORE_FAILED;
   relay_group_observe_era(source->group, reply->at.era);
@@ -345,7 +345,7 @@
     is_answer = FALSE;
   if (misses_change(source, reply)) {
     source->missed++;
-    follower_handle_reply(&source->follower, &list_again, now);
+    follower_handle_reply(&source->follower, &relist_reply, now);
     return;
   }
   if (source->at_store) {
@@ -354,12 +354,13 @@
       relay_group_confirm_store(source->group, source->follower.kind, now);
   }
   if (!source->at_store && !by_relay && !is_answer) {
-    source->seed_failed = TRUE; /* this is no failure of the store */
+    /* This is no failure of the store. */
+    source->seed_failed = TRUE;
     follower_abandon_call(&source->follower, now);
     return;
   }
   if (by_relay && !is_answer) {
-    /* this is no outage of the store */
+    /* This is no outage of the store. */
     relay_group_suspend_relay(source->group, source->asked);
     source->must_ask_store = TRUE;
     follower_abandon_call(&source->follower, now);
--- a/router/news_source.h
+++ b/router/news_source.h
@@ -61,9 +61,9 @@
   gint64 asked_at;      /* Time at which the open call was made, us. */
   /* Time at which bytes of its answer came last, or the call was made, us. */
   gint64 progress_at;
-  StoreOperation asked_for;
-  gint64 asked_wait; /* WATCH: as in the call. */
-  gboolean asked_stale;
+  StoreOperation asked_for; /* Operation of the open call. */
+  gint64 asked_wait;        /* WATCH: as in the call. */
+  gboolean asked_stale;     /* LIST: as in the call. */
   /* Latest era of the store that was known when the call was made. */
   guint64 asked_era;
   /*
--- a/router/relay_group.c
+++ b/router/relay_group.c
@@ -73,7 +73,8 @@
   mp_Addr address;
   guint64 order;
   gboolean is_near; /* belongs to this data centre */
-  gint64 heard_at;
+  gint64 heard_at;  /* time of its last heartbeat */
+  /* it did not answer, and has sent no heartbeat since */
   gboolean is_suspended;
   /*
   ** Time of the store's latest answer to the relay, or to one that it hears,
@@ -122,7 +123,7 @@
 }
 
 /*
-** Gives the same value at every instance, and unlike ones for similar
+** Returns a hash that is the same at every instance, and unlike for similar
 ** addresses.
 */
 static guint64 address_hash(mp_Addr address) {
@@ -442,7 +443,7 @@
 /*
 ** Returns how long this instance waits for other relays before it becomes one.
 */
-static gint64 take_over_wait(const RelayGroup *group, gint64 now) {
+static gint64 takeover_wait(const RelayGroup *group, gint64 now) {
   guint wanted = relays_wanted(group);
   gint64 wait;
   if (group->place < wanted)
@@ -466,7 +467,7 @@
   }
   if (group->shortage_since == 0)
     group->shortage_since = now;
-  return now - group->shortage_since >= take_over_wait(group, now)
+  return now - group->shortage_since >= takeover_wait(group, now)
              ? RELAY_ROLE_RELAY
              : RELAY_ROLE_MEMBER;
 }
@@ -500,7 +501,7 @@
     return MAX(group->start_deadline, now);
   if (group->shortage_since == 0)
     return MIN(next_freshness_end(group, now), now + RELAY_HEARTBEAT_INTERVAL);
-  due = group->shortage_since + take_over_wait(group, now);
+  due = group->shortage_since + takeover_wait(group, now);
   return due > now ? MIN(due, now + RELAY_HEARTBEAT_INTERVAL)
                    : now + RELAY_HEARTBEAT_INTERVAL;
 }
--- a/router/retry_budget.c
+++ b/router/retry_budget.c
@@ -34,6 +34,10 @@
 */
 #define RECENT_BUCKETS 4
 
+/*
+** Returns the index of the bucket for 'now', and clears the bucket when it
+** counted an earlier span of time.
+*/
 static guint current_bucket(RetryBudget *budget, const RetryPolicy *policy,
                             gint64 now) {
   static const RetryCounts none = {0, 0};
@@ -67,7 +71,7 @@
   others->extras += more->extras;
 }
 
-static gboolean is_young(const RetryPolicy *policy, gint64 now) {
+static gboolean is_in_first_window(const RetryPolicy *policy, gint64 now) {
   return now - policy->born < policy->window;
 }
 
@@ -85,14 +89,14 @@
       continue;
     requests += budget->own[i].requests;
     extras += budget->own[i].extras;
-    if (is_young(policy, now))
+    if (is_in_first_window(policy, now))
       continue;
     requests += budget->others[i].requests;
     extras += budget->others[i].extras;
   }
   requests *= policy->ratio *
               (sharers->in_summaries ? RATIO_MARGIN_SUMMED : RATIO_MARGIN);
-  if (is_young(policy, now))
+  if (is_in_first_window(policy, now))
     return requests - extras;
   slack = policy->slack *
           (sharers->in_summaries ? SLACK_MARGIN_SUMMED : SLACK_MARGIN);
@@ -137,7 +141,8 @@
 static void begin_period(RetryBudget *budget, const RetryPolicy *policy,
                          const RetrySharers *sharers, double left,
                          gint64 now) {
-  unsigned sharing = is_young(policy, now) ? 1 : MAX(sharers->heard, 1);
+  unsigned sharing =
+      is_in_first_window(policy, now) ? 1 : MAX(sharers->heard, 1);
   double share = MAX(left, 0) / sharing;
   budget->period = quota_period(sharers, now);
   budget->period_taken = 0;
--- a/router/retry_budget.h
+++ b/router/retry_budget.h
@@ -25,7 +25,7 @@
 
 /* Settings of the budget, and the start of this instance. */
 typedef struct RetryPolicy {
-  double ratio;
+  double ratio; /* Extra arrivals allowed per request. */
   /* Extra arrivals allowed beyond the ratio, over all instances. */
   double slack;
   gint64 window; /* Length of the sliding window, us. */
@@ -52,8 +52,8 @@
 typedef struct RetryBudget {
   /* Number of the time span that each bucket counts. */
   gint64 bucket[RETRY_BUDGET_BUCKETS];
-  RetryCounts own[RETRY_BUDGET_BUCKETS];
-  RetryCounts others[RETRY_BUDGET_BUCKETS];
+  RetryCounts own[RETRY_BUDGET_BUCKETS];    /* This instance's counts. */
+  RetryCounts others[RETRY_BUDGET_BUCKETS]; /* As other instances report. */
   /* Own counts since the start, which are reported to the others. */
   RetryCounts total;
   /* Counts reported by instances, not by summaries, since the start. */
@@ -61,7 +61,7 @@
   gint64 period; /* Number of the present period. */
   /* Extra arrivals that this instance may cause in the period. */
   guint32 period_quota;
-  guint32 period_taken;
+  guint32 period_taken; /* Those that it has caused in the period. */
 } RetryBudget;
 
 /* Counts a request for the service. */
--- a/router/silence.c
+++ b/router/silence.c
@@ -24,8 +24,8 @@
 */
 #define PLAIN_SUSPECT_OBJECTIVES 2
 /*
-** Repeatable requests of plain services fail after a silence of this many
-** objectives.
+** Repeatable requests of other routes than streams fail after a silence of
+** this many objectives, but of 100 ms at least.
 */
 #define SAFE_SILENCE_OBJECTIVES 2.5
 /* No plain endpoint is suspected earlier than this. */
--- a/router/text_history.h
+++ b/router/text_history.h
@@ -35,6 +35,7 @@
 */
 char *text_changes_apply(const GArray *changes, const char *from);
 
+/* Returns an empty history, to be freed with text_history_free. */
 TextHistory *text_history_new(void);
 /* 'history' may be NULL. */
 void text_history_free(TextHistory *history);
