--- a/io/directory.c
+++ b/io/directory.c
@@ -435,8 +435,8 @@
   follow.kind = kind;
   follow.watch_wait = watch_wait;
   follow.pause = pause;
-  follow.proof_age_max =
-      kind == STORE_CONFIGURATION ? options->proof_age_max : 0;
+  follow.proof_wait_max =
+      kind == STORE_CONFIGURATION ? options->proof_wait_max : 0;
   follow.store = options->store;
   follow.seeds = directory->seeds;
   follow.seeds_count = options->seeds_count;
--- a/io/directory.h
+++ b/io/directory.h
@@ -32,7 +32,7 @@
   const mp_Addr *seeds; /* instances to ask while there is no store */
   unsigned seeds_count;
   gint64 watch_wait;    /* longest wait of one watch */
-  gint64 proof_age_max; /* of the configuration; as in NewsSource */
+  gint64 proof_wait_max; /* of the configuration; as in NewsSource */
 } DirectoryOptions;
 
 typedef struct DirectoryHooks {
--- a/io/following.c
+++ b/io/following.c
@@ -220,7 +220,7 @@
                 options->watch_wait, options->pause, &host->objects);
   news_source_init(&following->source, group, &source, options->seeds,
                    options->seeds_count);
-  following->source.proof_age_max = options->proof_age_max;
+  following->source.proof_wait_max = options->proof_wait_max;
   following->store = store_link_new(base, options->store, &dialect->store,
                                     on_store_reply, following);
   following->instance =
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -488,7 +488,7 @@
   settings.seeds = options->peers;
   settings.seeds_count = options->peers_count;
   settings.watch_wait = options->watch_wait;
-  settings.proof_age_max = options->revoke_within / PROOFS_WITHIN;
+  settings.proof_wait_max = options->revoke_within / PROOFS_WITHIN;
   gateway->directory =
       directory_new(gateway->base, gateway->dialect, &settings,
                     gateway->router, gateway->group, gateway->log, &hooks);
--- a/router/news_source.c
+++ b/router/news_source.c
@@ -230,8 +230,8 @@
 static void record_call(NewsSource *source, StoreCall *call, gint64 now) {
   if (source->follower.relist_at > now)
     call->wait = MIN(call->wait, source->follower.relist_at - now);
-  if (source->proof_age_max > 0)
-    call->wait = MIN(call->wait, source->proof_age_max);
+  if (source->proof_wait_max > 0)
+    call->wait = MIN(call->wait, source->proof_wait_max);
   if (call->kind == STORE_CONFIGURATION || call->kind == STORE_ENDPOINTS)
     call->wait = MIN(call->wait,
                      relay_group_watch_wait(source->group, call->kind, now));
@@ -291,7 +291,7 @@
   follower_begin_call(&source->follower, !source->at_store, &out->call);
   source->progress_at = now;
   out->call.stale =
-      out->call.operation == STORE_LIST && source->proof_age_max == 0 &&
+      out->call.operation == STORE_LIST && source->proof_wait_max == 0 &&
       is_first_list(source, relay_group_role(source->group, now));
   source->follower.open_list_is_stale = out->call.stale;
   record_call(source, &out->call, now);
--- a/router/news_source.h
+++ b/router/news_source.h
@@ -70,7 +70,7 @@
   ** The age of the configuration must be known: longest wait in us of its
   ** watches; 0: it need not be known.
   */
-  gint64 proof_age_max;
+  gint64 proof_wait_max;
   /* The relay to which the open call went; 0: it went elsewhere. */
   mp_Addr asked;
   gboolean must_ask_store; /* A relay failed to answer: ask the store next. */
--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -172,7 +172,7 @@
                   300 * ms, &host);
     news_source_init(&one.source[kind], one.group, &source, nullptr, 0);
     if (proving && kind == STORE_CONFIGURATION)
-      one.source[kind].proof_age_max = proof_wait;
+      one.source[kind].proof_wait_max = proof_wait;
   }
   look_all(one);
   later(one, store_time, [this, &one] {
