--- a/io/directory.c
+++ b/io/directory.c
@@ -143,11 +143,11 @@
   if (object->gone) {
     if (g_ascii_string_to_unsigned(object->name, 16, 0, G_MAXUINT64, &content,
                                    NULL))
-      router_lift_quarantine(directory->router, content, clock_now());
+      router_remove_quarantine(directory->router, content, clock_now());
   } else if (directory->dialect->read_quarantine(object->name, object->text,
                                                  &record, &error))
-    router_take_quarantine(directory->router, &record, object->position,
-                           clock_now());
+    router_apply_quarantine(directory->router, &record, object->position,
+                            clock_now());
   else
     bad_record(directory, STORE_QUARANTINE, object->name, error);
 }
@@ -515,8 +515,8 @@
 
 void directory_look(Directory *directory) {
   int kind;
-  router_hear_era(directory->router, relay_group_era(directory->group),
-                  clock_now());
+  router_observe_era(directory->router, relay_group_era(directory->group),
+                     clock_now());
   look_at_entry(directory);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     if (kind != STORE_INSTANCES || directory->is_started)
--- a/io/directory.h
+++ b/io/directory.h
@@ -31,7 +31,7 @@
   mp_Addr store;
   const mp_Addr *seeds; /* instances to ask while there is no store */
   unsigned seeds_count;
-  gint64 watch_wait;    /* longest wait of one watch */
+  gint64 watch_wait;     /* longest wait of one watch */
   gint64 proof_wait_max; /* of the configuration; as in NewsSource */
 } DirectoryOptions;
 
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -301,9 +301,9 @@
   const Gateway *gateway = data;
   router_configuration_proved(gateway->router,
                               relay_group_proof(gateway->group)->at);
-  router_news_heard(gateway->router,
-                    clock_now() -
-                        relay_group_news_age(gateway->group, clock_now()));
+  router_store_answered(gateway->router,
+                        clock_now() -
+                            relay_group_news_age(gateway->group, clock_now()));
   relays_news(gateway->relays);
 }
 
@@ -322,7 +322,7 @@
 
 static gboolean is_ready(const Gateway *gateway) {
   return gateway->drain_began == 0 &&
-         router_configured(gateway->router, clock_now()) &&
+         router_is_configured(gateway->router, clock_now()) &&
          directory_has_endpoints(gateway->directory);
 }
 
@@ -413,7 +413,7 @@
   (void)fd;
   (void)what;
   if (age >= gateway->drain_least) {
-    router_stop_taking(gateway->router, clock_now());
+    router_stop_accepting(gateway->router, clock_now());
     front_close_idle(gateway->front);
   }
   if (age >= gateway->drain_least && front_open_requests(gateway->front) == 0)
@@ -440,7 +440,7 @@
 /* }================================================================== */
 
 /* how old the configuration may be for a request with a key */
-static gint64 revoke_bound(const GatewayOptions *options) {
+static gint64 proof_age_max(const GatewayOptions *options) {
   if (options->revoke_within == 0)
     return 0;
   return MAX(options->revoke_within - REVOKE_MARGIN, REVOKE_LEAST);
@@ -467,8 +467,8 @@
   settings.lease_length = options->lease_length;
   settings.limits = options->limits;
   settings.unix_offset = g_get_real_time() - clock_now();
-  settings.revoke_bound = revoke_bound(options);
-  settings.news_bound = relay_news_age_max(&times);
+  settings.proof_age_max = proof_age_max(options);
+  settings.news_age_max = relay_news_age_max(&times);
   gateway->router = router_new(&settings, &host, clock_now());
 }
 
@@ -529,8 +529,8 @@
   gateway->front = front_new(base, options->callers, dialect, &front, error);
   gateway->group = relay_group_new(options->exchange, options->capacity,
                                    &times, clock_now());
-  router_set_news(gateway->router,
-                  relay_group_news(gateway->group, STORE_CONFIGURATION));
+  router_set_news_state(gateway->router,
+                        relay_group_news(gateway->group, STORE_CONFIGURATION));
   if (gateway->front == NULL || !make_exchange(gateway, options, error) ||
       !make_status_server(gateway, options, error)) {
     gateway_free(gateway);
--- a/io/relays.c
+++ b/io/relays.c
@@ -125,7 +125,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
-  router_tell_crashes(relays->router, TRUE, &message.u.crashes, now);
+  router_report_crashes(relays->router, TRUE, &message.u.crashes, now);
   if (message.u.crashes.n == 0 && message.u.crashes.suspected_n == 0)
     return;
   send_far(relays, &message, now);
@@ -143,7 +143,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RATES;
-  router_tell_rates(relays->router, TRUE, &message.u.rates, now);
+  router_report_rates(relays->router, TRUE, &message.u.rates, now);
   if (message.u.rates.n == 0)
     return;
   relays->rates_at = now;
@@ -229,7 +229,7 @@
       !relay_group_is_first_relay(relays->group, now))
     return;
   if (router_urgent_set(relays->router, now) != relays->urgent ||
-      router_limits_untold(relays->router) > UNTOLD_MOST)
+      router_limits_unreported(relays->router) > UNTOLD_MOST)
     send_summary(relays, now);
 }
 
@@ -246,8 +246,8 @@
   relay_group_receive_heartbeat(relays->group, from, &message->u.beat, now);
   router_configuration_proved(relays->router,
                               relay_group_proof(relays->group)->at);
-  router_news_heard(relays->router,
-                    now - relay_group_news_age(relays->group, now));
+  router_store_answered(relays->router,
+                        now - relay_group_news_age(relays->group, now));
   take_role(relays, now);
   directory_look(relays->directory);
 }
@@ -279,7 +279,7 @@
   const mp_RateNews *news = &message->u.rates;
   if (news->zone == relays->zone)
     return;
-  router_hear_rates(relays->router, from, news, now);
+  router_receive_rates(relays->router, from, news, now);
   if (from == news->relay && relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
--- a/router/connections.c
+++ b/router/connections.c
@@ -45,8 +45,9 @@
   view->usual = view->most > 0 ? usual(router, service) : 0;
 }
 
-gboolean connections_told(const Router *router, const Endpoint *endpoint,
-                          ConnectionsView *view) {
+gboolean connections_must_report(const Router *router,
+                                 const Endpoint *endpoint,
+                                 ConnectionsView *view) {
   guint known;
   if (endpoint->connections == 0 || endpoint->record.stage != STAGE_NONE)
     return FALSE;
--- a/router/crash_watch.c
+++ b/router/crash_watch.c
@@ -139,7 +139,7 @@
 void crash_watch_broken(CrashWatch *watch, const Endpoint *endpoint,
                         const QuarantineSuspect *suspect, gint64 now) {
   Watched *watched;
-  if (endpoint_leaves(endpoint))
+  if (endpoint_is_leaving(endpoint))
     return; /* its planned end is nobody's doing */
   watched = need(watch, endpoint);
   watched->since = now;
--- a/router/rates.c
+++ b/router/rates.c
@@ -56,7 +56,8 @@
              " endpoint=%s rate=%.3f before=%.3f said_by=%s age_ms=%u "
              "heard=%u instances=%u open=%u",
              endpoint->record.id, rate, before, said_by, age_ms, sharers.heard,
-             sharers.instances, endpoint_open(router->endpoints, endpoint));
+             sharers.instances,
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 static void log_unreadable(Router *router, const Endpoint *endpoint) {
@@ -64,8 +65,8 @@
   router_log(router, MP_LOG_EP_RATE_BAD, " endpoint=%s", endpoint->record.id);
 }
 
-void rates_signalled(Router *router, const Endpoint *endpoint,
-                     const EndpointSignals *signals, gint64 now) {
+void rates_apply_signal(Router *router, const Endpoint *endpoint,
+                        const EndpointSignals *signals, gint64 now) {
   gboolean given = signals->rate == SIGNAL_GIVEN;
   double named = given ? signals->rate_per_second : RATE_ANY;
   double before;
@@ -102,8 +103,8 @@
                      const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
-  double asked = retry_budget_others_rate(router_budget(router, service->name),
-                                          &router->retry, now);
+  double asked = retry_budget_others_rate(
+      router_retry_budget(router, service->name), &router->retry, now);
   double soon = asked * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
     soon += peer_loads_waiting(peers);
@@ -152,10 +153,10 @@
 GateLimits rates_limits(Router *router, const Service *service, gint64 now) {
   GateLimits limits = {0};
   if (nears_most_connections(router, service))
-    limits.most_connections = service->max_connections;
+    limits.connections_max = service->max_connections;
   if (rate_limits_count(router->rates) > 0)
     limits.rates = router->rates;
-  if (limits.most_connections == 0 && limits.rates == NULL)
+  if (limits.connections_max == 0 && limits.rates == NULL)
     return limits;
   limits.sharers = rates_sharers(router, service, now);
   limits.seed = router->seed;
@@ -174,8 +175,8 @@
   return rate_limits_version(router->rates);
 }
 
-void router_tell_rates(const Router *router, gboolean sums, mp_RateNews *out,
-                       gint64 now) {
+void router_report_rates(const Router *router, gboolean sums, mp_RateNews *out,
+                         gint64 now) {
   if (sums)
     rate_limits_write_sum(router->rates, out, now);
   else
@@ -196,8 +197,8 @@
   news->n = n;
 }
 
-void router_hear_rates(Router *router, mp_Addr peer, const mp_RateNews *told,
-                       gint64 now) {
+void router_receive_rates(Router *router, mp_Addr peer,
+                          const mp_RateNews *told, gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
   mp_RateNews news = *told;
@@ -207,7 +208,7 @@
   for (i = 0; i < news.n; i++)
     log_change(router, endpoint_of(router, news.row[i].endpoint), before[i],
                "instance", news.row[i].age_ms, now);
-  admission_run(router, now);
+  admission_start_waiting(router, now);
 }
 
 /* }================================================================== */
--- a/router/retry_exchange.c
+++ b/router/retry_exchange.c
@@ -140,13 +140,13 @@
 gboolean retry_exchange_has_extra(Router *router, const char *service,
                                   gint64 now) {
   RetrySharers sharers = sharers_of(router, now);
-  return retry_budget_has_extra(router_budget(router, service), &router->retry,
-                                &sharers, now);
+  return retry_budget_has_extra(router_retry_budget(router, service),
+                                &router->retry, &sharers, now);
 }
 
 gboolean retry_exchange_try_take(Router *router, const char *service,
                                  gint64 now) {
   RetrySharers sharers = sharers_of(router, now);
-  return retry_budget_try_take(router_budget(router, service), &router->retry,
-                               &sharers, now);
+  return retry_budget_try_take(router_retry_budget(router, service),
+                               &router->retry, &sharers, now);
 }
--- a/test/router_world.h
+++ b/test/router_world.h
@@ -23,7 +23,7 @@
 constexpr gint64 second = 1000 * ms;
 
 /* how old news may be that say there is no route */
-constexpr gint64 news_bound = 2500 * ms;
+constexpr gint64 news_age_max = 2500 * ms;
 
 /* a dispatch as it was asked for */
 struct Sent {
@@ -99,7 +99,7 @@
   EndpointRecord record = {};
   record.id = const_cast<char *>(id);
   record.started_unix_ms = started_unix_ms;
-  return endpoint_life_hash(&record);
+  return endpoint_incarnation_hash(&record);
 }
 
 class World {
@@ -107,7 +107,7 @@
   /* by default the retry budget is no matter, and no orders are given */
   explicit World(guint32 slack = 0, double ratio = 10.0,
                  gint64 lease_length = 0, const char *self = "10.0.0.5:1",
-                 gint64 revoke_bound = 0, const char *zone = "a");
+                 gint64 proof_age_max = 0, const char *zone = "a");
   ~World();
   World(const World &) = delete;
   World &operator=(const World &) = delete;
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -112,7 +112,7 @@
     EndpointRecord record = {};
     record.id = const_cast<char *>(id);
     record.started_unix_ms = world.started_unix_ms;
-    return endpoint_life_hash(&record);
+    return endpoint_incarnation_hash(&record);
   }
   /* dispatches of this kind at that endpoint */
   unsigned sent(DispatchKind kind, const char *id) const {
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -111,8 +111,9 @@
     EndpointSignals said = routing::signals_rest(time);
     record.id = const_cast<char *>(id);
     record.started_unix_ms = world.started_unix_ms;
-    router_endpoint_signals(world.router, id, endpoint_life_hash(&record),
-                            &said, world.now);
+    router_endpoint_signals(world.router, id,
+                            endpoint_incarnation_hash(&record), &said,
+                            world.now);
   }
   /* where plain requests go, if they end at once */
   unsigned plain_at(const char *id, int count) {
@@ -140,7 +141,7 @@
   EXPECT_EQ(plain_at("app-1", 5), 0u);
   world.advance(3 * second);
   EXPECT_EQ(plain_at("app-1", 5), 0u); /* the margin of its own clock */
-  world.advance(REST_MARGIN);
+  world.advance(REST_CLOCK_MARGIN);
   EXPECT_GT(plain_at("app-1", 5), 0u);
 }
 
@@ -184,9 +185,9 @@
 
 TEST_F(RestWorld, AVeryLongOneIsBelievedForAnHour) {
   ask("app-1", 1000000000LL * second);
-  world.advance(REST_MOST);
+  world.advance(REST_DURATION_MAX);
   EXPECT_EQ(plain_at("app-1", 5), 0u);
-  world.advance(REST_MARGIN);
+  world.advance(REST_CLOCK_MARGIN);
   EXPECT_GT(plain_at("app-1", 5), 0u);
 }
 
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -104,7 +104,7 @@
     EndpointRecord record = {};
     record.id = const_cast<char *>(place[i].id);
     record.started_unix_ms = born;
-    return endpoint_life_hash(&record);
+    return endpoint_incarnation_hash(&record);
   }
   void record(unsigned i, gint64 revision) {
     world.started_unix_ms = words[i].born;
@@ -113,8 +113,8 @@
   }
   /* the words of an answer, told to the router and to the model */
   void tell(unsigned i, guint32 life, unsigned how) {
-    static const gint64 rests[] = {0,          200 * ms,    second,
-                                   3 * second, 20 * second, REST_MOST * 2};
+    static const gint64 rests[] = {
+        0, 200 * ms, second, 3 * second, 20 * second, REST_DURATION_MAX * 2};
     EndpointSignals signals = how % 7 == 0   ? signals_leaving()
                               : how % 2 == 0 ? signals_served()
                                              : signals_rest(rests[how % 6]);
@@ -128,9 +128,9 @@
     if (signals.rest == SIGNAL_GIVEN && signals.rest_time > 0) {
       if (words[i].rest_until <= world.now)
         words[i].released = false;
-      words[i].rest_until =
-          std::max(words[i].rest_until,
-                   world.now + std::min<gint64>(signals.rest_time, REST_MOST));
+      words[i].rest_until = std::max(
+          words[i].rest_until,
+          world.now + std::min<gint64>(signals.rest_time, REST_DURATION_MAX));
     }
   }
   unsigned place_of(const std::string &id) const {
--- a/test/test_held.cc
+++ b/test/test_held.cc
@@ -26,7 +26,7 @@
     news.row[0].n = count;
     for (unsigned i = 0; i < count; i++)
       news.row[0].crash[i] = 100 + i;
-    router_hear_crashes(world.router, &news, world.now);
+    router_receive_crashes(world.router, &news, world.now);
   }
   void expect_held(guint64 request) {
     EXPECT_EQ(world.end(request).refusals, 1);
--- a/test/test_life_hash.cc
+++ b/test/test_life_hash.cc
@@ -23,7 +23,7 @@
       EndpointRecord record = {};
       record.id = id.data();
       record.started_unix_ms = 1780000000000 + born;
-      seen.insert(endpoint_life_hash(&record));
+      seen.insert(endpoint_incarnation_hash(&record));
     }
   }
   EXPECT_EQ(seen.size(), lives);
