--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -333,7 +333,7 @@
 gboolean endpoint_is_changing_stage(const EndpointTable *table,
                                     const Endpoint *endpoint, gint64 now) {
   return endpoint->changing_until > now ||
-         peer_loads_changing(table->peers, endpoint->hash);
+         peer_loads_is_changing_stage(table->peers, endpoint->hash);
 }
 
 /* Returns TRUE if the endpoint may run a dispatch, apart from the limits that
@@ -367,7 +367,8 @@
 
 guint endpoint_open_count(const EndpointTable *table,
                           const Endpoint *endpoint) {
-  return endpoint->open + peer_loads_open(table->peers, endpoint->hash);
+  return endpoint->open +
+         peer_loads_open_dispatches(table->peers, endpoint->hash);
 }
 
 /* Returns TRUE if the query's tokens fit into the engine's memory, or its size
@@ -412,7 +413,7 @@
     sum += COST_COLD;
   sum += COST_FAILURES * endpoint_failure_rate(endpoint, now);
   sum += COST_PEERS_FAILURES *
-         MIN(peer_loads_failing(table->peers, endpoint->hash),
+         MIN(peer_loads_failure_shares(table->peers, endpoint->hash),
              PEERS_FAILURES_MAX);
   return sum;
 }
@@ -505,7 +506,7 @@
                               gint64 now) {
   guint64 count = (query->capacity - planned) / MAX(query->tokens, 1);
   if (query->limits.rates != NULL &&
-      rate_limits_of(query->limits.rates, endpoint->hash) >= 0)
+      rate_limits_rate(query->limits.rates, endpoint->hash) >= 0)
     count = MIN(count, is_within_limits(table, query, endpoint, now) ? 1 : 0);
   return (guint)count;
 }
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -50,7 +50,7 @@
   if (endpoint != NULL) {
     endpoint->tokens -= MIN(endpoint->tokens, request->decode_tokens);
     if (request->is_decode_counted)
-      rate_limits_return(router->rates, endpoint->hash);
+      rate_limits_refund(router->rates, endpoint->hash);
   }
   router->load_version++;
   g_clear_pointer(&request->decode, g_free);
@@ -63,7 +63,8 @@
   decode->tokens += request->decode_tokens;
   /* The run is counted in the engine's rate now, so that its place in the rate
   ** is given to no other request while the prompt is read. */
-  request->is_decode_counted = rate_limits_sent(router->rates, decode->hash);
+  request->is_decode_counted =
+      rate_limits_count_sent(router->rates, decode->hash);
   router->load_version++;
   router->host.note(router->host.data, decode->hash,
                     (guint32)request->decode_tokens);
--- a/router/router.c
+++ b/router/router.c
@@ -435,7 +435,7 @@
   router->era = era;
   stages_observe_era(router->stages, era, now);
   if (had_era)
-    quarantine_restored(router->quarantine, era);
+    quarantine_store_restored(router->quarantine, era);
 }
 
 void router_lease_reply(Router *router, const LeaseReply *reply, gint64 now) {
--- a/router/shortage.c
+++ b/router/shortage.c
@@ -38,10 +38,10 @@
                             const GateLimits *limits, gint64 now) {
   gint64 wait = availability_rest_remaining(&endpoint->availability, now);
   if (limits->rates == NULL ||
-      rate_limits_of(limits->rates, endpoint->hash) < 0)
+      rate_limits_rate(limits->rates, endpoint->hash) < 0)
     return wait;
-  return MAX(wait, rate_limits_wait(router->rates, endpoint->hash,
-                                    &limits->sharers, now));
+  return MAX(wait, rate_limits_retry_delay(router->rates, endpoint->hash,
+                                           &limits->sharers, now));
 }
 
 /* Returns the endpoint that is likely to accept a request first, and sets
--- a/router/stages.c
+++ b/router/stages.c
@@ -180,8 +180,8 @@
       use.decode_used += endpoint_open_count(table, endpoint) * run_share;
   }
   use.zones = g_hash_table_size(zones);
-  use.waiting =
-      stages->router->waiting->len > 0 || peer_loads_waiting(table->peers) > 0;
+  use.waiting = stages->router->waiting->len > 0 ||
+                peer_loads_waiting_requests(table->peers) > 0;
   g_hash_table_destroy(zones);
   return use;
 }
@@ -366,8 +366,8 @@
 
 static void review_all(Stages *stages, gint64 now) {
   const RouteTable *routes = stages->router->routes;
-  guint before =
-      peer_loads_before(stages->router->endpoints->peers, stages->self, now);
+  guint before = peer_loads_count_lower_addresses(
+      stages->router->endpoints->peers, stages->self, now);
   guint i;
   if (routes == NULL || before >= REVIEWERS_MAX || stages->router->stopping)
     return;
