--- a/router/accounts.c
+++ b/router/accounts.c
@@ -29,8 +29,8 @@
   if (!router->is_listed)
     return sharers;
   sharers.instances = router->instances;
-  sharers.heard =
-      1 + peer_loads_heard(router->endpoints->peers, ACCOUNT_SILENCE, now);
+  sharers.heard = 1 + peer_loads_count_reachable(router->endpoints->peers,
+                                                 ACCOUNT_PEER_TIMEOUT, now);
   return sharers;
 }
 
@@ -57,8 +57,8 @@
   double cost =
       account_cost(account, call->prompt_tokens, call->output_tokens);
   gint64 come_back = 0;
-  if (account_limits_take(router->limits, account, cost, &sharers,
-                          g_rand_double(router->random), now, &come_back))
+  if (account_limits_admit(router->limits, account, cost, &sharers,
+                           g_rand_double(router->random), now, &come_back))
     return TRUE;
   refusal->kind = REFUSAL_LIMIT;
   refusal->retry_after_ms = come_back / MP_MS;
@@ -135,6 +135,6 @@
 
 void accounts_return(Router *router, const Request *request) {
   if (request->account != NULL)
-    account_limits_return(router->limits, request->account->name,
+    account_limits_refund(router->limits, request->account->name,
                           request->cost);
 }
--- a/router/admission.c
+++ b/router/admission.c
@@ -88,7 +88,7 @@
 ** are as frequent as here.
 */
 static gint64 expected_wait(const Router *router, guint place) {
-  guint ahead = place + peer_loads_in_time(router->endpoints->peers);
+  guint ahead = place + peer_loads_waiting_in_time(router->endpoints->peers);
   return (gint64)((ahead + 1) * router->end_interval / router->near);
 }
 
@@ -208,8 +208,9 @@
                       gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   gboolean in_time = is_in_time(request, now);
-  guint count = in_time ? peer_loads_older(peers, seniority(request))
-                        : peer_loads_with_waiting(peers);
+  guint count =
+      in_time ? peer_loads_count_waiting_longer(peers, seniority(request))
+              : peer_loads_count_with_waiting(peers);
   guint i;
   for (i = 0; i < router->waiting->len; i++)
     count += goes_before(router->waiting->pdata[i], request, in_time, now);
--- a/router/dispatcher.c
+++ b/router/dispatcher.c
@@ -44,7 +44,7 @@
   dispatch->endpoint = endpoint->record.id;
   dispatch->life = endpoint->hash;
   if (dispatch->kind != DISPATCH_CHECK) {
-    rate_limits_sent(router->rates, endpoint->hash);
+    rate_limits_count_sent(router->rates, endpoint->hash);
     endpoint->availability.is_disturbed = TRUE;
   }
   router->host.dispatch(router->host.data, dispatch);
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -305,7 +305,7 @@
 gboolean endpoint_changing(const EndpointTable *table,
                            const Endpoint *endpoint, gint64 now) {
   return endpoint->changing_until > now ||
-         peer_loads_changing(table->peers, endpoint->hash);
+         peer_loads_is_changing_stage(table->peers, endpoint->hash);
 }
 
 /* no rate is asked: that is done last, for it draws */
@@ -336,7 +336,8 @@
 }
 
 guint endpoint_open(const EndpointTable *table, const Endpoint *endpoint) {
-  return endpoint->open + peer_loads_open(table->peers, endpoint->hash);
+  return endpoint->open +
+         peer_loads_open_dispatches(table->peers, endpoint->hash);
 }
 
 static gboolean has_room(const EndpointTable *table, const EndpointWish *wish,
@@ -376,7 +377,7 @@
     sum += COST_COLD;
   sum += COST_FAILURES * endpoint_failing(endpoint, now);
   sum += COST_PEERS_FAILURES *
-         MIN(peer_loads_failing(table->peers, endpoint->hash),
+         MIN(peer_loads_failure_shares(table->peers, endpoint->hash),
              MOST_PEERS_FAILURES);
   return sum;
 }
@@ -456,7 +457,7 @@
                       const Endpoint *endpoint, guint64 planned, gint64 now) {
   guint64 rooms = (wish->capacity - planned) / MAX(wish->tokens, 1);
   if (wish->limits.rates != NULL &&
-      rate_limits_of(wish->limits.rates, endpoint->hash) >= 0)
+      rate_limits_rate(wish->limits.rates, endpoint->hash) >= 0)
     rooms = MIN(rooms, takes_more(table, wish, endpoint, now) ? 1 : 0);
   return (guint)rooms;
 }
--- a/router/loads.c
+++ b/router/loads.c
@@ -114,9 +114,9 @@
   memset(out, 0, sizeof *out);
   router_load_digest(router, &out->loads, now);
   out->instances = 1;
-  peer_loads_sum(router->endpoints->peers, out, now);
+  peer_loads_add_to_summary(router->endpoints->peers, out, now);
   retry_exchange_write_sum(router, &out->loads);
-  account_limits_write_sum(router->limits, &out->loads);
+  account_limits_write_summary(router->limits, &out->loads);
 }
 
 guint64 router_urgent_set(const Router *router, gint64 now) {
@@ -126,7 +126,7 @@
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
     if (share_failing(endpoint, now) >= FAILING_SHARE ||
-        peer_loads_failing(router->endpoints->peers, endpoint->hash) >=
+        peer_loads_failure_shares(router->endpoints->peers, endpoint->hash) >=
             FAILING_SHARE / 100.0)
       set += (guint64)endpoint->hash * endpoint->hash;
     if (endpoint->availability.leaving_since != 0)
@@ -136,24 +136,25 @@
 }
 
 double router_limits_untold(const Router *router) {
-  return account_limits_untold(router->limits);
+  return account_limits_unreported_share(router->limits);
 }
 
 void router_zone_load(Router *router, guint32 sequence,
                       const mp_LoadSummary *summary, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
-  const mp_LoadDigest *known = peer_loads_last_summary(peers, summary->relay);
+  const mp_LoadDigest *known =
+      peer_loads_latest_summary(peers, summary->relay);
   mp_LoadDigest before;
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
-  if (!peer_loads_take_summary(peers, sequence, summary, now))
+  if (!peer_loads_update_summary(peers, sequence, summary, now))
     return;
   retry_exchange_hear_sum(router, known != NULL ? &before : NULL,
                           &summary->loads, now);
   sharers = accounts_sharers(router, now);
-  account_limits_hear_sum(router->limits, summary->relay, &summary->loads,
-                          &sharers, now);
+  account_limits_receive_summary(router->limits, summary->relay,
+                                 &summary->loads, &sharers, now);
   signals_hear(router, &summary->loads, now);
   admission_run(router, now);
 }
@@ -161,20 +162,20 @@
 void router_peer_load(Router *router, mp_Addr peer, guint32 sequence,
                       const mp_LoadDigest *digest, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
-  const mp_LoadDigest *known = peer_loads_last(peers, peer);
+  const mp_LoadDigest *known = peer_loads_latest_digest(peers, peer);
   mp_LoadDigest before;
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
-  if (!peer_loads_take(peers, peer, sequence, digest, now))
+  if (!peer_loads_update(peers, peer, sequence, digest, now))
     return;
   retry_exchange_hear(router, known != NULL ? &before : NULL, digest, now);
   sharers = accounts_sharers(router, now);
-  account_limits_hear(router->limits, peer, digest, &sharers, now);
+  account_limits_receive(router->limits, peer, digest, &sharers, now);
   signals_hear(router, digest, now);
   admission_run(router, now);
 }
 
 void router_peer_note(Router *router, mp_Addr peer, const mp_LoadNote *note) {
-  peer_loads_note(router->endpoints->peers, peer, note);
+  peer_loads_add_reservation(router->endpoints->peers, peer, note);
 }
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -47,7 +47,7 @@
   if (endpoint != NULL) {
     endpoint->tokens -= MIN(endpoint->tokens, request->decode_tokens);
     if (request->decode_counted)
-      rate_limits_return(router->rates, endpoint->hash);
+      rate_limits_refund(router->rates, endpoint->hash);
   }
   router->load_version++;
   g_clear_pointer(&request->decode, g_free);
@@ -60,7 +60,8 @@
   decode->tokens += request->decode_tokens;
   /* the run will come there: counted now, so that nobody else is given the
   ** same place in the engine's rate while the prompt is read */
-  request->decode_counted = rate_limits_sent(router->rates, decode->hash);
+  request->decode_counted =
+      rate_limits_count_sent(router->rates, decode->hash);
   router->load_version++;
   router->host.note(router->host.data, decode->hash,
                     (guint32)request->decode_tokens);
--- a/router/rates.c
+++ b/router/rates.c
@@ -42,13 +42,13 @@
 }
 
 void rates_endpoints_changed(Router *router) {
-  rate_limits_keep(router->rates, is_listed, router);
+  rate_limits_keep_listed(router->rates, is_listed, router);
 }
 
 /* 'said_by': an answer, or another instance; 'age_ms' since the answer */
 static void log_change(Router *router, const Endpoint *endpoint, double before,
                        const char *said_by, guint age_ms, gint64 now) {
-  double rate = rate_limits_of(router->rates, endpoint->hash);
+  double rate = rate_limits_rate(router->rates, endpoint->hash);
   LimitSharers sharers = accounts_sharers(router, now);
   if (rate == before)
     return;
@@ -67,7 +67,7 @@
 void rates_signalled(Router *router, const Endpoint *endpoint,
                      const EndpointSignals *signals, gint64 now) {
   gboolean given = signals->rate == SIGNAL_GIVEN;
-  double named = given ? signals->rate_per_second : RATE_ANY;
+  double named = given ? signals->rate_per_second : RATE_UNLIMITED;
   double before;
   if (signals->rate == SIGNAL_UNREADABLE) {
     log_unreadable(router, endpoint);
@@ -75,8 +75,8 @@
   }
   if (!given && !signals->served)
     return;
-  before = rate_limits_of(router->rates, endpoint->hash);
-  rate_limits_named(router->rates, endpoint->hash, named, now);
+  before = rate_limits_rate(router->rates, endpoint->hash);
+  rate_limits_set(router->rates, endpoint->hash, named, now);
   log_change(router, endpoint, before, "answer", 0, now);
 }
 
@@ -106,7 +106,7 @@
                                      &router->retry, now);
   double soon = asked * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
-    soon += peer_loads_waiting(peers);
+    soon += peer_loads_waiting_requests(peers);
   return MIN(others, soon);
 }
 
@@ -115,7 +115,7 @@
   RateSharers sharers = {0};
   gboolean summed = router->near < router->instances;
   sharers.instances = accounts_sharers(router, now);
-  sharers.delay = summed ? RATE_NEWS_DELAY_SUMMED : RATE_NEWS_DELAY;
+  sharers.delay = summed ? RATE_SUMMARY_DELAY : RATE_REPORT_DELAY;
   if (service != NULL)
     sharers.rivals = rivals(router, service, &sharers, now);
   return sharers;
@@ -177,7 +177,7 @@
 void router_tell_rates(const Router *router, gboolean sums, mp_RateNews *out,
                        gint64 now) {
   if (sums)
-    rate_limits_write_sum(router->rates, out, now);
+    rate_limits_write_summary(router->rates, out, now);
   else
     rate_limits_write(router->rates, out, now);
 }
@@ -190,7 +190,7 @@
   for (i = 0; i < news->n; i++) {
     if (endpoint_of(router, news->row[i].endpoint) == NULL)
       continue;
-    before[n] = rate_limits_of(router->rates, news->row[i].endpoint);
+    before[n] = rate_limits_rate(router->rates, news->row[i].endpoint);
     news->row[n++] = news->row[i];
   }
   news->n = n;
@@ -203,7 +203,7 @@
   mp_RateNews news = *told;
   unsigned i;
   keep_listed(router, &news, before);
-  rate_limits_hear(router->rates, peer, &news, &sharers, now);
+  rate_limits_receive(router->rates, peer, &news, &sharers, now);
   for (i = 0; i < news.n; i++)
     log_change(router, endpoint_of(router, news.row[i].endpoint), before[i],
                "instance", news.row[i].age_ms, now);
--- a/router/retry_exchange.c
+++ b/router/retry_exchange.c
@@ -125,8 +125,8 @@
 static RetrySharers sharers_of(Router *router, gint64 now) {
   RetrySharers sharers;
   sharers.instances = router->instances;
-  sharers.heard =
-      1 + peer_loads_heard(router->endpoints->peers, PEER_SILENCE, now);
+  sharers.heard = 1 + peer_loads_count_reachable(router->endpoints->peers,
+                                                 PEER_LOAD_TIMEOUT, now);
   sharers.in_summaries = router->near < router->instances;
   sharers.draw = g_rand_double(router->random);
   return sharers;
--- a/router/router.c
+++ b/router/router.c
@@ -416,7 +416,7 @@
   router->era = era;
   stages_hear_era(router->stages, era, now);
   if (is_return)
-    quarantine_restored(router->quarantine, era);
+    quarantine_store_restored(router->quarantine, era);
 }
 
 void router_lease_reply(Router *router, const LeaseReply *reply, gint64 now) {
--- a/router/shortage.c
+++ b/router/shortage.c
@@ -32,10 +32,10 @@
                       const GateLimits *limits, gint64 now) {
   gint64 wait = availability_rest_left(&endpoint->availability, now);
   if (limits->rates == NULL ||
-      rate_limits_of(limits->rates, endpoint->hash) < 0)
+      rate_limits_rate(limits->rates, endpoint->hash) < 0)
     return wait;
-  return MAX(wait, rate_limits_wait(router->rates, endpoint->hash,
-                                    &limits->sharers, now));
+  return MAX(wait, rate_limits_retry_delay(router->rates, endpoint->hash,
+                                           &limits->sharers, now));
 }
 
 /* the endpoint that is likely to take a request first, of those that said
--- a/router/stages.c
+++ b/router/stages.c
@@ -160,8 +160,8 @@
       use.decode_full += endpoint_open(table, endpoint) * run_share;
   }
   use.zones = g_hash_table_size(zones);
-  use.waiting =
-      stages->router->waiting->len > 0 || peer_loads_waiting(table->peers) > 0;
+  use.waiting = stages->router->waiting->len > 0 ||
+                peer_loads_waiting_requests(table->peers) > 0;
   g_hash_table_destroy(zones);
   return use;
 }
@@ -335,8 +335,8 @@
 
 static void look_at_all(Stages *stages, gint64 now) {
   const RouteTable *routes = stages->router->routes;
-  guint before =
-      peer_loads_before(stages->router->endpoints->peers, stages->self, now);
+  guint before = peer_loads_count_lower_addresses(
+      stages->router->endpoints->peers, stages->self, now);
   guint i;
   if (routes == NULL || before >= CANDIDATES || stages->router->stopping)
     return;
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -346,7 +346,7 @@
 m l-silent "limits: what was spent out of reach is not charged" \
   router/shared_totals.c 'if (!known || peer->was_silent)' 'if (!known)'
 m l-small "limits: small requests pass first" router/account_limits.c \
-  'if (cost <= SMALL_SHARE * limit->burst)' 'if (FALSE)'
+  'if (cost <= SMALL_REQUEST_SHARE * limit->burst)' 'if (FALSE)'
 m k-large "relays: the largest machines" router/relay_group.c \
   'guint64 rank = CAPACITY_MOST - MIN(capacity, CAPACITY_MOST);' \
   'guint64 rank = 0; (void)capacity;'
@@ -358,7 +358,7 @@
 m q-refused "crash: a connection that stands proves no end" \
   router/crash_watch.c 'if (outcome->kind == OUTCOME_UNREACHABLE &&' 'if ('
 m q-silent "crash: silence proves no end" router/crash_watch.c \
-  'now - watched->checked_at < REFUSED_WITHIN' 'TRUE'
+  'now - watched->checked_at < REFUSAL_TIME_MAX' 'TRUE'
 m q-leaving "crash: one that was leaving ends by plan" router/crash_watch.c \
   'if (endpoint_leaves(endpoint))' 'if (FALSE)'
 m q-life "crash: of this life" router/crash_watch.c \
@@ -370,19 +370,19 @@
   'row->strikes[i].off = TRUE;
   if (count_of(row) == 0)' 'if (count_of(row) == 0)'
 m q-last "hold: three runs are tried at most" router/quarantine.c \
-  'if (strikes >= QUARANTINE_MOST)
+  'if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
   for' 'for'
 m q-store "hold: what instances know is kept in the store" \
   router/quarantine.c \
-  'return count_of(row) >= SAVED_FROM && has_unsaved(row);' 'return FALSE;'
+  'return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
 m q-tell "hold: instances tell each other" router/quarantine.c \
-  'if (now - row->learned >= TELL_FOR || !(all || has_own(row)))' 'if (TRUE)'
+  'if (now - row->learned >= NEWS_REPEAT_TIME || !(all || has_own_strike(row)))' 'if (TRUE)'
 m q-door "hold: a held request is not sent" router/suspects.c \
   'if (until == 0)
     return TRUE;' 'return TRUE;'
 m q-sweep "hold: those that wait are refused at once" router/suspects.c \
-  'while ((request = held_waiting(router, now)) != NULL)' 'while (FALSE)'
+  'while ((request = find_held_waiting(router, now)) != NULL)' 'while (FALSE)'
 m q-account "hold: of one client account" router/router.c \
   'if (account == NULL)
     return call->content;' 'return call->content;'
@@ -421,7 +421,7 @@
   'run_some(router, TRUE, now) == 0)' \
   'run_some(router, TRUE, now) != G_MAXUINT)'
 m o-told "admission: those in time elsewhere are waited for" \
-  router/admission.c 'place + peer_loads_in_time(router->endpoints->peers)' \
+  router/admission.c 'place + peer_loads_waiting_in_time(router->endpoints->peers)' \
   'place'
 m o-ends "admission: ends at all instances make room" router/admission.c \
   'router->end_interval / router->near' 'router->end_interval'
@@ -447,10 +447,10 @@
   'return newer < 0 ||' \
   'return FALSE ||'
 m r-over "rates: one answer among others ends none" router/rate_limits.c \
-  'newer < OVER_AFTER' \
+  'newer < RATE_END_DELAY' \
   FALSE
 m r-least "rates: none holds for good" router/rate_limits.c \
-  'MAX(limit->rate, LEAST_RATE)' \
+  'MAX(limit->rate, RATE_MIN)' \
   'limit->rate'
 m r-begin "rates: nothing is saved up when one is named" router/rate_limits.c \
   'limit->bucket.level = MIN(limit->bucket.level, 0);' \
@@ -465,17 +465,17 @@
   'limit->near += news->zone == 0 ? more : 0;' \
   'limit->near += more;'
 m r-told "rates: that one is over is told for a while" router/rate_limits.c \
-  'age > TELL_OVER' \
+  'age > RATE_END_REPORT_TIME' \
   TRUE
 m r-choice "rates: choice leaves those out that take no more" router/endpoint_table.c \
   '        !takes_more(table, wish, endpoint, now))' \
   '        FALSE)'
 m r-counted "rates: a run is counted once" router/prefill.c \
   '    if (request->decode_counted)
-      rate_limits_return(router->rates, endpoint->hash);' \
+      rate_limits_refund(router->rates, endpoint->hash);' \
   ''
 m r-reserve "rates: a place is counted when it is reserved" router/prefill.c \
-  'request->decode_counted = rate_limits_sent(router->rates, decode->hash);' \
+  'request->decode_counted = rate_limits_count_sent(router->rates, decode->hash);' \
   'request->decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
   'router->shortage_look_at = now + LOOK_AGAIN;' \
@@ -616,10 +616,10 @@
   '  endpoint->record.ready = FALSE;
   return TRUE;'
 m s-count "suspicions: they count until they are proved" router/suspects.c \
-  'return strikes + suspected >= QUARANTINE_STRIKES ? until : 0;' \
+  'return strikes + suspected >= QUARANTINE_HOLD_STRIKES ? until : 0;' \
   'return 0;'
 m s-answered "suspicions: an answer takes them away" router/suspects.c \
-  '  suspicions_answered(router->suspicions, request->open.life, now);' \
+  '  suspicions_clear_life(router->suspicions, request->open.life, now);' \
   ''
 m s-told "suspicions: the others are told" router/suspicions.c \
   '    out->suspected_n++;' \
@@ -628,7 +628,7 @@
   'return quarantine_has_strike(quarantine, content, life);' \
   'return FALSE;'
 m s-life "suspicions: they end by themselves" router/suspicions.c \
-  'return now - one->at >= SUSPICION_LIFE;' \
+  'return now - one->at >= SUSPICION_LIFETIME;' \
   'return FALSE;'
 if [ -n "$stale_only" ]; then
   python3 - "$dir/rows" <<'P'
--- a/test/router_world.h
+++ b/test/router_world.h
@@ -71,7 +71,7 @@
 
 /* signals of an answer that served its request */
 EndpointSignals signals_served();
-/* the same of one that names this rate; RATE_ANY: none */
+/* the same of one that names this rate; RATE_UNLIMITED: none */
 EndpointSignals signals_rate(double rate);
 /* of an answer that says that the endpoint leaves */
 EndpointSignals signals_leaving();
--- a/test/test_suspicions.cc
+++ b/test/test_suspicions.cc
@@ -58,8 +58,8 @@
   EXPECT_EQ(world.end(number).refusal, REFUSAL_SUSPECTED);
   EXPECT_EQ(world.runs(number), 0u);
   EXPECT_GT(world.end(number).retry_after_ms, 0);
-  EXPECT_LE(world.end(number).retry_after_ms, SUSPICION_LIFE / ms);
-  world.advance(SUSPICION_LIFE - ms);
+  EXPECT_LE(world.end(number).retry_after_ms, SUSPICION_LIFETIME / ms);
+  world.advance(SUSPICION_LIFETIME - ms);
   EXPECT_TRUE(is_deferred());
   world.advance(ms);
   EXPECT_FALSE(is_deferred());
@@ -132,7 +132,7 @@
   EXPECT_GE(own.suspected[0].age_ms, 300u);
   news.suspected_n = 2;
   news.suspected[0] = {5, 4711, 400};
-  news.suspected[1] = {5, 4712, static_cast<guint32>(SUSPICION_LIFE / ms)};
+  news.suspected[1] = {5, 4712, static_cast<guint32>(SUSPICION_LIFETIME / ms)};
   EXPECT_TRUE(router_hear_crashes(world.router, &news, world.now));
   EXPECT_FALSE(router_hear_crashes(world.router, &news, world.now));
   EXPECT_TRUE(is_deferred());
