--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -377,7 +377,8 @@
   router/quarantine.c \
   'return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
 m q-tell "hold: instances tell each other" router/quarantine.c \
-  'if (now - row->learned >= NEWS_REPEAT_TIME || !(all || has_own_strike(row)))' 'if (TRUE)'
+  'if (now - row->learned >= NEWS_REPEAT_TIME ||
+        !(all || has_own_strike(row)))' 'if (TRUE)'
 m q-door "hold: a held request is not sent" router/suspects.c \
   'if (until == 0)
     return TRUE;' 'return TRUE;'
@@ -475,7 +476,8 @@
       rate_limits_refund(router->rates, endpoint->hash);' \
   ''
 m r-reserve "rates: a place is counted when it is reserved" router/prefill.c \
-  'request->decode_counted = rate_limits_count_sent(router->rates, decode->hash);' \
+  'request->decode_counted =
+      rate_limits_count_sent(router->rates, decode->hash);' \
   'request->decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
   'router->shortage_look_at = now + LOOK_AGAIN;' \
