--- a/router/peer_loads.c
+++ b/router/peer_loads.c
@@ -1,31 +1,35 @@
 /*
 ** peer_loads.c
-** What the other instances have open at each endpoint
+** The loads that the other instances report for each endpoint
 */
 
 #include <string.h>
 
 #include "router/peer_loads.h"
 
-/* a sequence number this far behind is a peer that started anew */
+/* A sequence number this far or further behind the last one means that the
+** peer has restarted; one less far behind is a digest that arrived late. */
 #define REORDER_WINDOW 64
 
+/* the last digest of one instance, or the last summary of one relay */
 typedef struct Peer {
-  mp_Addr address;
-  guint32 zone;    /* a summary of this data centre; 0: one instance */
-  guint instances; /* that it stands for */
+  mp_Addr address; /* for a summary as summary_address has it */
+  guint32 zone;    /* hash of the data centre that is summed up; 0: the digest
+                   ** of a single instance */
+  guint instances; /* how many the digest covers */
   guint32 sequence;
-  gint64 heard;
-  gint64 oldest; /* when its first waiting request came */
+  gint64 received_at;    /* 0: nothing was received yet */
+  gint64 oldest_in_time; /* when its first waiting request in time came */
   mp_LoadDigest digest;
-  GArray *notes; /* mp_LoadRow: room reserved since that digest */
+  GArray *reservations; /* mp_LoadRow: reported since that digest */
 } Peer;
 
+/* the sum over all peers for one endpoint */
 typedef struct LoadSum {
   guint64 tokens;
-  guint open;
-  guint failing;  /* percent */
-  guint changing; /* so many say that it changes its stage */
+  guint open;             /* dispatches */
+  guint failing_percent;  /* sum of the peers' shares of failures */
+  guint changing_reports; /* peers that report a change of its stage */
 } LoadSum;
 
 struct PeerLoads {
@@ -35,7 +39,7 @@
 
 static void peer_free(gpointer p) {
   Peer *peer = p;
-  g_array_free(peer->notes, TRUE);
+  g_array_free(peer->reservations, TRUE);
   g_free(peer);
 }
 
@@ -53,7 +57,7 @@
   g_free(loads);
 }
 
-static LoadSum *need_sum(PeerLoads *loads, guint32 endpoint) {
+static LoadSum *get_or_add_sum(PeerLoads *loads, guint32 endpoint) {
   gpointer key = GUINT_TO_POINTER(endpoint);
   LoadSum *sum = g_hash_table_lookup(loads->sums, key);
   if (sum == NULL) {
@@ -63,93 +67,96 @@
   return sum;
 }
 
-static void drop_empty(PeerLoads *loads, guint32 endpoint,
-                       const LoadSum *sum) {
-  if (sum->tokens == 0 && sum->open == 0 && sum->failing == 0 &&
-      sum->changing == 0)
+static void remove_if_zero(PeerLoads *loads, guint32 endpoint,
+                           const LoadSum *sum) {
+  if (sum->tokens == 0 && sum->open == 0 && sum->failing_percent == 0 &&
+      sum->changing_reports == 0)
     g_hash_table_remove(loads->sums, GUINT_TO_POINTER(endpoint));
 }
 
-static void add(PeerLoads *loads, const mp_LoadRow *row) {
-  LoadSum *sum = need_sum(loads, row->endpoint);
+static void add_row(PeerLoads *loads, const mp_LoadRow *row) {
+  LoadSum *sum = get_or_add_sum(loads, row->endpoint);
   sum->tokens += row->tokens;
   sum->open += row->open;
-  sum->failing += row->failing;
+  sum->failing_percent += row->failing;
 }
 
-static void subtract(PeerLoads *loads, const mp_LoadRow *row) {
-  LoadSum *sum = need_sum(loads, row->endpoint);
+static void subtract_row(PeerLoads *loads, const mp_LoadRow *row) {
+  LoadSum *sum = get_or_add_sum(loads, row->endpoint);
   sum->tokens -= row->tokens;
   sum->open -= row->open;
-  sum->failing -= row->failing;
-  drop_empty(loads, row->endpoint, sum);
+  sum->failing_percent -= row->failing;
+  remove_if_zero(loads, row->endpoint, sum);
 }
 
-static void add_all(PeerLoads *loads, const Peer *peer) {
+static void add_digest(PeerLoads *loads, const Peer *peer) {
   unsigned i;
   for (i = 0; i < peer->digest.n; i++)
-    add(loads, &peer->digest.row[i]);
+    add_row(loads, &peer->digest.row[i]);
   for (i = 0; i < peer->digest.changing_count; i++)
-    need_sum(loads, peer->digest.changing[i])->changing++;
+    get_or_add_sum(loads, peer->digest.changing[i])->changing_reports++;
 }
 
-static void subtract_notes(PeerLoads *loads, Peer *peer) {
+static void subtract_reservations(PeerLoads *loads, Peer *peer) {
   guint i;
-  for (i = 0; i < peer->notes->len; i++)
-    subtract(loads, &g_array_index(peer->notes, mp_LoadRow, i));
-  g_array_set_size(peer->notes, 0);
+  for (i = 0; i < peer->reservations->len; i++)
+    subtract_row(loads, &g_array_index(peer->reservations, mp_LoadRow, i));
+  g_array_set_size(peer->reservations, 0);
 }
 
-static void subtract_all(PeerLoads *loads, Peer *peer) {
+static void subtract_peer(PeerLoads *loads, Peer *peer) {
   unsigned i;
-  subtract_notes(loads, peer);
+  subtract_reservations(loads, peer);
   for (i = 0; i < peer->digest.n; i++)
-    subtract(loads, &peer->digest.row[i]);
+    subtract_row(loads, &peer->digest.row[i]);
   for (i = 0; i < peer->digest.changing_count; i++) {
-    LoadSum *sum = need_sum(loads, peer->digest.changing[i]);
-    sum->changing--;
-    drop_empty(loads, peer->digest.changing[i], sum);
+    LoadSum *sum = get_or_add_sum(loads, peer->digest.changing[i]);
+    sum->changing_reports--;
+    remove_if_zero(loads, peer->digest.changing[i], sum);
   }
 }
 
-/* an older digest that was overtaken; not one of a new life */
-static gboolean is_late(const Peer *peer, guint32 sequence) {
+/* Returns TRUE for a digest that is a duplicate of the stored one or older
+** than it. A larger step back is a restarted peer, whose digest is accepted.
+*/
+static gboolean is_outdated(const Peer *peer, guint32 sequence) {
   guint32 behind = peer->sequence - sequence;
   return behind < REORDER_WINDOW;
 }
 
-static Peer *need_peer(PeerLoads *loads, mp_Addr address) {
+static Peer *get_or_add_peer(PeerLoads *loads, mp_Addr address) {
   Peer *peer = g_hash_table_lookup(loads->peers, &address);
   if (peer != NULL)
     return peer;
   peer = g_new0(Peer, 1);
   peer->address = address;
   peer->instances = 1;
-  peer->notes = g_array_new(FALSE, FALSE, sizeof(mp_LoadRow));
+  peer->reservations = g_array_new(FALSE, FALSE, sizeof(mp_LoadRow));
   g_hash_table_insert(loads->peers, &peer->address, peer);
   return peer;
 }
 
-static gboolean take(PeerLoads *loads, Peer *peer, guint32 sequence,
-                     const mp_LoadDigest *digest, gint64 now) {
-  if (peer->heard != 0 && is_late(peer, sequence))
+static gboolean replace_digest(PeerLoads *loads, Peer *peer, guint32 sequence,
+                               const mp_LoadDigest *digest, gint64 now) {
+  if (peer->received_at != 0 && is_outdated(peer, sequence))
     return FALSE;
-  subtract_all(loads, peer);
+  subtract_peer(loads, peer);
   peer->sequence = sequence;
-  peer->heard = now;
+  peer->received_at = now;
   peer->digest = *digest;
-  peer->oldest = now - digest->oldest_ms * MP_MS;
-  add_all(loads, peer);
+  peer->oldest_in_time = now - digest->oldest_ms * MP_MS;
+  add_digest(loads, peer);
   return TRUE;
 }
 
 gboolean peer_loads_update(PeerLoads *loads, mp_Addr address, guint32 sequence,
                            const mp_LoadDigest *digest, gint64 now) {
-  return take(loads, need_peer(loads, address), sequence, digest, now);
+  return replace_digest(loads, get_or_add_peer(loads, address), sequence,
+                        digest, now);
 }
 
-/* another relay told of that data centre before */
-static void drop_other_relays(PeerLoads *loads, const Peer *kept) {
+/* Removes the summaries that other relays sent for the same data centre. */
+static void remove_other_relays(PeerLoads *loads, const Peer *kept) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, loads->peers);
@@ -157,35 +164,36 @@
     Peer *peer = value;
     if (peer == kept || peer->zone != kept->zone)
       continue;
-    subtract_all(loads, peer);
+    subtract_peer(loads, peer);
     g_hash_table_iter_remove(&iterator);
   }
 }
 
-/* summaries do not share an address with the relay's own digest */
+/* Returns the key under which a relay's summary is stored. It differs from
+** the relay's address, under which its own digest is stored. */
 static mp_Addr summary_address(mp_Addr relay) {
   return relay | 1ULL << 63;
 }
 
 gboolean peer_loads_update_summary(PeerLoads *loads, guint32 sequence,
                                    const mp_LoadSummary *summary, gint64 now) {
-  Peer *peer = need_peer(loads, summary_address(summary->relay));
-  if (!take(loads, peer, sequence, &summary->loads, now))
+  Peer *peer = get_or_add_peer(loads, summary_address(summary->relay));
+  if (!replace_digest(loads, peer, sequence, &summary->loads, now))
     return FALSE;
   peer->zone = summary->zone;
   peer->instances = summary->instances;
-  drop_other_relays(loads, peer);
+  remove_other_relays(loads, peer);
   return TRUE;
 }
 
-static void sum_row(mp_LoadDigest *out, const mp_LoadRow *row) {
+static void add_row_to_summary(mp_LoadDigest *out, const mp_LoadRow *row) {
   unsigned i;
   for (i = 0; i < out->n; i++) {
     if (out->row[i].endpoint == row->endpoint)
       break;
   }
-  if (i == MP_DIGEST_ROWS) /* those with the most load came first, mostly */
-    return;
+  if (i == MP_DIGEST_ROWS)
+    return; /* no room: the rows with the most load mostly came first */
   if (i == out->n) {
     out->row[out->n++] = *row;
     return;
@@ -195,7 +203,7 @@
   out->row[i].failing += row->failing;
 }
 
-static void sum_changing(mp_LoadDigest *out, guint32 endpoint) {
+static void add_changing_to_summary(mp_LoadDigest *out, guint32 endpoint) {
   unsigned i;
   for (i = 0; i < out->changing_count; i++) {
     if (out->changing[i] == endpoint)
@@ -205,15 +213,16 @@
     out->changing[out->changing_count++] = endpoint;
 }
 
-static void sum_digest(mp_LoadDigest *out, const mp_LoadDigest *digest) {
+static void add_digest_to_summary(mp_LoadDigest *out,
+                                  const mp_LoadDigest *digest) {
   unsigned i;
   out->waiting += digest->waiting;
   out->in_time += digest->in_time;
   out->oldest_ms = MAX(out->oldest_ms, digest->oldest_ms);
   for (i = 0; i < digest->n; i++)
-    sum_row(out, &digest->row[i]);
+    add_row_to_summary(out, &digest->row[i]);
   for (i = 0; i < digest->changing_count; i++)
-    sum_changing(out, digest->changing[i]);
+    add_changing_to_summary(out, digest->changing[i]);
 }
 
 void peer_loads_add_to_summary(const PeerLoads *loads, mp_LoadSummary *out,
@@ -223,10 +232,10 @@
   g_hash_table_iter_init(&iterator, loads->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Peer *peer = value;
-    if (peer->zone != 0 || now - peer->heard >= PEER_LOAD_TIMEOUT)
+    if (peer->zone != 0 || now - peer->received_at >= PEER_LOAD_TIMEOUT)
       continue;
     out->instances++;
-    sum_digest(&out->loads, &peer->digest);
+    add_digest_to_summary(&out->loads, &peer->digest);
   }
 }
 
@@ -234,12 +243,12 @@
                                 const mp_LoadNote *note) {
   Peer *peer = g_hash_table_lookup(loads->peers, &address);
   mp_LoadRow row = {note->endpoint, note->tokens, 0, 0};
-  /* a digest that is newer has it already */
+  /* A newer digest includes the reservation already. */
   if (peer == NULL || peer->sequence != note->after ||
-      peer->notes->len >= MP_DIGEST_ROWS)
+      peer->reservations->len >= MP_DIGEST_ROWS)
     return;
-  g_array_append_val(peer->notes, row);
-  add(loads, &row);
+  g_array_append_val(peer->reservations, row);
+  add_row(loads, &row);
 }
 
 const mp_LoadDigest *peer_loads_latest_digest(const PeerLoads *loads,
@@ -253,7 +262,7 @@
   return peer_loads_latest_digest(loads, summary_address(relay));
 }
 
-guint peer_loads_count_reachable(const PeerLoads *loads, gint64 silence,
+guint peer_loads_count_reachable(const PeerLoads *loads, gint64 timeout,
                                  gint64 now) {
   GHashTableIter iterator;
   gpointer value;
@@ -261,7 +270,7 @@
   g_hash_table_iter_init(&iterator, loads->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Peer *peer = value;
-    count += now - peer->heard < silence ? peer->instances : 0;
+    count += now - peer->received_at < timeout ? peer->instances : 0;
   }
   return count;
 }
@@ -273,11 +282,11 @@
   g_hash_table_iter_init(&iterator, loads->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     Peer *peer = value;
-    if (now - peer->heard < PEER_LOAD_TIMEOUT ||
+    if (now - peer->received_at < PEER_LOAD_TIMEOUT ||
         (peer->digest.n == 0 && peer->digest.waiting == 0 &&
-         peer->digest.changing_count == 0 && peer->notes->len == 0))
+         peer->digest.changing_count == 0 && peer->reservations->len == 0))
       continue;
-    subtract_all(loads, peer);
+    subtract_peer(loads, peer);
     peer->digest.n = 0;
     peer->digest.changing_count = 0;
     peer->digest.waiting = 0;
@@ -287,22 +296,22 @@
   return found;
 }
 
-static const LoadSum *sum_of(const PeerLoads *loads, guint32 endpoint) {
+static const LoadSum *find_sum(const PeerLoads *loads, guint32 endpoint) {
   return g_hash_table_lookup(loads->sums, GUINT_TO_POINTER(endpoint));
 }
 
 guint64 peer_loads_tokens(const PeerLoads *loads, guint32 endpoint) {
-  const LoadSum *sum = sum_of(loads, endpoint);
+  const LoadSum *sum = find_sum(loads, endpoint);
   return sum != NULL ? sum->tokens : 0;
 }
 
 double peer_loads_failure_shares(const PeerLoads *loads, guint32 endpoint) {
-  const LoadSum *sum = sum_of(loads, endpoint);
-  return sum != NULL ? sum->failing / 100.0 : 0;
+  const LoadSum *sum = find_sum(loads, endpoint);
+  return sum != NULL ? sum->failing_percent / 100.0 : 0;
 }
 
 guint peer_loads_open_dispatches(const PeerLoads *loads, guint32 endpoint) {
-  const LoadSum *sum = sum_of(loads, endpoint);
+  const LoadSum *sum = find_sum(loads, endpoint);
   return sum != NULL ? sum->open : 0;
 }
 
@@ -313,7 +322,7 @@
   g_hash_table_iter_init(&iterator, loads->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Peer *peer = value;
-    count += peer->digest.in_time > 0 && peer->oldest < came;
+    count += peer->digest.in_time > 0 && peer->oldest_in_time < came;
   }
   return count;
 }
@@ -340,8 +349,8 @@
 
 gboolean peer_loads_is_changing_stage(const PeerLoads *loads,
                                       guint32 endpoint) {
-  const LoadSum *sum = sum_of(loads, endpoint);
-  return sum != NULL && sum->changing > 0;
+  const LoadSum *sum = find_sum(loads, endpoint);
+  return sum != NULL && sum->changing_reports > 0;
 }
 
 guint peer_loads_waiting_requests(const PeerLoads *loads) {
@@ -363,7 +372,7 @@
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Peer *peer = value;
     count += peer->zone == 0 && peer->address < address &&
-             now - peer->heard < PEER_LOAD_TIMEOUT;
+             now - peer->received_at < PEER_LOAD_TIMEOUT;
   }
   return count;
 }
