--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -303,8 +303,8 @@
 m n-pause "news: a store that does not answer delays no relay's" \
   router/news_source.c '(source->follower.failures == 0 ||' '(TRUE ||'
 m s-far "summaries: other data centres' loads are not summed twice" \
-  router/peer_loads.c 'if (peer->zone != 0 || now - peer->heard' \
-  'if (now - peer->heard'
+  router/peer_loads.c 'if (peer->zone != 0 || now - peer->received_at' \
+  'if (now - peer->received_at'
 m s-other "summaries: one relay of a data centre counts" router/peer_loads.c \
   'if (peer == kept || peer->zone != kept->zone)' 'if (TRUE)'
 m s-first "summaries: a relay's first totals are no spending" \
