--- a/router/accounts.c
+++ b/router/accounts.c
@@ -1,21 +1,24 @@
 /*
 ** accounts.c
-** Client accounts: whose request is it, may it run, is it within the limit?
+** Client accounts: finds the account of a request by its key, checks that it
+** may run, and charges the account's limit
 **
 ** Invariant: no dispatch of a request with a key leaves unless the newest
 ** configuration known here has the key, and was certainly the newest one at
-** most RouterOptions.revoke_bound ago (router/config_proof.h).
+** most RouterOptions.revoke_bound ago (router/config_proof.h). A revoke_bound
+** of 0 sets no bound.
 */
 
 #include <string.h>
 
 #include "router/state.h"
 
-/* callers turned away for the age of the configuration reach another instance
-** at their next try, or this one once it hears from a relay again */
-#define RETRY_AFTER_OLD_MS 300
+/* A caller that is refused because the configuration is too old comes back
+** after this time: its retry reaches another instance, or this one after it
+** has heard from a relay again. */
+#define OLD_CONFIGURATION_RETRY_AFTER_MS 300
 
-static gboolean is_too_old(const Router *router, gint64 now) {
+static gboolean is_configuration_too_old(const Router *router, gint64 now) {
   return router->revoke_bound > 0 &&
          now - router->proved_at > router->revoke_bound;
 }
@@ -34,7 +37,7 @@
   return sharers;
 }
 
-static void log_refused(Router *router, const CallerRequest *call,
+static void log_refusal(Router *router, const CallerRequest *call,
                         const Account *account, const Refusal *refusal,
                         gint64 now) {
   const char *name = account != NULL ? account->name : "-";
@@ -49,37 +52,41 @@
              (int)refusal->retry_after_ms);
 }
 
-/* the account's limit; spends the request's cost */
-static gboolean is_within_limit(Router *router, const CallerRequest *call,
-                                const Account *account, Refusal *refusal,
-                                gint64 now) {
+/* Charges the request's cost to the account's limit and returns TRUE. If the
+** limit does not admit the request, fills in the refusal and returns FALSE. */
+static gboolean charge_limit(Router *router, const CallerRequest *call,
+                             const Account *account, Refusal *refusal,
+                             gint64 now) {
   LimitSharers sharers = accounts_sharers(router, now);
   double cost =
       account_cost(account, call->prompt_tokens, call->output_tokens);
-  gint64 come_back = 0;
+  gint64 retry_delay = 0;
   if (account_limits_admit(router->limits, account, cost, &sharers,
-                           g_rand_double(router->random), now, &come_back))
+                           g_rand_double(router->random), now, &retry_delay))
     return TRUE;
   refusal->kind = REFUSAL_LIMIT;
-  refusal->retry_after_ms = come_back / MP_MS;
+  refusal->retry_after_ms = retry_delay / MP_MS;
   router_count(router, REFUSED_LIMIT);
   return FALSE;
 }
 
-static void refuse_as_old(Router *router, Refusal *refusal) {
+static void refuse_for_old_configuration(Router *router, Refusal *refusal) {
   refusal->kind = REFUSAL_OLD_CONFIGURATION;
-  refusal->retry_after_ms = RETRY_AFTER_OLD_MS;
+  refusal->retry_after_ms = OLD_CONFIGURATION_RETRY_AFTER_MS;
   router_count(router, REFUSED_OLD);
 }
 
-/* without a key, with two, or with an unknown one there is no account */
+/* Returns the account that the request's key belongs to. A request without a
+** key, with several, or with an unknown one has no account: the result is NULL
+** then, with the refusal filled in. */
 static const Account *find_account(Router *router, const CallerRequest *call,
                                    Refusal *refusal, gint64 now) {
   char digest[MP_DIGEST + 1];
   const Account *account = NULL;
-  /* an old configuration does not know which keys are new: 503, not 401 */
-  if (is_too_old(router, now)) {
-    refuse_as_old(router, refusal);
+  /* An old configuration may lack a new key, so the caller gets a 503 (come
+  ** back) and not a 401 (unknown key). */
+  if (is_configuration_too_old(router, now)) {
+    refuse_for_old_configuration(router, refusal);
     return NULL;
   }
   if (call->keys == 1) {
@@ -90,7 +97,7 @@
     return account;
   refusal->kind = REFUSAL_KEY;
   if (call->keys == 1 && router_lacks_news(router, now))
-    refuse_as_old(router, refusal);
+    refuse_for_old_configuration(router, refusal);
   else
     router_count(router, REFUSED_KEY);
   return NULL;
@@ -103,10 +110,9 @@
   if (router->routes->accounts == NULL || route->is_public)
     return TRUE;
   *account = find_account(router, call, refusal, now);
-  if (*account != NULL &&
-      is_within_limit(router, call, *account, refusal, now))
+  if (*account != NULL && charge_limit(router, call, *account, refusal, now))
     return TRUE;
-  log_refused(router, call, *account, refusal, now);
+  log_refusal(router, call, *account, refusal, now);
   return FALSE;
 }
 
@@ -125,7 +131,7 @@
   if (request->account == NULL)
     return TRUE;
   *why = REFUSAL_OLD_CONFIGURATION;
-  if (is_too_old(router, now))
+  if (is_configuration_too_old(router, now))
     return FALSE;
   *why = REFUSAL_KEY;
   return request->table == router->routes ||
--- a/router/loads.c
+++ b/router/loads.c
@@ -1,6 +1,7 @@
 /*
 ** loads.c
-** What is open here, told to the other instances, and what they tell
+** Load digests: writes what is open at this instance for the other instances,
+** and applies the digests and summaries that they send
 */
 
 #include <string.h>
@@ -10,11 +11,12 @@
 #include "router/retry_exchange.h"
 #include "router/state.h"
 
-/* an endpoint is failing from this share on, in percent: one instance could
-** not reach it, or several had runs fail there */
-#define FAILING_SHARE 90
-/* shares of failures below this are told nobody, in percent */
-#define FAILING_TOLD 5
+/* An endpoint counts as failing from this share of failures on, in percent:
+** either one instance could not reach it, or runs of several instances failed
+** there. */
+#define FAILING_PERCENT_MIN 90
+/* Smaller shares of failures are not reported, in percent. */
+#define REPORTED_FAILING_PERCENT_MIN 5
 
 guint64 router_load_version(const Router *router) {
   return router->load_version;
@@ -24,18 +26,21 @@
   return router->plain_version;
 }
 
-/* in percent; one out of reach fails for certain, and so does one that rests:
-** the others, whom it did not ask for rest, spare it while they have a choice
+/*
+** Returns the recent share of failures at the endpoint, in percent. It is 100
+** for an endpoint that this instance avoids as unreachable, and for one that
+** asked this instance for a rest: the other instances, which were not asked,
+** then prefer other endpoints while they have a choice.
 */
-static guint share_failing(const Endpoint *endpoint, gint64 now) {
+static guint failing_percent(const Endpoint *endpoint, gint64 now) {
   if (endpoint->avoid_until > now ||
       availability_rest_left(&endpoint->availability, now) > 0)
     return 100;
   return (guint)(100 * endpoint_failing(endpoint, now));
 }
 
-/* as mp_LoadRow.tokens */
-static guint64 told_tokens(const Endpoint *endpoint) {
+/* Returns the value of mp_LoadRow.tokens for the endpoint. */
+static guint64 reported_tokens(const Endpoint *endpoint) {
   if (endpoint->record.stage != STAGE_NONE)
     return endpoint->tokens;
   return (guint64)endpoint->connections * MP_TOKEN_BLOCK;
@@ -66,17 +71,21 @@
                       guint failing) {
   mp_LoadRow *row = &out->row[out->n++];
   row->endpoint = endpoint->hash;
-  row->tokens = (uint32_t)told_tokens(endpoint);
+  row->tokens = (uint32_t)reported_tokens(endpoint);
   row->open = endpoint->open;
   row->failing = failing;
 }
 
-/* does something here matter to the others in any case? */
-static gboolean is_loaded(const Endpoint *endpoint, guint failing) {
-  return endpoint->open > 0 || endpoint->tokens > 0 || failing >= FAILING_TOLD;
+/* Returns TRUE if this instance has work or failures at the endpoint, which
+** the other instances need to know in any case. Whether resting connections
+** alone are reported is for connections_told to say. */
+static gboolean has_reportable_load(const Endpoint *endpoint, guint failing) {
+  return endpoint->open > 0 || endpoint->tokens > 0 ||
+         failing >= REPORTED_FAILING_PERCENT_MIN;
 }
 
-/* those at which connections only rest come last: they may find no room */
+/* Fills the rows of the digest. Endpoints at which connections only rest come
+** last, so it is these that are left out when there is no more room. */
 static void write_rows(const Router *router, mp_LoadDigest *out, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   ConnectionsView view = {0};
@@ -84,14 +93,14 @@
   out->n = 0;
   for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    guint failing = share_failing(endpoint, now);
-    if (is_loaded(endpoint, failing))
+    guint failing = failing_percent(endpoint, now);
+    if (has_reportable_load(endpoint, failing))
       write_row(endpoint, out, failing);
   }
   for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    guint failing = share_failing(endpoint, now);
-    if (!is_loaded(endpoint, failing) &&
+    guint failing = failing_percent(endpoint, now);
+    if (!has_reportable_load(endpoint, failing) &&
         connections_told(router, endpoint, &view))
       write_row(endpoint, out, failing);
   }
@@ -119,15 +128,18 @@
   account_limits_write_summary(router->limits, &out->loads);
 }
 
+/* The number is a sum, so the order of the endpoints doesn't matter. A failing
+** endpoint adds the square of its hash and a leaving one the hash itself, so
+** the two reasons change it differently. */
 guint64 router_urgent_set(const Router *router, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint64 set = 0;
   guint i;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    if (share_failing(endpoint, now) >= FAILING_SHARE ||
+    if (failing_percent(endpoint, now) >= FAILING_PERCENT_MIN ||
         peer_loads_failure_shares(router->endpoints->peers, endpoint->hash) >=
-            FAILING_SHARE / 100.0)
+            FAILING_PERCENT_MIN / 100.0)
       set += (guint64)endpoint->hash * endpoint->hash;
     if (endpoint->availability.leaving_since != 0)
       set += endpoint->hash;
@@ -144,7 +156,8 @@
   PeerLoads *peers = router->endpoints->peers;
   const mp_LoadDigest *known =
       peer_loads_latest_summary(peers, summary->relay);
-  mp_LoadDigest before;
+  mp_LoadDigest before; /* valid if 'known' is not NULL; the update overwrites
+                        ** what 'known' points to */
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
@@ -163,7 +176,7 @@
                       const mp_LoadDigest *digest, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
   const mp_LoadDigest *known = peer_loads_latest_digest(peers, peer);
-  mp_LoadDigest before;
+  mp_LoadDigest before; /* as in router_zone_load */
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
--- a/router/shared_totals.c
+++ b/router/shared_totals.c
@@ -1,19 +1,19 @@
 /*
 ** shared_totals.c
-** What instances took of limits that they share
+** The totals that peers report of what they used of shared limits
 */
 
 #include "router/shared_totals.h"
 
 struct PeerTotals {
-  gint64 heard;
-  gboolean was_silent; /* before its last message */
-  GHashTable *totals;  /* hash of a limit -> its total */
+  gint64 received_at;  /* its last message */
+  gboolean was_silent; /* for longer than the timeout before that message */
+  GHashTable *totals;  /* hash of a limit -> the peer's total of it */
 };
 
 struct SharedTotals {
-  gint64 silence;
-  gint64 swept;      /* when silent peers were forgotten last */
+  gint64 timeout;
+  gint64 swept_at;   /* when silent peers were removed last */
   GHashTable *peers; /* address -> PeerTotals */
 };
 
@@ -29,9 +29,9 @@
   g_free(peer);
 }
 
-SharedTotals *shared_totals_new(gint64 silence) {
+SharedTotals *shared_totals_new(gint64 timeout) {
   SharedTotals *totals = g_new0(SharedTotals, 1);
-  totals->silence = silence;
+  totals->timeout = timeout;
   totals->peers =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, peer_free);
   return totals;
@@ -46,17 +46,19 @@
   return g_hash_table_size(totals->peers);
 }
 
-/* nothing follows from the totals of a peer that was silent, so they need not
-** be kept: an instance that comes back has another address each time */
-static void sweep(SharedTotals *totals, gint64 now) {
+/* Removes the silent peers, at most once in each timeout. Their totals would
+*charge nothing any
+** more, and without this the table would grow: an instance that restarts has
+** another address each time. */
+static void remove_silent_peers(SharedTotals *totals, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
-  if (now - totals->swept <= totals->silence)
+  if (now - totals->swept_at <= totals->timeout)
     return;
-  totals->swept = now;
+  totals->swept_at = now;
   g_hash_table_iter_init(&iterator, totals->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-    if (now - ((PeerTotals *)value)->heard > totals->silence)
+    if (now - ((PeerTotals *)value)->received_at > totals->timeout)
       g_hash_table_iter_remove(&iterator);
   }
 }
@@ -65,26 +67,27 @@
                                   gint64 now) {
   PeerTotals *peer = g_hash_table_lookup(totals->peers, &address);
   if (peer == NULL) {
-    sweep(totals, now);
+    remove_silent_peers(totals, now);
     peer = g_new0(PeerTotals, 1);
-    peer->heard = now;
+    peer->received_at = now;
     peer->totals = g_hash_table_new(NULL, NULL);
     g_hash_table_insert(totals->peers, g_memdup2(&address, sizeof address),
                         peer);
   }
-  peer->was_silent = now - peer->heard > totals->silence;
-  peer->heard = now;
+  peer->was_silent = now - peer->received_at > totals->timeout;
+  peer->received_at = now;
   return peer;
 }
 
 guint32 peer_totals_increase(PeerTotals *peer, guint32 limit, guint32 total) {
   gpointer key = GUINT_TO_POINTER(limit);
-  gpointer before;
-  gboolean known =
-      g_hash_table_lookup_extended(peer->totals, key, NULL, &before);
+  gpointer previous;
+  gboolean is_known =
+      g_hash_table_lookup_extended(peer->totals, key, NULL, &previous);
   g_hash_table_insert(peer->totals, key, GUINT_TO_POINTER(total));
-  if (!known || peer->was_silent)
+  if (!is_known || peer->was_silent)
     return 0;
-  return total >= GPOINTER_TO_UINT(before) ? total - GPOINTER_TO_UINT(before)
-                                           : total;
+  return total >= GPOINTER_TO_UINT(previous)
+             ? total - GPOINTER_TO_UINT(previous)
+             : total;
 }
--- a/router/shared_totals.h
+++ b/router/shared_totals.h
@@ -1,12 +1,20 @@
 /*
 ** shared_totals.h
-** What instances took of limits that they share, as totals that they tell
+** The totals that peers report of what they used of shared limits
 **
-** Each tells what it has taken since its start, so a message that is lost is
-** made good by the next one. What counts is what came on top of the total
-** before. A total that is heard for the first time, or after a silence, says
-** nothing of what was taken lately: while a peer is out of reach, the others'
-** share of a limit is smaller instead (limit_share).
+** Instances share limits: those of client accounts (account_limits.c) and the
+** rates that endpoints name (rate_limits.c). Each instance reports the total
+** that it has used of a limit since its start, so the next message makes good
+** a lost one. The receiver charges the increase over the total before.
+**
+** Invariant: the first total of a limit that a peer reports charges nothing,
+** and neither do the totals in its first message after a silence longer than
+** the timeout, because they don't say how much was used lately. While a peer
+** is unreachable, the part of the limit that is available here is smaller
+** instead (limit_share).
+**
+** Times are in microseconds of this instance's steady clock. Limits are named
+** by a hash that their user chooses.
 */
 
 #ifndef ROUTER_SHARED_TOTALS_H
@@ -14,31 +22,40 @@
 
 #include <glib.h>
 
-/* who shares the limits, as this instance sees it now */
+/* how many instances share the limits, as this instance sees it now */
 typedef struct LimitSharers {
-  unsigned instances; /* that there are; 0: not known yet */
-  unsigned
-      heard; /* of them, heard within ACCOUNT_PEER_TIMEOUT, and this one */
+  unsigned instances; /* all of them, this one included; 0: not known yet */
+  unsigned heard;     /* of these, heard from within ACCOUNT_PEER_TIMEOUT, and
+                      ** this one */
 } LimitSharers;
 
-/* the part of a limit that is this side's, if instances are out of reach */
+/* Returns the share of a limit that the reachable instances may use together,
+** 0 to 1. It is 0 while the number of instances is unknown. */
 double limit_share(const LimitSharers *sharers);
 
+/* the totals of all peers */
 typedef struct SharedTotals SharedTotals;
-typedef struct PeerTotals PeerTotals; /* one peer's */
+/* the totals of one peer; they belong to their SharedTotals */
+typedef struct PeerTotals PeerTotals;
 
-/* a peer that was not heard for longer than this is out of reach */
-SharedTotals *shared_totals_new(gint64 silence);
+/* A peer that was silent for longer than 'timeout' counts as unreachable. The
+** caller frees the result with shared_totals_free. */
+SharedTotals *shared_totals_new(gint64 timeout);
 void shared_totals_free(SharedTotals *totals);
 
-/* peers whose totals are kept */
+/* Returns the number of peers whose totals are stored. */
 guint shared_totals_peer_count(const SharedTotals *totals);
 
-/* a message of this peer is there: its totals follow */
+/* Notes that a message of this peer has arrived, and returns the peer's entry
+** for peer_totals_increase. The entry stays valid until the next call. */
 PeerTotals *shared_totals_receive(SharedTotals *totals, guint64 peer,
                                   gint64 now);
-/* what came on top of its total before. A smaller one is of a new life, or has
-** wrapped: then a little is left out, once in some hours */
+/*
+** Stores the total that the peer reports for a limit, and returns the increase
+** over its total before, or 0 where the invariant says so. A total smaller
+** than the one before comes from a restarted peer or has wrapped around; then
+** the whole of it is returned, which misses a little once in some hours.
+*/
 guint32 peer_totals_increase(PeerTotals *peer, guint32 limit, guint32 total);
 
 #endif
--- a/router/signals.c
+++ b/router/signals.c
@@ -1,18 +1,22 @@
 /*
 ** signals.c
-** What endpoints tell about themselves with their answers
+** Signals: what endpoints say about themselves in the heads of their answers
+**
+** An endpoint may say that it is leaving or wants a rest (kept in its
+** Availability) or name a rate (handed on to rates.c). That an endpoint is
+** leaving is also passed on to the other instances, with load digests.
 */
 
 #include <string.h>
 
 #include "router/state.h"
 
-/* unknown fields that are logged in the life of an instance, and bytes of each
- */
-#define UNKNOWN_MOST 32
-#define UNKNOWN_LENGTH 40
+/* An instance logs this many different unknown fields during its life. */
+#define UNKNOWN_FIELDS_MAX 32
+/* bytes of an unknown field's name that are logged */
+#define UNKNOWN_FIELD_LENGTH 40
 
-/* 'said_by': an answer, or another instance */
+/* 'said_by' is "answer" or "instance": how this instance learned it. */
 static void log_leaving(Router *router, const Endpoint *endpoint,
                         const char *said_by) {
   router_log(router, MP_LOG_EP_SAYS_LEAVING,
@@ -21,8 +25,8 @@
              endpoint_open(router->endpoints, endpoint));
 }
 
-/* TRUE: it was not known */
-static gboolean note_leaving(Router *router, Endpoint *endpoint,
+/* Returns TRUE if it was not known yet that the endpoint is leaving. */
+static gboolean mark_leaving(Router *router, Endpoint *endpoint,
                              const char *said_by, gint64 now) {
   if (!availability_leave(&endpoint->availability, now))
     return FALSE;
@@ -30,8 +34,9 @@
   return TRUE;
 }
 
-static void note_rest(Router *router, Endpoint *endpoint, gint64 time,
-                      gint64 now) {
+/* The endpoint asked this instance to send nothing for 'time' microseconds. */
+static void start_rest(Router *router, Endpoint *endpoint, gint64 time,
+                       gint64 now) {
   Availability *known = &endpoint->availability;
   if (!availability_rest(known, time, now))
     return;
@@ -42,9 +47,11 @@
              endpoint_open(router->endpoints, endpoint));
 }
 
-/* once for a life: an endpoint that sends one sends it with each answer */
-static void note_unreadable(Router *router, Endpoint *endpoint,
-                            const EndpointSignals *signals) {
+/* Counts unreadable signals, and logs the first one in a life of the endpoint,
+*because an
+** endpoint that sends one sends it with each answer. */
+static void report_unreadable(Router *router, Endpoint *endpoint,
+                              const EndpointSignals *signals) {
   router_count(router, SIGNALS_BAD);
   if (endpoint->availability.is_logged)
     return;
@@ -54,14 +61,16 @@
              signals->rest == SIGNAL_UNREADABLE);
 }
 
-/* once for a service: it shows that endpoints say something that is not read
-** (platform/fields.h) */
-static void note_unknown(Router *router, const Endpoint *endpoint,
-                         const char *field) {
+/* Counts unknown fields, and logs each one once for a service. That shows the
+*operators that
+** endpoints say something that this version doesn't read (platform/fields.h).
+*/
+static void report_unknown_field(Router *router, const Endpoint *endpoint,
+                                 const char *field) {
   char *key = g_strdup_printf("%s %.*s", endpoint->record.service,
-                              UNKNOWN_LENGTH, field);
+                              UNKNOWN_FIELD_LENGTH, field);
   router_count(router, FIELDS_UNKNOWN);
-  if (g_hash_table_size(router->unknown_fields) >= UNKNOWN_MOST ||
+  if (g_hash_table_size(router->unknown_fields) >= UNKNOWN_FIELDS_MAX ||
       g_hash_table_contains(router->unknown_fields, key)) {
     g_free(key);
     return;
@@ -69,65 +78,70 @@
   g_hash_table_add(router->unknown_fields, key);
   router_log(router, MP_LOG_EP_FIELD_UNKNOWN,
              " endpoint=%s service=%s field=%.*s", endpoint->record.id,
-             endpoint->record.service, UNKNOWN_LENGTH, field);
+             endpoint->record.service, UNKNOWN_FIELD_LENGTH, field);
 }
 
 void router_endpoint_signals(Router *router, const char *id, guint32 life,
                              const EndpointSignals *signals, gint64 now) {
   Endpoint *endpoint = endpoint_table_get_life(router->endpoints, id, life);
   if (endpoint == NULL)
-    return; /* that life is over */
+    return; /* the answer comes from a life of the endpoint that has ended */
   if (signals->leaving == SIGNAL_GIVEN &&
-      note_leaving(router, endpoint, "answer", now))
-    router->load_version++; /* the others should know at once */
+      mark_leaving(router, endpoint, "answer", now))
+    router->load_version++; /* the host sends the next digest soon */
   if (signals->rest == SIGNAL_GIVEN)
-    note_rest(router, endpoint, signals->rest_time, now);
+    start_rest(router, endpoint, signals->rest_time, now);
   if (signals->leaving == SIGNAL_UNREADABLE ||
       signals->rest == SIGNAL_UNREADABLE)
-    note_unreadable(router, endpoint, signals);
+    report_unreadable(router, endpoint, signals);
   if (signals->unknown != NULL)
-    note_unknown(router, endpoint, signals->unknown);
+    report_unknown_field(router, endpoint, signals->unknown);
   rates_signalled(router, endpoint, signals, now);
 }
 
 /*
 ** {==================================================================
-** What instances tell each other
+** Leaving endpoints in load digests
 ** ===================================================================
 */
 
-/* a digest names as many as it holds; if there are more, others in each span
-** of this length, which is the time between two digests */
-#define TURN (500 * MP_MS)
+/* A digest names at most MP_DIGEST_LEAVING endpoints. If more are leaving,
+** the digests of each span of this length name the next ones in turn; it is
+** the longest time between two digests. */
+#define ROTATION_INTERVAL (500 * MP_MS)
 
-/* others learn it from the list once that says so; a life that is not known by
-** its start can't be told from a later one */
-static gboolean is_news(const Endpoint *endpoint) {
+/*
+** Returns TRUE if the other instances have to be told that the endpoint is
+** leaving. Once the platform's list says so, they learn it from there. An
+** endpoint whose start time is unknown is left out, because its life can't be
+** distinguished from a later one.
+*/
+static gboolean must_report_leaving(const Endpoint *endpoint) {
   return endpoint->availability.leaving_since != 0 && endpoint->record.ready &&
          endpoint->record.born_unix_ms != 0;
 }
 
-static guint count_news(const Router *router) {
+static guint count_to_report(const Router *router) {
   const GPtrArray *all = router->endpoints->all;
   guint count = 0;
   guint i;
   for (i = 0; i < all->len; i++)
-    count += is_news(all->pdata[i]);
+    count += must_report_leaving(all->pdata[i]);
   return count;
 }
 
 void signals_write(const Router *router, mp_LoadDigest *out, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
-  guint count = count_news(router);
+  guint count = count_to_report(router);
   guint first = 0;
   guint place = 0;
   guint i;
   out->leaving_count = 0;
   if (count > MP_DIGEST_LEAVING)
-    first = (guint)(now / TURN * MP_DIGEST_LEAVING % count);
+    first = (guint)(now / ROTATION_INTERVAL * MP_DIGEST_LEAVING % count);
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    if (!is_news(endpoint))
+    if (!must_report_leaving(endpoint))
       continue;
     if ((place + count - first) % count < MP_DIGEST_LEAVING)
       out->leaving[out->leaving_count++] = endpoint->hash;
@@ -135,7 +149,7 @@
   }
 }
 
-static gboolean names(const mp_LoadDigest *digest, guint32 hash) {
+static gboolean names_as_leaving(const mp_LoadDigest *digest, guint32 hash) {
   guint i;
   for (i = 0; i < digest->leaving_count; i++) {
     if (digest->leaving[i] == hash)
@@ -149,8 +163,9 @@
   guint i;
   for (i = 0; digest->leaving_count > 0 && i < all->len; i++) {
     Endpoint *endpoint = all->pdata[i];
-    if (endpoint->record.born_unix_ms != 0 && names(digest, endpoint->hash))
-      note_leaving(router, endpoint, "instance", now);
+    if (endpoint->record.born_unix_ms != 0 &&
+        names_as_leaving(digest, endpoint->hash))
+      mark_leaving(router, endpoint, "instance", now);
   }
 }
 
