--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -344,7 +344,7 @@
   router/account_limits.c 'limit->is_unknown = is_young(limits, now);' \
   'limit->is_unknown = FALSE;'
 m l-silent "limits: what was spent out of reach is not charged" \
-  router/shared_totals.c 'if (!known || peer->was_silent)' 'if (!known)'
+  router/shared_totals.c 'if (!is_known || peer->was_silent)' 'if (!is_known)'
 m l-small "limits: small requests pass first" router/account_limits.c \
   'if (cost <= SMALL_REQUEST_SHARE * limit->burst)' 'if (FALSE)'
 m k-large "relays: the largest machines" router/relay_group.c \
@@ -503,7 +503,7 @@
   'http_head_count(head, "Server-Limit") == 1' \
   TRUE
 m t-sweep "totals: silent peers are forgotten" router/shared_totals.c \
-  '    sweep(totals, now);' \
+  '    remove_silent_peers(totals, now);' \
   ''
 m b-resume "lists: reading goes on behind a broken item" platform/store.c \
   'return read_sound_list(answer, out) || read_broken_list(answer, out);' \
