--- a/router/account_limits.c
+++ b/router/account_limits.c
@@ -1,6 +1,6 @@
 /*
 ** account_limits.c
-** The limits of client accounts, kept by all instances together
+** The rate limits of client accounts, which all instances enforce together
 */
 
 #include <string.h>
@@ -8,77 +8,89 @@
 #include "account/bucket.h"
 #include "router/account_limits.h"
 
-/* part of the tolerance that is used on purpose: the rest is for what is spent
-** while it is on its way to the others (a flood of six times the limit spends
-** 0.6 s of the limit in the 0.1 s between two summaries) */
-#define FLOOR_SHARE 0.1
-/* part of what the tolerance allows in a window that is given out on purpose,
-** as a higher rate, while all are heard: a request that is refused within it
-** is one that could have been served. The rest is for what is on its way when
-** a flood and a cut begin at once (test_account_limits.cc) */
-#define USED_SHARE 0.82
-/* requests that cost less than this part of the burst pass before larger
+/* The floor is this part of the tolerance. The rest is for what is admitted
+** while reports are on their way to the other instances: a flood of six times
+** the limit spends 0.6 s of the limit in the 0.1 s between two summaries. */
+#define FLOOR_TOLERANCE_SHARE 0.1
+/* This part of what the limit and its tolerance allow in a window is given out
+** on purpose, as a higher rate, while all instances are reachable, because a
+** request that is refused within the tolerance could have been served. The
+** rest is for what is on its way when a flood and a partition begin at once.
+*/
+#define USED_TOLERANCE_SHARE 0.82
+/* Requests that cost at most this part of the burst are admitted before larger
 ** ones: in a bucket that large ones keep empty there is nearly always enough
-** left for them (a day with two floods, prompts of 5,000 tokens and plain
-** requests of 200: 10.3% of the requests refused without it, 3.2% with it) */
+** left for them. (A day with two floods, prompts of 5,000 tokens and plain
+** requests of 200: 10.3% of the requests refused without it, 3.2% with it.) */
 #define SMALL_REQUEST_SHARE 0.02
-/* and so many floors lower: what is on its way in a flood */
-#define SMALL_FLOORS 2
-/* the chance of the one request that passes before the level is known: in the
-** 0.6 s that a start of all takes, a flood of six times the limit so spends
-** 1.8 s of it, of which the time that all were away pays for one */
-#define UNKNOWN_CHANCE 0.5
-/* part of the instances that must be heard for the level to be one's own */
-#define HEARD_ENOUGH 0.9
-/* parts of the difference to another's level that one message takes away, in
-** an instance's first seconds and later. An instance that saw more spent than
-** the others is as wrong as one that saw less: drawn to the lower by 0.15 and
-** to the higher by 0.03, 0.04 more of all requests were refused below
-** the limit */
-#define DRAWN_YOUNG 0.3
-#define DRAWN_OLD 0.03
-#define YOUNG (3 * MP_SEC)
-/* totals and levels that are told */
+/* The level may fall by this many floors more before small requests are
+** refused, which is about what is on its way in a flood. */
+#define SMALL_REQUEST_FLOORS 2
+/* The probability that a request is admitted before the level is known, until
+** one was. A start of all instances takes 0.6 s; a flood of six times the
+** limit then spends 1.8 s of the limit, and the time in which all instances
+** were away pays for one second of it. */
+#define UNKNOWN_LEVEL_CHANCE 0.5
+/* From this share of reachable instances on, the level known here counts as
+** complete: the bucket gets the extra rate, and a level that was unknown is
+** used as it is. */
+#define COMPLETE_VIEW_SHARE 0.9
+/* A message closes this part of the gap between the level here and the
+** sender's, in the first STARTUP_TIME of this instance and later. The part is
+** the same in both directions, because an instance that saw more spent than
+** the others is as wrong as one that saw less: with 0.15 towards lower levels
+** and 0.03 towards higher ones, 0.04 more of all requests were refused below
+** the limit. */
+#define STARTUP_CORRECTION 0.3
+#define LATER_CORRECTION 0.03
+#define STARTUP_TIME (3 * MP_SEC)
+/* bits of a total and steps of a level in mp_AccountRow */
 #define SPENT_MASK 0xffffffu
 #define LEVEL_STEPS 254
-/* who is refused comes back when a request passes by this chance */
-#define COME_BACK_CHANCE 0.6
-/* a part of the rate is reckoned with while nobody is heard, for a wait */
-#define LEAST_SHARE 1e-3
-/* least and longest time until then, and the random part on top */
-#define COME_BACK_LEAST (100 * MP_MS)
-#define COME_BACK_MOST (3 * MP_SEC)
-#define COME_BACK_SPREAD (400 * MP_MS)
-
-/* one account's limit */
+/* A refused caller is asked to come back when its request would be admitted
+** with this probability. */
+#define RETRY_ADMIT_CHANCE 0.6
+/* The retry delay is computed with at least this share of the rate, which
+** would otherwise be 0 while no instance count is known. */
+#define SHARE_MIN 1e-3
+/* bounds of the retry delay, which includes a random part of up to the jitter
+ */
+#define RETRY_DELAY_MIN (100 * MP_MS)
+#define RETRY_DELAY_MAX (3 * MP_SEC)
+#define RETRY_DELAY_JITTER (400 * MP_MS)
+
+/* one account's limit; amounts are in its units */
 typedef struct Limit {
   char *name;
-  guint32 hash;
-  double rate, burst;
-  double extra; /* beside the rate, while all instances are heard */
-  double floor; /* the level may fall so far below zero */
-  double step;  /* units in one step of a total that is told */
+  guint32 hash;       /* of the name */
+  double rate, burst; /* as configured: units a second, and units */
+  double extra;       /* units a second on top of the rate, while
+                      ** COMPLETE_VIEW_SHARE of the instances are reachable */
+  double floor;       /* depth below level 0 at which no request is admitted
+                      ** any more, except for small ones */
+  double step;        /* units in one step of a reported total */
   Bucket bucket;
-  gboolean is_unknown; /* the level: this instance is young */
-  gboolean has_passed; /* one request, while it was unknown */
-  double own;          /* spent here since the start */
-  double near;         /* and told by instances that are heard themselves */
-  double returned;     /* of 'own', free to be spent again here */
-  double summed;       /* own and near in the last sum that was written */
+  gboolean is_unknown;   /* the level: nothing tells what was spent before this
+                         ** instance started */
+  gboolean has_admitted; /* a request, since the limit was added */
+  double own_spent;      /* spent by this instance since the limit was added */
+  double peers_spent;    /* spent by instances whose digests come here */
+  double refunded;       /* part of 'own_spent' that may be spent again here */
+  double summarized;     /* own_spent + peers_spent in the last summary */
 } Limit;
 
 struct AccountLimits {
   LimitTolerance tolerance;
-  gint64 born;
+  gint64 started_at;
   GPtrArray *all;      /* Limit, in the configuration's order */
   GHashTable *by_hash; /* hash of the name -> Limit */
-  SharedTotals *peers; /* what they spent */
-  guint page;          /* first row of the next digest */
+  SharedTotals *peers; /* what they reported as spent */
+  guint next_row;      /* index in 'all' of the next digest's first row */
 };
 
 /*
 ** {==================================================================
-** Life
+** Creation and configuration
 ** ===================================================================
 */
 
@@ -92,7 +104,7 @@
                                   gint64 now) {
   AccountLimits *limits = g_new0(AccountLimits, 1);
   limits->tolerance = *tolerance;
-  limits->born = now;
+  limits->started_at = now;
   limits->all = g_ptr_array_new_with_free_func(limit_free);
   limits->by_hash = g_hash_table_new(NULL, NULL);
   limits->peers = shared_totals_new(ACCOUNT_PEER_TIMEOUT);
@@ -111,39 +123,45 @@
                              GUINT_TO_POINTER(g_str_hash(account)));
 }
 
-static gboolean is_young(const AccountLimits *limits, gint64 now) {
-  return now - limits->born < limits->tolerance.window;
+static gboolean is_in_first_window(const AccountLimits *limits, gint64 now) {
+  return now - limits->started_at < limits->tolerance.window;
 }
 
-/* an old instance has seen that the account is new: nothing was spent yet */
+/* Creates the state of a limit. An instance that has run for a window knows
+** that the account is new, so nothing was spent yet and the bucket is full; in
+** its first window the level is unknown. */
 static Limit *limit_new(const AccountLimits *limits, const Account *account,
                         gint64 now) {
   Limit *limit = g_new0(Limit, 1);
   limit->name = g_strdup(account->name);
   limit->hash = g_str_hash(account->name);
-  limit->is_unknown = is_young(limits, now);
+  limit->is_unknown = is_in_first_window(limits, now);
   limit->bucket.level = limit->is_unknown ? 0 : account->burst;
   limit->bucket.at = now;
   return limit;
 }
 
-static void set_figures(const AccountLimits *limits, Limit *limit,
-                        const Account *account) {
+/* Derives the rates and bounds of the limit from the configuration and the
+** tolerance. */
+static void set_rates(const AccountLimits *limits, Limit *limit,
+                      const Account *account) {
   double seconds = (double)limits->tolerance.window / MP_SEC;
-  double whole = account->rate * seconds + account->burst;
-  double tolerated = limits->tolerance.share * whole + limits->tolerance.slack;
-  double used = USED_SHARE * (whole + tolerated);
+  double allowed = account->rate * seconds + account->burst;
+  double tolerated =
+      limits->tolerance.share * allowed + limits->tolerance.slack;
+  double used = USED_TOLERANCE_SHARE * (allowed + tolerated);
   limit->rate = account->rate;
   limit->burst = account->burst;
   limit->step = account->unit == ACCOUNT_TOKENS ? ACCOUNT_TOKENS_PER_STEP : 1;
-  limit->floor = FLOOR_SHARE * tolerated;
-  limit->extra = MAX(used - whole - limit->floor, 0) / seconds;
+  limit->floor = FLOOR_TOLERANCE_SHARE * tolerated;
+  limit->extra = MAX(used - allowed - limit->floor, 0) / seconds;
   limit->bucket.level = MIN(limit->bucket.level, account->burst);
 }
 
-/* take the limit's old state over, or begin one */
-static Limit *carry_over(AccountLimits *limits, const Account *account,
-                         gint64 now) {
+/* Returns the state of the account's limit from the configuration before,
+** taken out of the tables, or a new one. The caller owns it. */
+static Limit *reuse_or_add_limit(AccountLimits *limits, const Account *account,
+                                 gint64 now) {
   Limit *old = limit_of(limits, account->name);
   guint place;
   if (old == NULL)
@@ -163,14 +181,14 @@
     Limit *limit;
     if (account->rate <= 0)
       continue;
-    limit = carry_over(limits, account, now);
-    set_figures(limits, limit, account);
+    limit = reuse_or_add_limit(limits, account, now);
+    set_rates(limits, limit, account);
     g_ptr_array_add(all, limit);
   }
   g_ptr_array_free(limits->all, TRUE);
   g_hash_table_remove_all(limits->by_hash);
   limits->all = all;
-  limits->page = 0;
+  limits->next_row = 0;
   for (i = 0; i < all->len; i++) {
     Limit *limit = all->pdata[i];
     g_hash_table_insert(limits->by_hash, GUINT_TO_POINTER(limit->hash), limit);
@@ -181,69 +199,78 @@
 
 /*
 ** {==================================================================
-** Spending
+** Admitting requests
 ** ===================================================================
 */
 
 static void refill(Limit *limit, double share, gint64 now) {
-  double extra = share >= HEARD_ENOUGH ? limit->extra : 0;
+  double extra = share >= COMPLETE_VIEW_SHARE ? limit->extra : 0;
   bucket_refill(&limit->bucket, limit->rate * share + extra,
                 limit->burst * share, now);
-  if (share >= HEARD_ENOUGH)
+  if (share >= COMPLETE_VIEW_SHARE)
     limit->is_unknown = FALSE;
 }
 
-/* before the level is known */
-static double unknown_chance(const Limit *limit) {
-  return limit->has_passed ? 0 : UNKNOWN_CHANCE;
+/* the probability of admission before the level is known */
+static double unknown_level_chance(const Limit *limit) {
+  return limit->has_admitted ? 0 : UNKNOWN_LEVEL_CHANCE;
 }
 
-/* the chance that a request of this cost passes */
-static double chance(const Limit *limit, double share, double cost) {
+/*
+** Returns the probability that a request of this cost is admitted: the height
+** of the level above the floor, as a part of the cost or of the floor's depth,
+** whichever is larger. So it falls to 0 at the floor, and a request that costs
+** no more than the floor's depth is certain to pass at level 0.
+*/
+static double admit_chance(const Limit *limit, double share, double cost) {
   double floor = limit->floor * share;
   double level = limit->bucket.level;
   if (limit->is_unknown)
-    return unknown_chance(limit);
+    return unknown_level_chance(limit);
   if (cost <= SMALL_REQUEST_SHARE * limit->burst)
-    level += SMALL_FLOORS * floor; /* where no large one passes any more */
+    level +=
+        SMALL_REQUEST_FLOORS * floor; /* small ones pass below the floor too */
   return CLAMP((level + floor) / MAX(floor, cost), 0, 1);
 }
 
-/* until the chance is large enough that coming back makes sense */
-static gint64 time_until(const Limit *limit, double share, double cost,
-                         double draw) {
+/* Returns the time until the probability of admission is RETRY_ADMIT_CHANCE,
+** plus a random part, within the bounds. */
+static gint64 retry_delay_of(const Limit *limit, double share, double cost,
+                             double draw) {
   double floor = limit->floor * share;
-  double wanted = COME_BACK_CHANCE * MAX(floor, cost) - floor;
+  double wanted = RETRY_ADMIT_CHANCE * MAX(floor, cost) - floor;
   double seconds =
-      (wanted - limit->bucket.level) / (limit->rate * MAX(share, LEAST_SHARE));
-  double wait = MAX(seconds, 0) * MP_SEC + draw * (double)COME_BACK_SPREAD;
-  /* bounded before it is converted: a limit that hardly fills takes longer
-  ** than 64 bits tell, and the caller would be asked back at once */
-  return (gint64)CLAMP(wait, (double)COME_BACK_LEAST, (double)COME_BACK_MOST);
+      (wanted - limit->bucket.level) / (limit->rate * MAX(share, SHARE_MIN));
+  double wait = MAX(seconds, 0) * MP_SEC + draw * (double)RETRY_DELAY_JITTER;
+  /* The bounds apply before the conversion: the time of a limit that hardly
+  ** fills does not fit into 64 bits, and the caller would be asked to come
+  ** back at once. */
+  return (gint64)CLAMP(wait, (double)RETRY_DELAY_MIN, (double)RETRY_DELAY_MAX);
 }
 
-/* what came back here is spent first: the others have counted it already */
-static void spend(Limit *limit, double cost) {
-  double again = MIN(limit->returned, cost);
+/* Charges the cost. What was refunded here is spent first, without adding to
+** 'own_spent', because the other instances have counted it already. */
+static void charge(Limit *limit, double cost) {
+  double refunded = MIN(limit->refunded, cost);
   limit->bucket.level -= cost;
-  limit->returned -= again;
-  limit->own += cost - again;
+  limit->refunded -= refunded;
+  limit->own_spent += cost - refunded;
 }
 
 gboolean account_limits_admit(AccountLimits *limits, const Account *account,
                               double cost, const LimitSharers *sharers,
-                              double draw, gint64 now, gint64 *come_back) {
+                              double draw, gint64 now, gint64 *retry_delay) {
   Limit *limit = limit_of(limits, account->name);
   double share = limit_share(sharers);
   if (limit == NULL)
-    return TRUE; /* it has none */
+    return TRUE; /* the account has no limit */
   refill(limit, share, now);
-  if (draw < chance(limit, share, cost)) {
-    limit->has_passed = TRUE;
-    spend(limit, cost);
+  if (draw < admit_chance(limit, share, cost)) {
+    limit->has_admitted = TRUE;
+    charge(limit, cost);
     return TRUE;
   }
-  *come_back = time_until(limit, share, cost, draw);
+  *retry_delay = retry_delay_of(limit, share, cost, draw);
   return FALSE;
 }
 
@@ -251,9 +278,9 @@
                            double cost) {
   Limit *limit = limit_of(limits, account);
   if (limit == NULL)
-    return; /* a newer configuration has no such limit */
+    return; /* a newer configuration has removed the limit */
   limit->bucket.level = MIN(limit->bucket.level + cost, limit->burst);
-  limit->returned += cost;
+  limit->refunded += cost;
 }
 
 double account_limits_level(const AccountLimits *limits, const char *account) {
@@ -265,35 +292,37 @@
 
 /*
 ** {==================================================================
-** Telling and hearing
+** Exchange with other instances
 ** ===================================================================
 */
 
-/* from the floor to the burst */
-static guint32 told_level(const Limit *limit) {
-  double whole = MAX(limit->burst + limit->floor, 1);
-  double part = (limit->bucket.level + limit->floor) / whole;
+/* Returns the level as mp_AccountRow.level has it: 0 stands for the floor,
+** LEVEL_STEPS for a full burst. */
+static guint32 encode_level(const Limit *limit) {
+  double range = MAX(limit->burst + limit->floor, 1);
+  double part = (limit->bucket.level + limit->floor) / range;
   if (limit->is_unknown)
     return MP_LEVEL_UNKNOWN;
   return (guint32)(CLAMP(part, 0, 1) * LEVEL_STEPS);
 }
 
 /*
-** Views of a bucket drift apart: a young instance misses what was spent
-** before it heard each peer for the first time (at 300 instances started one
-** after the other the limit was passed by 9% of its bound), others miss lost
-** messages. Each is drawn towards what it hears.
+** Moves the level towards the level that a peer reports, or takes that over
+** if the level is unknown. Levels of one bucket drift apart between instances:
+** a new one misses what was spent before the first message of each peer (with
+** 300 instances started one after the other the limit was exceeded by 9% of
+** its bound), and others miss lost messages.
 */
-static void take_level(Limit *limit, guint32 told, double drawn) {
-  double whole = limit->burst + limit->floor;
-  double level = whole * told / LEVEL_STEPS - limit->floor;
+static void correct_level(Limit *limit, guint32 reported, double correction) {
+  double range = limit->burst + limit->floor;
+  double level = range * reported / LEVEL_STEPS - limit->floor;
   double gap = level - limit->bucket.level;
-  if (told == MP_LEVEL_UNKNOWN)
+  if (reported == MP_LEVEL_UNKNOWN)
     return;
   if (limit->is_unknown)
     limit->bucket.level = level;
   else
-    limit->bucket.level += gap * drawn;
+    limit->bucket.level += gap * correction;
   limit->is_unknown = FALSE;
 }
 
@@ -301,22 +330,24 @@
   mp_AccountRow *row = &out->account[out->account_count++];
   row->account = limit->hash;
   row->spent = (guint32)(guint64)(spent / limit->step) & SPENT_MASK;
-  row->level = told_level(limit);
+  row->level = encode_level(limit);
 }
 
-/* all of them in one digest, or a page of them in each */
+/* Writes as many rows as fit. If the limits need more, the next call goes on
+** with the rows that follow. */
 static void write_page(AccountLimits *limits, mp_LoadDigest *out,
-                       gboolean with_near) {
+                       gboolean with_peers) {
   guint count = MIN(limits->all->len, MP_DIGEST_ACCOUNTS);
   guint i;
   out->account_count = 0;
   for (i = 0; i < count; i++) {
     const Limit *limit =
-        limits->all->pdata[(limits->page + i) % limits->all->len];
-    write_row(out, limit, limit->own + (with_near ? limit->near : 0));
+        limits->all->pdata[(limits->next_row + i) % limits->all->len];
+    write_row(out, limit,
+              limit->own_spent + (with_peers ? limit->peers_spent : 0));
   }
   if (limits->all->len > count)
-    limits->page = (limits->page + count) % limits->all->len;
+    limits->next_row = (limits->next_row + count) % limits->all->len;
 }
 
 void account_limits_write(AccountLimits *limits, mp_LoadDigest *out) {
@@ -328,7 +359,7 @@
   write_page(limits, out, TRUE);
   for (i = 0; i < limits->all->len; i++) {
     Limit *limit = limits->all->pdata[i];
-    limit->summed = limit->own + limit->near;
+    limit->summarized = limit->own_spent + limit->peers_spent;
   }
 }
 
@@ -337,44 +368,47 @@
   guint i;
   for (i = 0; i < limits->all->len; i++) {
     const Limit *limit = limits->all->pdata[i];
-    double spent = limit->own + limit->near - limit->summed;
+    double spent = limit->own_spent + limit->peers_spent - limit->summarized;
     most = MAX(most, spent / MAX(limit->burst + limit->floor, 1));
   }
   return most;
 }
 
-static void hear(AccountLimits *limits, guint64 address, gboolean is_near,
-                 const mp_LoadDigest *digest, const LimitSharers *sharers,
-                 gint64 now) {
+static void receive(AccountLimits *limits, guint64 address,
+                    gboolean is_instance, const mp_LoadDigest *digest,
+                    const LimitSharers *sharers, gint64 now) {
   PeerTotals *peer = shared_totals_receive(limits->peers, address, now);
   double share = limit_share(sharers);
-  double drawn = now - limits->born < YOUNG ? DRAWN_YOUNG : DRAWN_OLD;
+  double correction = now - limits->started_at < STARTUP_TIME
+                          ? STARTUP_CORRECTION
+                          : LATER_CORRECTION;
   guint i;
   for (i = 0; i < digest->account_count; i++) {
     const mp_AccountRow *row = &digest->account[i];
-    double more = peer_totals_increase(peer, row->account, row->spent);
+    double increase = peer_totals_increase(peer, row->account, row->spent);
     Limit *limit =
         g_hash_table_lookup(limits->by_hash, GUINT_TO_POINTER(row->account));
     if (limit == NULL)
       continue;
     refill(limit, share, now);
-    limit->bucket.level -= more * limit->step;
-    take_level(limit, row->level, drawn);
-    limit->near += is_near ? more * limit->step : 0;
+    limit->bucket.level -= increase * limit->step;
+    correct_level(limit, row->level, correction);
+    limit->peers_spent += is_instance ? increase * limit->step : 0;
   }
 }
 
 void account_limits_receive(AccountLimits *limits, mp_Addr peer,
                             const mp_LoadDigest *digest,
                             const LimitSharers *sharers, gint64 now) {
-  hear(limits, peer, TRUE, digest, sharers, now);
+  receive(limits, peer, TRUE, digest, sharers, now);
 }
 
 void account_limits_receive_summary(AccountLimits *limits, mp_Addr relay,
                                     const mp_LoadDigest *digest,
                                     const LimitSharers *sharers, gint64 now) {
-  /* a relay's sums have an address of their own, beside its digests */
-  hear(limits, relay | 1ULL << 63, FALSE, digest, sharers, now);
+  /* A relay's summaries and its digests report separate totals, so they are
+  ** stored under different addresses. */
+  receive(limits, relay | 1ULL << 63, FALSE, digest, sharers, now);
 }
 
 /* }================================================================== */
--- a/router/account_limits.h
+++ b/router/account_limits.h
@@ -1,27 +1,39 @@
 /*
 ** account_limits.h
-** The limits of client accounts, kept by all instances together
+** The rate limits of client accounts, which all instances enforce together
 **
-** A limit is a rate and a burst over all instances. Each instance keeps the
-** whole bucket of each account: it fills by the rate, and is emptied by what
-** this instance spends and by what the others tell. Totals of what was spent
-** travel with the load digests, and between data centres with their summaries,
-** so there is no home to lose and no call on the path of a request. A request
-** is some hundredth of a limit's second and less than one falls on an instance
-** in that time: a fixed share for each would be none.
+** A limit is a rate and a burst over all instances. Each instance keeps a
+** whole token bucket for each account: the rate fills it, and it is charged
+** for what this instance admits and for what the other instances report that
+** they admitted. These totals travel with the load digests, and between data
+** centres with the summaries of relays. So no instance owns a limit, none has
+** to be replaced when it fails, and no request waits for a call to another
+** one. A fixed share of the limit for each instance would be too small: a
+** request takes some hundredth of what a limit gives in a second, and less
+** than one request falls on an instance in that time.
 **
-** What others spent is known late, so the level may fall below zero. There a
-** request passes by a chance that falls from one at zero to none at the floor:
-** all instances slow down together, and none of them needs to know how much is
-** asked at the others. The floor is a part of the tolerance of the limit.
+** What others admitted becomes known late, so the level of a bucket may fall
+** below zero. There a request is admitted by chance; the probability falls
+** from 1 at level 0 to 0 at the floor, a level below zero that is part of the
+** tolerance of the limit. All instances slow down together in this way, and
+** none has to know how many requests the others receive.
 **
-** Invariants. What an instance may spend is scaled by the share of instances
-** that it hears: cut in two, the halves have one limit together. What a peer
-** spent while it was not heard is not charged afterwards, since the rate was
-** lowered for that time. A young instance does not know what was spent before
-** its life: it takes the level of the first peer that knows it, and until then
-** one request passes by an even chance. When all have just started nobody
-** knows it, and the buckets begin empty once nearly all are heard.
+** Invariants:
+** 1. What an instance may admit is scaled by the share of instances that it
+**    can reach. If a partition cuts the instances in two, the halves together
+**    admit one limit.
+** 2. What a peer admitted while it was unreachable is not charged afterwards,
+**    since the rate was lowered for that time.
+** 3. A new instance does not know what was admitted before its start. It takes
+**    over the level of the first peer that knows it. Until then it admits at
+**    most one request of each account, which passes by an even chance. When
+*all instances have just started, no
+**    one knows the level, and the buckets begin empty once nearly all
+**    instances are reachable.
+**
+** A Router owns one AccountLimits: accounts.c charges requests, and loads.c
+** exchanges the totals. Amounts are in units of the limit (requests or
+** tokens), times in microseconds of this instance's steady clock.
 */
 
 #ifndef ROUTER_ACCOUNT_LIMITS_H
@@ -31,53 +43,67 @@
 #include "router/records.h"
 #include "router/shared_totals.h"
 
-/* tokens in one step of a total that is told; requests are told one by one */
+/* Totals of limits in tokens are reported in steps of this many tokens; totals
+** of limits in requests are exact. */
 #define ACCOUNT_TOKENS_PER_STEP 64
-/* a peer that is silent this long is taken as out of reach: digests come every
-** 0.5 s at least, summaries every 0.2 s */
+/* A peer that was silent for longer than this counts as unreachable. Digests
+** come at least every 0.5 s, summaries at least every 0.2 s. */
 #define ACCOUNT_PEER_TIMEOUT (700 * MP_MS)
 
+/* how much more than a limit may be admitted within a window, over all
+** instances: 'share' of what the limit allows in the window, and 'slack' */
 typedef struct LimitTolerance {
-  double share; /* of a limit over the window */
-  double slack; /* and beside that, in units of the limit */
+  double share; /* of window * rate + burst */
+  double slack; /* units of the limit */
   gint64 window;
 } LimitTolerance;
 
 typedef struct AccountLimits AccountLimits;
 
+/* The instance starts at 'now'. The caller frees the result with
+** account_limits_free. */
 AccountLimits *account_limits_new(const LimitTolerance *tolerance, gint64 now);
 void account_limits_free(AccountLimits *limits);
 
-/* a configuration is in force; accounts that it lacks are forgotten */
+/* A configuration comes into force. Limits that it keeps continue from their
+** present level; limits that it lacks are removed. */
 void account_limits_configure(AccountLimits *limits, const RouteTable *table,
                               gint64 now);
 
 /*
-** May a request of this cost (units of the limit) pass? Spends it when so;
-** else '*come_back' is when it is likely to. 'draw' is random, from 0 to 1.
+** Returns TRUE and charges 'cost' if a request of this cost is admitted, which
+** is always so for an account without a limit. Otherwise it stores in
+** '*retry_delay' the time after which a retry is likely to be admitted.
+** 'draw' is a random number from 0 to 1.
 */
 gboolean account_limits_admit(AccountLimits *limits, const Account *account,
                               double cost, const LimitSharers *sharers,
-                              double draw, gint64 now, gint64 *come_back);
-/* what was taken reached no endpoint */
+                              double draw, gint64 now, gint64 *retry_delay);
+/* Gives back the cost of an admitted request that reached no endpoint. */
 void account_limits_refund(AccountLimits *limits, const char *account,
                            double cost);
-/* what the bucket held when it was looked at last; 0: no such limit */
+/* Returns what the bucket held when it was last updated; below 0 if too much
+** was admitted, and 0 if the account has no limit. */
 double account_limits_level(const AccountLimits *limits, const char *account);
 
-/* what was spent here, for the instances that hear this one's digests */
+/* Writes what this instance has admitted since its start into a digest for the
+** instances that receive its digests. If not all accounts fit, the next digest
+** or summary continues with the following ones. */
 void account_limits_write(AccountLimits *limits, mp_LoadDigest *out);
-/* the same and what those spent, for other data centres */
+/* Writes a summary for other data centres: what this instance and the
+** instances whose digests it receives have admitted. */
 void account_limits_write_summary(AccountLimits *limits, mp_LoadDigest *out);
-/* the largest part of a burst that was spent since the last sum was written:
-** the other data centres should know soon when it is large */
+/* Returns the largest part of a bucket (burst plus floor) that was spent since
+** the last summary was written, over all accounts. When it is large, the other
+*data
+** centres should get a summary soon. */
 double account_limits_unreported_share(const AccountLimits *limits);
 
-/* another instance told what it has spent since its start */
+/* Charges what another instance reports in its digest. */
 void account_limits_receive(AccountLimits *limits, mp_Addr peer,
                             const mp_LoadDigest *digest,
                             const LimitSharers *sharers, gint64 now);
-/* a relay told what its data centre has spent */
+/* Charges what a relay reports for its data centre. */
 void account_limits_receive_summary(AccountLimits *limits, mp_Addr relay,
                                     const mp_LoadDigest *digest,
                                     const LimitSharers *sharers, gint64 now);
