--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -341,7 +341,7 @@
 m l-cut "limits: scaled by the share heard" router/shared_totals.c \
   'return MIN((double)sharers->heard / sharers->instances, 1.0);' 'return 1;'
 m l-kill "limits: a young instance does not know the level" \
-  router/account_limits.c 'limit->is_unknown = is_young(limits, now);' \
+  router/account_limits.c 'limit->is_unknown = is_in_first_window(limits, now);' \
   'limit->is_unknown = FALSE;'
 m l-silent "limits: what was spent out of reach is not charged" \
   router/shared_totals.c 'if (!is_known || peer->was_silent)' 'if (!is_known)'
