--- a/router/gate.c
+++ b/router/gate.c
@@ -54,8 +54,8 @@
     return TRUE;
   room = OPENED_SHARE * limits->most_connections -
          endpoint_connections(table, endpoint);
-  return room > 0 &&
-         draw(endpoint, limits, now) < room / (1 + limits->sharers.rivals);
+  return room > 0 && draw(endpoint, limits, now) <
+                         room / (1 + limits->sharers.competing_requests);
 }
 
 GateVerdict gate_ask_limits(const EndpointTable *table,
--- a/router/rate_limits.c
+++ b/router/rate_limits.c
@@ -187,7 +187,7 @@
   if (!is_limited(limit))
     return TRUE;
   refill(limit, sharers, now);
-  chance = limit->bucket.level / (1 + sharers->rivals);
+  chance = limit->bucket.level / (1 + sharers->competing_requests);
   if (draw(limits, limit, endpoint, sharers->delay, now) < chance)
     return TRUE;
   limits->skips++;
@@ -225,7 +225,7 @@
                                const RateSharers *sharers, gint64 now) {
   Limit *limit = limit_of(limits, endpoint);
   double share = MAX(limit_share(&sharers->instances), LEAST_SHARE);
-  double wanted = COME_BACK_CHANCE * (1 + sharers->rivals);
+  double wanted = COME_BACK_CHANCE * (1 + sharers->competing_requests);
   double seconds;
   if (!is_limited(limit))
     return 0;
--- a/router/rate_limits.h
+++ b/router/rate_limits.h
@@ -42,8 +42,9 @@
 /* who sends to these endpoints, as this instance sees it now */
 typedef struct RateSharers {
   LimitSharers instances;
-  double rivals; /* requests that others may send before this one knows */
-  gint64 delay;  /* until it knows: RATE_REPORT_DELAY or .._SUMMED */
+  double competing_requests; /* requests that others may send before this one
+                                knows */
+  gint64 delay; /* until it knows: RATE_REPORT_DELAY or .._SUMMED */
 } RateSharers;
 
 typedef struct RateLimits RateLimits;
--- a/router/rates.c
+++ b/router/rates.c
@@ -98,8 +98,8 @@
 
 /* requests that others may send to the service before this instance hears of
 ** them: one each at most, since each draws anew after it */
-static double rivals(Router *router, const Service *service,
-                     const RateSharers *sharers, gint64 now) {
+static double competing_requests(Router *router, const Service *service,
+                                 const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
   double asked = retry_budget_others(router_budget(router, service->name),
@@ -117,7 +117,8 @@
   sharers.instances = accounts_sharers(router, now);
   sharers.delay = summed ? RATE_SUMMARY_DELAY : RATE_REPORT_DELAY;
   if (service != NULL)
-    sharers.rivals = rivals(router, service, &sharers, now);
+    sharers.competing_requests =
+        competing_requests(router, service, &sharers, now);
   return sharers;
 }
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -442,7 +442,7 @@
   'double rate = rate_of(limit) * share;' \
   'double rate = rate_of(limit);'
 m r-rivals "rates: what is on its way is met by a chance" router/rate_limits.c \
-  'limit->bucket.level / (1 + sharers->rivals)' \
+  'limit->bucket.level / (1 + sharers->competing_requests)' \
   'limit->bucket.level'
 m r-newest "rates: the newest answer is right" router/rate_limits.c \
   'return newer < 0 ||' \
