--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -436,19 +436,19 @@
 m o-beat "input: a heartbeat's clock is bounded" wire/rpc.c \
   '*v <= INT64_MAX / 2' 'TRUE'
 m r-peers "rates: what peers send is taken off" router/rate_limits.c \
-  'limit->bucket.level -= more;' \
-  '(void)more;'
+  'limit->bucket.level -= increase;' \
+  '(void)increase;'
 m r-share "rates: the share is of those heard" router/rate_limits.c \
-  'double rate = rate_of(limit) * share;' \
-  'double rate = rate_of(limit);'
+  'double rate = effective_rate(limit) * share;' \
+  'double rate = effective_rate(limit);'
 m r-rivals "rates: what is on its way is met by a chance" router/rate_limits.c \
   'limit->bucket.level / (1 + sharers->competing_requests)' \
   'limit->bucket.level'
 m r-newest "rates: the newest answer is right" router/rate_limits.c \
-  'return newer < 0 ||' \
+  'return newer_by < 0 ||' \
   'return FALSE ||'
 m r-over "rates: one answer among others ends none" router/rate_limits.c \
-  'newer < RATE_END_DELAY' \
+  'newer_by < RATE_END_DELAY' \
   FALSE
 m r-least "rates: none holds for good" router/rate_limits.c \
   'MAX(limit->rate, RATE_MIN)' \
@@ -460,11 +460,11 @@
   'share + BURST_SECONDS * rate' \
   '60 * rate'
 m r-unused "rates: what is returned is not told twice" router/rate_limits.c \
-  'limit->unused++;' \
+  'limit->refunded++;' \
   ''
 m r-sums "rates: sums hold those heard alone" router/rate_limits.c \
-  'limit->near += news->zone == 0 ? more : 0;' \
-  'limit->near += more;'
+  'limit->peers_sent += news->zone == 0 ? increase : 0;' \
+  'limit->peers_sent += increase;'
 m r-told "rates: that one is over is told for a while" router/rate_limits.c \
   'age > RATE_END_REPORT_TIME' \
   TRUE
