--- a/router/crash_watch.c
+++ b/router/crash_watch.c
@@ -1,45 +1,49 @@
 /*
 ** crash_watch.c
-** Did an endpoint end, or was a connection lost?
+** Finds out whether an endpoint's process ended when a connection broke off
 */
 
 #include <string.h>
 
 #include "router/crash_watch.h"
 
-/* the list drops an endpoint that ended after three heartbeats, 3.6 s with the
-** platform's; and it may start again within some seconds */
-#define CRASH_PROOF (6 * MP_SEC)
-/* a process that ended refuses within a round trip, some milliseconds */
-#define CHECK_PATIENCE (300 * MP_MS)
-/* an outcome later than this is silence, not a refusal */
+/* A proof counts if it comes less than this after the last broken run. The
+** list drops an endpoint three heartbeats after its end, 3.6 s with the
+** platform's heartbeat, and the endpoint may start again within some seconds.
+*/
+#define CRASH_PROOF_TIMEOUT (6 * MP_SEC)
+/* Where the process has ended, a connection is refused within a round trip,
+** some milliseconds. */
+#define CHECK_TIMEOUT (300 * MP_MS)
+/* A check that fails this late or later timed out and was not refused. */
 #define REFUSAL_TIME_MAX (250 * MP_MS)
-/* between two checks of an endpoint: with faulty ones that break off runs all
-** the time a check costs a connection each */
-#define CHECK_PAUSE (500 * MP_MS)
-/* requests noted for one life: what an engine runs at once, by all instances
- */
-#define SUSPECTS_MOST 256
-
+/* the least time between two checks of one life: a faulty endpoint may break
+** runs off all the time, and each check costs a connection */
+#define CHECK_INTERVAL_MIN (500 * MP_MS)
+/* Of one life, at most this many requests are stored: as many as all instances
+** together run at one engine. */
+#define SUSPECTS_MAX 256
+
+/* an owned copy of a QuarantineSuspect */
 typedef struct Suspect {
   guint64 content;
   char *request, *route, *account;
 } Suspect;
 
-/* runs that one life of an endpoint broke off */
-typedef struct Watched {
-  char *endpoint;
-  guint32 life;
-  GArray *suspects;
-  gint64 since;      /* the last one of them */
-  gint64 checked_at; /* 0: never */
-  guint64 check;     /* the dispatch that checks it; 0: none is out */
-  const char *proof; /* it has ended; NULL: that is not known */
-} Watched;
+/* one life of an endpoint at which runs broke off */
+typedef struct WatchedLife {
+  char *endpoint;         /* its id */
+  guint32 life;           /* Endpoint.hash */
+  GArray *suspects;       /* Suspect, each content once */
+  gint64 broken_at;       /* when a run last broke off */
+  gint64 checked_at;      /* when the last check began; 0: never */
+  guint64 check_dispatch; /* the dispatch that checks it; 0: none is open */
+  const char *proof;      /* that this life has ended; NULL: not proved */
+} WatchedLife;
 
 struct CrashWatch {
   CrashWatchHost host;
-  GPtrArray *all; /* Watched */
+  GPtrArray *all; /* WatchedLife */
 };
 
 static void suspect_clear(gpointer p) {
@@ -50,7 +54,7 @@
 }
 
 static void watched_free(gpointer p) {
-  Watched *watched = p;
+  WatchedLife *watched = p;
   g_array_free(watched->suspects, TRUE);
   g_free(watched->endpoint);
   g_free(watched);
@@ -68,22 +72,23 @@
   g_free(watch);
 }
 
-static Watched *find(const CrashWatch *watch, const char *endpoint,
-                     guint32 life) {
+static WatchedLife *find_life(const CrashWatch *watch, const char *endpoint,
+                              guint32 life) {
   guint i;
   for (i = 0; i < watch->all->len; i++) {
-    Watched *watched = watch->all->pdata[i];
+    WatchedLife *watched = watch->all->pdata[i];
     if (watched->life == life && strcmp(watched->endpoint, endpoint) == 0)
       return watched;
   }
   return NULL;
 }
 
-static Watched *need(CrashWatch *watch, const Endpoint *endpoint) {
-  Watched *watched = find(watch, endpoint->record.id, endpoint->hash);
+static WatchedLife *get_or_add_life(CrashWatch *watch,
+                                    const Endpoint *endpoint) {
+  WatchedLife *watched = find_life(watch, endpoint->record.id, endpoint->hash);
   if (watched != NULL)
     return watched;
-  watched = g_new0(Watched, 1);
+  watched = g_new0(WatchedLife, 1);
   watched->endpoint = g_strdup(endpoint->record.id);
   watched->life = endpoint->hash;
   watched->suspects = g_array_new(FALSE, FALSE, sizeof(Suspect));
@@ -92,7 +97,7 @@
   return watched;
 }
 
-static gboolean is_noted(const Watched *watched, guint64 content) {
+static gboolean has_suspect(const WatchedLife *watched, guint64 content) {
   guint i;
   for (i = 0; i < watched->suspects->len; i++) {
     if (g_array_index(watched->suspects, Suspect, i).content == content)
@@ -101,77 +106,84 @@
   return FALSE;
 }
 
-static void note(Watched *watched, const QuarantineSuspect *suspect) {
+static void add_suspect(WatchedLife *watched,
+                        const QuarantineSuspect *suspect) {
   Suspect copy = {suspect->content, g_strdup(suspect->request),
                   g_strdup(suspect->route), g_strdup(suspect->account)};
   g_array_append_val(watched->suspects, copy);
 }
 
-/* tell of the suspects behind the first 'from' */
-static void tell(const CrashWatch *watch, const Watched *watched, guint from,
-                 gint64 now) {
+/* Reports the suspects from index 'from' on to the host. */
+static void report_suspects(const CrashWatch *watch,
+                            const WatchedLife *watched, guint from,
+                            gint64 now) {
   guint count = watched->suspects->len - from;
-  QuarantineSuspect *told = g_new(QuarantineSuspect, MAX(count, 1));
+  QuarantineSuspect *reported = g_new(QuarantineSuspect, MAX(count, 1));
   guint i;
   for (i = 0; i < count; i++) {
-    const Suspect *one = &g_array_index(watched->suspects, Suspect, from + i);
-    told[i].content = one->content;
-    told[i].request = one->request;
-    told[i].route = one->route;
-    told[i].account = one->account;
+    const Suspect *suspect =
+        &g_array_index(watched->suspects, Suspect, from + i);
+    reported[i].content = suspect->content;
+    reported[i].request = suspect->request;
+    reported[i].route = suspect->route;
+    reported[i].account = suspect->account;
   }
   if (count > 0)
-    watch->host.ended(watch->host.data, watched->endpoint, watched->life, told,
-                      count, watched->proof, now);
-  g_free(told);
+    watch->host.ended(watch->host.data, watched->endpoint, watched->life,
+                      reported, count, watched->proof, now);
+  g_free(reported);
 }
 
-static void check(const CrashWatch *watch, Watched *watched,
-                  const Endpoint *endpoint, gint64 now) {
-  if (watched->check != 0 ||
-      (watched->checked_at != 0 && now - watched->checked_at < CHECK_PAUSE))
+/* Starts a check, unless one is open or the last one began too recently. */
+static void check_if_due(const CrashWatch *watch, WatchedLife *watched,
+                         const Endpoint *endpoint, gint64 now) {
+  if (watched->check_dispatch != 0 ||
+      (watched->checked_at != 0 &&
+       now - watched->checked_at < CHECK_INTERVAL_MIN))
     return;
   watched->checked_at = now;
-  watched->check =
-      watch->host.check(watch->host.data, endpoint, CHECK_PATIENCE, now);
+  watched->check_dispatch =
+      watch->host.check(watch->host.data, endpoint, CHECK_TIMEOUT, now);
 }
 
 void crash_watch_run_broken(CrashWatch *watch, const Endpoint *endpoint,
                             const QuarantineSuspect *suspect, gint64 now) {
-  Watched *watched;
+  WatchedLife *watched;
   if (endpoint_leaves(endpoint))
-    return; /* its planned end is nobody's doing */
-  watched = need(watch, endpoint);
-  watched->since = now;
-  if (watched->suspects->len >= SUSPECTS_MOST ||
-      is_noted(watched, suspect->content))
+    return; /* the endpoint ends by plan, so no request is to blame */
+  watched = get_or_add_life(watch, endpoint);
+  watched->broken_at = now;
+  if (watched->suspects->len >= SUSPECTS_MAX ||
+      has_suspect(watched, suspect->content))
     return;
-  note(watched, suspect);
+  add_suspect(watched, suspect);
   if (watched->proof != NULL)
-    tell(watch, watched, watched->suspects->len - 1, now);
+    report_suspects(watch, watched, watched->suspects->len - 1, now);
   else
-    check(watch, watched, endpoint, now);
+    check_if_due(watch, watched, endpoint, now);
 }
 
-static void prove(CrashWatch *watch, Watched *watched, const char *how,
-                  gint64 now) {
+/* The life has ended: reports its suspects, unless an earlier proof did. */
+static void set_proof(CrashWatch *watch, WatchedLife *watched, const char *how,
+                      gint64 now) {
   if (watched->proof != NULL)
     return;
   watched->proof = how;
-  tell(watch, watched, 0, now);
+  report_suspects(watch, watched, 0, now);
 }
 
 gboolean crash_watch_outcome(CrashWatch *watch, const Outcome *outcome,
                              gint64 now) {
   guint i;
   for (i = 0; i < watch->all->len; i++) {
-    Watched *watched = watch->all->pdata[i];
-    if (watched->check == 0 || watched->check != outcome->dispatch)
+    WatchedLife *watched = watch->all->pdata[i];
+    if (watched->check_dispatch == 0 ||
+        watched->check_dispatch != outcome->dispatch)
       continue;
-    watched->check = 0;
+    watched->check_dispatch = 0;
     if (outcome->kind == OUTCOME_UNREACHABLE &&
         now - watched->checked_at < REFUSAL_TIME_MAX)
-      prove(watch, watched, "refused", now);
+      set_proof(watch, watched, "refused", now);
     return TRUE;
   }
   return FALSE;
@@ -179,16 +191,17 @@
 
 void crash_watch_life_ended(CrashWatch *watch, const char *endpoint,
                             guint32 life, const char *how, gint64 now) {
-  Watched *watched = find(watch, endpoint, life);
-  if (watched != NULL && now - watched->since < CRASH_PROOF)
-    prove(watch, watched, how, now);
+  WatchedLife *watched = find_life(watch, endpoint, life);
+  if (watched != NULL && now - watched->broken_at < CRASH_PROOF_TIMEOUT)
+    set_proof(watch, watched, how, now);
 }
 
 void crash_watch_expire(CrashWatch *watch, gint64 now) {
   guint i = 0;
   while (i < watch->all->len) {
-    const Watched *watched = watch->all->pdata[i];
-    if (watched->check == 0 && now - watched->since >= CRASH_PROOF)
+    const WatchedLife *watched = watch->all->pdata[i];
+    if (watched->check_dispatch == 0 &&
+        now - watched->broken_at >= CRASH_PROOF_TIMEOUT)
       g_ptr_array_remove_index_fast(watch->all, i);
     else
       i++;
--- a/router/crash_watch.h
+++ b/router/crash_watch.h
@@ -1,16 +1,25 @@
 /*
 ** crash_watch.h
-** Did an endpoint end, or was a connection lost?
+** Finds out whether an endpoint's process ended when a connection broke off
 **
-** Connections break off for many reasons: resets, faulty endpoints, cuts. A
-** broken run is held against its request only when the endpoint's process has
-** ended: a new connection to it is refused at once, or the platform's list
-** drops the endpoint or names a later life of it soon after. Silence proves
-** nothing: that is what a cut looks like.
+** Connections break off for many reasons: resets, faulty endpoints, network
+** partitions. A broken run is held against its request only when the
+** endpoint's process has ended. There are two proofs: a new connection to the
+** endpoint is refused at once, or the platform's list drops the endpoint or
+** names a later life of it (a newer start of its process) soon after. A check
+** that gets no reply proves nothing, because that is what a partition looks
+** like.
 **
-** Invariants. A request is told of at most once for each life of an endpoint.
-** An endpoint that was leaving when its runs broke off ended by plan. What is
-** not proved within CRASH_PROOF counts for nobody.
+** Invariants:
+** 1. A request is reported at most once for each life of an endpoint.
+** 2. An endpoint that was leaving when its runs broke off ended by plan; no
+**    request is reported for it.
+** 3. What is not proved within 6 s of the last broken run is never reported.
+**
+** A Router owns one CrashWatch (lives.c creates it): suspects.c adds broken
+** runs, lives.c adds what the list says, router.c passes outcomes and time.
+** Times are in microseconds of this instance's steady clock; a life is named
+** by Endpoint.hash.
 */
 
 #ifndef ROUTER_CRASH_WATCH_H
@@ -24,31 +33,40 @@
 
 typedef struct CrashWatch CrashWatch;
 
+/* what the owner does for the watch; called from within its functions */
 typedef struct CrashWatchHost {
-  void *data;
-  /* try to connect; its outcome is handed to crash_watch_outcome. Returns the
-  ** dispatch's number */
+  void *data; /* passed to both */
+  /* Tries to connect to the endpoint for up to 'timeout'. Returns the number
+  ** of the dispatch whose outcome is to be passed to crash_watch_outcome, or 0
+  ** if none was sent. */
   guint64 (*check)(void *data, const Endpoint *endpoint, gint64 timeout,
                    gint64 now);
-  /* this life of the endpoint ended while it ran these requests; 'how' says
-  ** what proved it */
+  /* This life of the endpoint ended while it ran these requests. 'how' is the
+  ** proof, a static string: "refused" or the 'how' of crash_watch_life_ended.
+  ** 'suspects' is valid during the call only. */
   void (*ended)(void *data, const char *endpoint, guint32 life,
                 const QuarantineSuspect *suspects, guint count,
                 const char *how, gint64 now);
 } CrashWatchHost;
 
+/* 'host' is copied. The caller frees the result with crash_watch_free. */
 CrashWatch *crash_watch_new(const CrashWatchHost *host);
 void crash_watch_free(CrashWatch *watch);
 
-/* a run, or the reading of a prompt, broke off there; copied */
+/* A run or a prefill of the suspect broke off at the endpoint. The suspect is
+** copied. Starts a check if one is due, or reports the suspect at once if the
+** end of this life is proved already. */
 void crash_watch_run_broken(CrashWatch *watch, const Endpoint *endpoint,
                             const QuarantineSuspect *suspect, gint64 now);
-/* FALSE: no check has this number */
+/* Takes the outcome of a check. Returns FALSE if the dispatch is no check of
+** this watch. */
 gboolean crash_watch_outcome(CrashWatch *watch, const Outcome *outcome,
                              gint64 now);
-/* the list says that this life is over */
+/* The platform's list says that this life has ended. 'how' must be a static
+** string. */
 void crash_watch_life_ended(CrashWatch *watch, const char *endpoint,
                             guint32 life, const char *how, gint64 now);
+/* Forgets broken runs that are too old to be proved. */
 void crash_watch_expire(CrashWatch *watch, gint64 now);
 
 #endif
