--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -1,6 +1,6 @@
 /*
 ** quarantine.c
-** Requests that end the endpoints that run them
+** Quarantine for requests under which endpoints end
 */
 
 #include <string.h>
@@ -10,52 +10,62 @@
 
 #include "router/quarantine.h"
 
-/* the first hold: long against the minutes in which callers repeat a request,
-** short against the day in which operators would notice one blamed wrongly */
-#define HOLD_FIRST (3600 * MP_SEC)
-/* each further strike makes the next hold so many times as long */
-#define HOLD_GROWTH 4
-/* strikes below a hold are remembered for so long */
-#define SUSPECT_LIFE (3600 * MP_SEC)
-/* what was lifted is remembered for so long: instances tell a strike for
-** NEWS_REPEAT_TIME after they learned it */
-#define LIFTED_LIFE (60 * MP_SEC)
-/* news of strikes are repeated for so long: a datagram that is lost, or a data
-** centre cut off for some seconds, is made good */
+/* The first hold is long compared with the minutes in which callers repeat a
+** request, and short compared with the day in which operators would notice a
+** request that is blamed wrongly. */
+#define FIRST_HOLD_TIME (3600 * MP_SEC)
+/* Each further strike makes the hold this many times as long. */
+#define HOLD_GROWTH_FACTOR 4
+/* Strikes too few for a hold are remembered for this long after the newest
+** one, and those of a hold for this long after its end. */
+#define STRIKE_LIFETIME (3600 * MP_SEC)
+/* A request without counting strikes is remembered for this long, so that a
+** late report of a strike that was lifted changes nothing: instances report a
+** strike for NEWS_REPEAT_TIME after they learned it. */
+#define LIFTED_RETENTION (60 * MP_SEC)
+/* A strike is reported again and again for this long after this instance
+** learned it, which makes good a lost datagram or a data centre that is cut
+** off for some seconds. */
 #define NEWS_REPEAT_TIME (10 * MP_SEC)
-/* a strike alone is not written to the store: a dozen requests get one
-** whenever an endpoint ends, and nearly all of them never another */
+/* A request is written to the store from this many strikes on. A dozen
+** requests get a strike whenever an endpoint ends, and nearly all of them
+** never get another one. */
 #define STORED_STRIKES_MIN 2
-/* after a write that failed */
-#define SAVE_RETRY (300 * MP_MS)
-/* what is over leaves the store within this: the first instance removes it,
-** and the others hear of that before their own turn */
-#define REMOVE_SPREAD (60 * MP_SEC)
-/* between two looks for what is over */
-#define EXPIRE_PAUSE (1 * MP_SEC)
-/* strikes remembered against one request, those taken off included */
-#define STRIKES_KEPT (2 * QUARANTINE_STRIKES_MAX)
-/* requests remembered: 100 bytes each, and a dozen for each endpoint's end.
-** Beyond, those with the fewest strikes are forgotten first */
-#define ROWS_MOST 4096
+/* The next write of a request waits this long after one that failed. */
+#define SAVE_RETRY_DELAY (300 * MP_MS)
+/* Instances remove an expired request from the store after a delay below this
+** that differs between them: the first one removes it, and the others hear of
+** that before their own delay ends. */
+#define REMOVAL_JITTER (60 * MP_SEC)
+/* the time between two searches for expired requests */
+#define EXPIRE_INTERVAL (1 * MP_SEC)
+/* strikes remembered for one request, including those taken off */
+#define STRIKES_PER_ROW_MAX (2 * QUARANTINE_STRIKES_MAX)
+/* At most this many requests are remembered, at 100 bytes each; each end of an
+** endpoint adds a dozen. Beyond that the requests with the fewest strikes are
+** dropped first. */
+#define ROWS_MAX 4096
 
 typedef struct Strike {
-  guint32 crash;
-  gboolean off;   /* taken off: does not count */
-  gboolean own;   /* this instance saw it */
-  gboolean saved; /* the store has it */
+  guint32 crash;      /* hash of the endpoint's id and the life that ended */
+  gboolean is_off;    /* taken off: it doesn't count, but stays known */
+  gboolean is_own;    /* this instance saw it */
+  gboolean is_stored; /* the store has it */
 } Strike;
 
+/* what is known of one request */
 typedef struct Row {
   guint64 content;
-  guint count; /* of 'strikes' */
-  Strike strikes[STRIKES_KEPT];
-  gint64 last;            /* the newest strike */
-  gint64 learned;         /* when this instance heard of the newest one */
-  StorePosition position; /* of the object in the store; none is known */
+  guint count;                         /* of 'strikes' */
+  Strike strikes[STRIKES_PER_ROW_MAX]; /* in the order they were learned */
+  gint64 last_strike_at;               /* time of the newest strike */
+  gint64 learned_at;      /* when this instance learned of a new strike, or of
+                          ** a lift */
+  StorePosition position; /* of the object in the store; none: no object is
+                          ** known */
   gint64 retry_at;        /* not written to the store before then */
-  gboolean over;          /* to be removed from the store, then forgotten */
-  char *request, *route, *account;
+  gboolean is_obsolete;   /* to be removed from the store, then dropped */
+  char *request, *route, *account; /* as in QuarantineRecord */
 } Row;
 
 struct Quarantine {
@@ -63,8 +73,9 @@
   gint64 unix_offset;
   guint64 seed;
   guint64 version;
-  gboolean may_need_save; /* else no row does: asked with every event */
-  gint64 expire_at;       /* rows are looked through again then */
+  gboolean may_need_save; /* FALSE: no row needs a write. It saves the search
+                          ** through all rows with every event */
+  gint64 next_expiry_at;  /* when rows are searched for expired ones again */
 };
 
 void quarantine_record_clear(QuarantineRecord *record) {
@@ -96,39 +107,43 @@
   g_free(quarantine);
 }
 
-static Row *find(const Quarantine *quarantine, guint64 content) {
+static Row *find_row(const Quarantine *quarantine, guint64 content) {
   return g_hash_table_lookup(quarantine->rows, &content);
 }
 
-static guint count_of(const Row *row) {
+/* Returns the number of strikes that count. */
+static guint strike_count(const Row *row) {
   guint count = 0;
   guint i;
   for (i = 0; i < row->count; i++)
-    count += !row->strikes[i].off;
+    count += !row->strikes[i].is_off;
   return count;
 }
 
-/* the row that is missed least */
-static Row *least_row(const Quarantine *quarantine) {
+/* Returns the row with the fewest counting strikes, and among those the one
+** with the oldest newest strike. */
+static Row *find_evictable_row(const Quarantine *quarantine) {
   GHashTableIter iterator;
   gpointer value;
   Row *least = NULL;
   g_hash_table_iter_init(&iterator, quarantine->rows);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     Row *row = value;
-    if (least == NULL || count_of(row) < count_of(least) ||
-        (count_of(row) == count_of(least) && row->last < least->last))
+    if (least == NULL || strike_count(row) < strike_count(least) ||
+        (strike_count(row) == strike_count(least) &&
+         row->last_strike_at < least->last_strike_at))
       least = row;
   }
   return least;
 }
 
-static Row *need(Quarantine *quarantine, guint64 content) {
-  Row *row = find(quarantine, content);
+static Row *get_or_add_row(Quarantine *quarantine, guint64 content) {
+  Row *row = find_row(quarantine, content);
   if (row != NULL)
     return row;
-  if (g_hash_table_size(quarantine->rows) >= ROWS_MOST)
-    g_hash_table_remove(quarantine->rows, &least_row(quarantine)->content);
+  if (g_hash_table_size(quarantine->rows) >= ROWS_MAX)
+    g_hash_table_remove(quarantine->rows,
+                        &find_evictable_row(quarantine)->content);
   row = g_new0(Row, 1);
   row->content = content;
   g_hash_table_insert(quarantine->rows, &row->content, row);
@@ -144,13 +159,14 @@
   return NULL;
 }
 
-/* room for one more strike: the oldest that is off makes it */
+/* Makes room for one more strike, if necessary by dropping the oldest strike
+** that is taken off. Returns FALSE if all strikes count. */
 static gboolean make_room(Row *row) {
   guint i;
-  if (row->count < STRIKES_KEPT)
+  if (row->count < STRIKES_PER_ROW_MAX)
     return TRUE;
   for (i = 0; i < row->count; i++) {
-    if (!row->strikes[i].off)
+    if (!row->strikes[i].is_off)
       continue;
     memmove(&row->strikes[i], &row->strikes[i + 1],
             (row->count - i - 1) * sizeof *row->strikes);
@@ -160,7 +176,8 @@
   return FALSE;
 }
 
-/* NULL: it is known, or there are as many as can matter */
+/* Adds a strike of the time 'at'. Returns NULL if it is known already, or if
+** there is no room, when the row has more strikes than can matter. */
 static Strike *add_strike(Quarantine *quarantine, Row *row, guint32 crash,
                           gint64 at, gint64 now) {
   Strike *strike;
@@ -169,15 +186,17 @@
   strike = &row->strikes[row->count++];
   memset(strike, 0, sizeof *strike);
   strike->crash = crash;
-  /* 'at' may lie before the machine's start, and be negative */
-  row->last = row->count == 1 ? at : MAX(row->last, at);
-  row->learned = now;
-  row->over = FALSE;
+  /* 'at' may be negative, since it may be before the start of the machine, so
+  ** the first strike must not be compared with 0. */
+  row->last_strike_at = row->count == 1 ? at : MAX(row->last_strike_at, at);
+  row->learned_at = now;
+  row->is_obsolete = FALSE;
   quarantine->version++;
   quarantine->may_need_save = TRUE;
   return strike;
 }
 
+/* Replaces a text by a copy of 'from', unless that is NULL. */
 static void set_text(char **to, const char *from) {
   if (from == NULL)
     return;
@@ -188,98 +207,101 @@
 gboolean quarantine_add_strike(Quarantine *quarantine,
                                const QuarantineSuspect *suspect, guint32 crash,
                                gint64 now) {
-  Row *row = need(quarantine, suspect->content);
+  Row *row = get_or_add_row(quarantine, suspect->content);
   Strike *strike = add_strike(quarantine, row, crash, now, now);
   if (strike == NULL)
     return FALSE;
-  strike->own = TRUE;
+  strike->is_own = TRUE;
   set_text(&row->request, suspect->request);
   set_text(&row->route, suspect->route);
   set_text(&row->account, suspect->account);
   return TRUE;
 }
 
-/* a time of day that lies ahead is that of a clock that went wrong */
-static gint64 steady(const Quarantine *quarantine, gint64 unix_ms,
-                     gint64 now) {
+/* Converts a Unix time to the steady clock. A time in the future comes from a
+** wrong clock; it becomes 'now', and so does a time that is not known (0). */
+static gint64 to_steady_time(const Quarantine *quarantine, gint64 unix_ms,
+                             gint64 now) {
   return unix_ms > 0 ? MIN(unix_ms * MP_MS - quarantine->unix_offset, now)
                      : now;
 }
 
 gboolean quarantine_merge(Quarantine *quarantine,
                           const QuarantineRecord *record, gint64 now) {
-  gint64 at = steady(quarantine, record->last_unix_ms, now);
-  gboolean is_news = FALSE;
+  gint64 at = to_steady_time(quarantine, record->last_unix_ms, now);
+  gboolean is_new = FALSE;
   Row *row;
   guint i;
   if (record->count == 0)
     return FALSE;
-  row = need(quarantine, record->content);
+  row = get_or_add_row(quarantine, record->content);
   for (i = 0; i < record->count; i++)
-    is_news |=
-        add_strike(quarantine, row, record->crashes[i], at, now) != NULL;
-  return is_news;
+    is_new |= add_strike(quarantine, row, record->crashes[i], at, now) != NULL;
+  return is_new;
 }
 
 void quarantine_run_succeeded(Quarantine *quarantine, guint64 content) {
-  Row *row = find(quarantine, content);
+  Row *row = find_row(quarantine, content);
   guint i;
-  if (row == NULL || count_of(row) >= QUARANTINE_HOLD_STRIKES)
+  if (row == NULL || strike_count(row) >= QUARANTINE_HOLD_STRIKES)
     return;
-  for (i = 0; i < row->count && row->strikes[i].off; i++) {
+  for (i = 0; i < row->count && row->strikes[i].is_off; i++) {
   }
   if (i < row->count)
-    row->strikes[i].off = TRUE;
-  if (count_of(row) == 0)
-    row->over = TRUE;
+    row->strikes[i].is_off = TRUE;
+  if (strike_count(row) == 0)
+    row->is_obsolete = TRUE;
   quarantine->may_need_save = TRUE;
 }
 
 void quarantine_lift(Quarantine *quarantine, guint64 content, gint64 now) {
-  Row *row = find(quarantine, content);
+  Row *row = find_row(quarantine, content);
   guint i;
   if (row == NULL)
     return;
   for (i = 0; i < row->count; i++)
-    row->strikes[i].off = TRUE;
+    row->strikes[i].is_off = TRUE;
   row->position = store_position_none();
-  row->learned = now;
-  row->over = TRUE;
+  row->learned_at = now;
+  row->is_obsolete = TRUE;
 }
 
 guint quarantine_strike_count(const Quarantine *quarantine, guint64 content) {
-  const Row *row = find(quarantine, content);
-  return row != NULL ? count_of(row) : 0;
+  const Row *row = find_row(quarantine, content);
+  return row != NULL ? strike_count(row) : 0;
 }
 
 gboolean quarantine_has_strike(const Quarantine *quarantine, guint64 content,
                                guint32 crash) {
-  Row *row = find(quarantine, content);
+  Row *row = find_row(quarantine, content);
   return row != NULL && find_strike(row, crash) != NULL;
 }
 
-static gint64 hold_length(guint strikes) {
-  gint64 length = HOLD_FIRST;
+/* Returns how long a request with this many strikes is held. */
+static gint64 hold_time(guint strikes) {
+  gint64 duration = FIRST_HOLD_TIME;
   guint i;
   if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
   for (i = QUARANTINE_HOLD_STRIKES; i < strikes; i++)
-    length *= HOLD_GROWTH;
-  return length;
+    duration *= HOLD_GROWTH_FACTOR;
+  return duration;
 }
 
+/* Returns when the request's hold ends, also if that is past; 0 if it has too
+** few strikes for one. */
 static gint64 held_until(const Row *row) {
-  guint strikes = count_of(row);
-  gint64 length;
+  guint strikes = strike_count(row);
+  gint64 duration;
   if (strikes < QUARANTINE_HOLD_STRIKES)
     return 0;
-  length = hold_length(strikes);
-  return length == G_MAXINT64 ? length : row->last + length;
+  duration = hold_time(strikes);
+  return duration == G_MAXINT64 ? duration : row->last_strike_at + duration;
 }
 
 gint64 quarantine_held_until(const Quarantine *quarantine, guint64 content,
                              gint64 now) {
-  const Row *row = find(quarantine, content);
+  const Row *row = find_row(quarantine, content);
   gint64 until = row != NULL ? held_until(row) : 0;
   return until > now ? until : 0;
 }
@@ -292,7 +314,7 @@
   *held = 0;
   g_hash_table_iter_init(&iterator, quarantine->rows);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-    *suspects += count_of(value) > 0;
+    *suspects += strike_count(value) > 0;
     *held += held_until(value) > now;
   }
 }
@@ -303,14 +325,15 @@
 
 /*
 ** {==================================================================
-** News for other instances
+** Reports to other instances
 ** ===================================================================
 */
 
+/* Returns TRUE if this instance saw a strike that counts. */
 static gboolean has_own_strike(const Row *row) {
   guint i;
   for (i = 0; i < row->count; i++) {
-    if (row->strikes[i].own && !row->strikes[i].off)
+    if (row->strikes[i].is_own && !row->strikes[i].is_off)
       return TRUE;
   }
   return FALSE;
@@ -321,13 +344,14 @@
   out->request = row->content;
   out->n = 0;
   for (i = 0; i < row->count && out->n < MP_CRASHES_EACH; i++) {
-    if (!row->strikes[i].off)
+    if (!row->strikes[i].is_off)
       out->crash[out->n++] = row->strikes[i].crash;
   }
 }
 
-/* in the place of one with fewer strikes, where there is no room */
-static void put_row(mp_CrashNews *out, const mp_CrashRow *row) {
+/* Adds the row, or puts it in the place of the row with the fewest strikes if
+** the message is full and that row has fewer than this one. */
+static void add_or_replace_row(mp_CrashNews *out, const mp_CrashRow *row) {
   unsigned least = 0;
   unsigned i;
   if (out->n < MP_CRASH_ROWS) {
@@ -350,13 +374,13 @@
   g_hash_table_iter_init(&iterator, quarantine->rows);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Row *row = value;
-    mp_CrashRow told;
-    if (now - row->learned >= NEWS_REPEAT_TIME ||
+    mp_CrashRow crashes;
+    if (now - row->learned_at >= NEWS_REPEAT_TIME ||
         !(all || has_own_strike(row)))
       continue;
-    write_row(row, &told);
-    if (told.n > 0)
-      put_row(out, &told);
+    write_row(row, &crashes);
+    if (crashes.n > 0)
+      add_or_replace_row(out, &crashes);
   }
 }
 
@@ -368,34 +392,36 @@
 ** ===================================================================
 */
 
-/* a strike that this instance saw, and the store does not have */
+/* Returns TRUE if this instance saw a counting strike that the store lacks. */
 static gboolean has_unstored_strike(const Row *row) {
   guint i;
   for (i = 0; i < row->count; i++) {
     const Strike *strike = &row->strikes[i];
-    if (strike->own && !strike->off && !strike->saved)
+    if (strike->is_own && !strike->is_off && !strike->is_stored)
       return TRUE;
   }
   return FALSE;
 }
 
+/* An obsolete row needs its object removed, another one its strikes written.
+ */
 static gboolean needs_save(const Row *row) {
-  if (row->over)
+  if (row->is_obsolete)
     return !store_position_is_none(row->position);
-  return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);
+  return strike_count(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);
 }
 
 static void write_record(const Quarantine *quarantine, const Row *row,
                          QuarantineRecord *out) {
-  mp_CrashRow told;
+  mp_CrashRow crashes;
   guint i;
   memset(out, 0, sizeof *out);
-  write_row(row, &told);
+  write_row(row, &crashes);
   out->content = row->content;
-  out->count = told.n;
-  for (i = 0; i < told.n; i++)
-    out->crashes[i] = told.crash[i];
-  out->last_unix_ms = (row->last + quarantine->unix_offset) / MP_MS;
+  out->count = crashes.n;
+  for (i = 0; i < crashes.n; i++)
+    out->crashes[i] = crashes.crash[i];
+  out->last_unix_ms = (row->last_strike_at + quarantine->unix_offset) / MP_MS;
   out->request = row->request;
   out->route = row->route;
   out->account = row->account;
@@ -404,17 +430,17 @@
 gboolean quarantine_merge_stored(Quarantine *quarantine,
                                  const QuarantineRecord *record,
                                  StorePosition position, gint64 now) {
-  gboolean is_news = quarantine_merge(quarantine, record, now);
-  Row *row = need(quarantine, record->content);
+  gboolean is_new = quarantine_merge(quarantine, record, now);
+  Row *row = get_or_add_row(quarantine, record->content);
   guint i;
   quarantine->may_need_save = TRUE;
   row->position = store_position_later(row->position, position);
   for (i = 0; i < record->count; i++) {
     Strike *strike = find_strike(row, record->crashes[i]);
     if (strike != NULL)
-      strike->saved = TRUE;
+      strike->is_stored = TRUE;
   }
-  return is_news;
+  return is_new;
 }
 
 void quarantine_store_restored(Quarantine *quarantine, guint64 era) {
@@ -425,10 +451,10 @@
     Row *row = value;
     guint i;
     if (row->position.era >= era)
-      continue; /* it has been heard of since */
+      continue; /* the object was seen after the restore */
     row->position = store_position_none();
     for (i = 0; i < row->count; i++)
-      row->strikes[i].saved = FALSE;
+      row->strikes[i].is_stored = FALSE;
   }
   quarantine->may_need_save = TRUE;
 }
@@ -437,7 +463,7 @@
                               gint64 now) {
   GHashTableIter iterator;
   gpointer value;
-  gboolean some_wait = FALSE;
+  gboolean is_save_pending = FALSE;
   if (!quarantine->may_need_save)
     return FALSE;
   g_hash_table_iter_init(&iterator, quarantine->rows);
@@ -445,66 +471,69 @@
     const Row *row = value;
     if (!needs_save(row))
       continue;
-    some_wait = TRUE;
+    is_save_pending = TRUE;
     if (row->retry_at > now)
       continue;
-    out->remove = row->over;
+    out->remove = row->is_obsolete;
     out->position = row->position;
     write_record(quarantine, row, &out->record);
     return TRUE;
   }
-  quarantine->may_need_save = some_wait;
+  quarantine->may_need_save = is_save_pending;
   return FALSE;
 }
 
 void quarantine_save_failed(Quarantine *quarantine, guint64 content,
                             gint64 now) {
-  Row *row = find(quarantine, content);
+  Row *row = find_row(quarantine, content);
   if (row != NULL)
-    row->retry_at = now + SAVE_RETRY;
+    row->retry_at = now + SAVE_RETRY_DELAY;
 }
 
 /* }================================================================== */
 
-/* when it says nothing any more */
-static gint64 ends_at(const Row *row) {
-  guint strikes = count_of(row);
+/* Returns the time from which on the row is obsolete. */
+static gint64 obsolete_at(const Row *row) {
+  guint strikes = strike_count(row);
   if (strikes == 0)
-    return row->learned + LIFTED_LIFE;
+    return row->learned_at + LIFTED_RETENTION;
   if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
   if (strikes >= QUARANTINE_HOLD_STRIKES)
-    return held_until(row) + SUSPECT_LIFE;
-  return row->last + SUSPECT_LIFE;
+    return held_until(row) + STRIKE_LIFETIME;
+  return row->last_strike_at + STRIKE_LIFETIME;
 }
 
-static gint64 removal_wait(const Quarantine *quarantine, const Row *row) {
-  guint64 one[2] = {row->content, quarantine->seed};
-  return (gint64)(XXH3_64bits(one, sizeof one) % REMOVE_SPREAD);
+/* Returns a delay that differs between instances for the same request. */
+static gint64 removal_delay(const Quarantine *quarantine, const Row *row) {
+  guint64 input[2] = {row->content, quarantine->seed};
+  return (gint64)(XXH3_64bits(input, sizeof input) % REMOVAL_JITTER);
 }
 
-/* it is over, nothing of it stands in the store, and nobody tells of it */
-static gboolean is_forgotten(gpointer content, gpointer value, gpointer now) {
+/* Returns TRUE for a row that is obsolete, has no object in the store and is
+** reported by no instance any more. */
+static gboolean can_be_dropped(gpointer content, gpointer value,
+                               gpointer now) {
   const Row *row = value;
   (void)content;
-  return row->over && store_position_is_none(row->position) &&
-         row->learned + LIFTED_LIFE <= *(const gint64 *)now;
+  return row->is_obsolete && store_position_is_none(row->position) &&
+         row->learned_at + LIFTED_RETENTION <= *(const gint64 *)now;
 }
 
 void quarantine_expire(Quarantine *quarantine, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
-  if (now < quarantine->expire_at)
+  if (now < quarantine->next_expiry_at)
     return;
-  quarantine->expire_at = now + EXPIRE_PAUSE;
+  quarantine->next_expiry_at = now + EXPIRE_INTERVAL;
   g_hash_table_iter_init(&iterator, quarantine->rows);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     Row *row = value;
-    if (row->over || ends_at(row) > now)
+    if (row->is_obsolete || obsolete_at(row) > now)
       continue;
-    row->over = TRUE;
-    row->retry_at = now + removal_wait(quarantine, row);
+    row->is_obsolete = TRUE;
+    row->retry_at = now + removal_delay(quarantine, row);
     quarantine->may_need_save = TRUE;
   }
-  g_hash_table_foreach_remove(quarantine->rows, is_forgotten, &now);
+  g_hash_table_foreach_remove(quarantine->rows, can_be_dropped, &now);
 }
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -1,28 +1,34 @@
 /*
 ** quarantine.h
-** Requests that end the endpoints that run them ("queries of death")
+** Quarantine for requests under which endpoints end ("queries of death")
 **
-** A request is told by the digest of its content and client account, whatever
-** id it bears. When an endpoint ends while it runs, that is a strike against
-** it, and against all others that ran there: one alone says little. From
-** QUARANTINE_HOLD_STRIKES on it is held: no instance sends it to an endpoint.
+** A request is identified by the digest of its content and client account,
+** whatever id it bears. When an endpoint's process ends while it runs the
+** request, the request gets a strike, and so do all others that ran there, so
+** a single strike says little. From QUARANTINE_HOLD_STRIKES strikes on the
+** request is held: no instance sends it to an endpoint.
 **
-** Invariants.
-** 1. The strikes against a request are a set, by the endpoint that ended and
-**    the life of it that ended. To hear of one twice, from whomever and in
-**    whatever order, changes nothing, so instances only ever merge what they
-**    know, and none has to be the first.
-** 2. A hold ends by itself so that one that was blamed wrongly is served
-**    again, but each time the endpoint ends the next hold is longer, and from
-**    QUARANTINE_STRIKES_MAX strikes on only an operator ends it. So
-**    QUARANTINE_STRIKES_MAX - QUARANTINE_HOLD_STRIKES runs at most are tried
-**    after the third strike is known, however long it is sent.
-** 3. A run that ends well takes the oldest strike off one that is not held: a
-**    request that many callers send is at work whenever an endpoint ends.
-** 4. What an operator has lifted, or a good run has taken off, does not come
-**    back when an instance tells it late.
+** Invariants:
+** 1. The strikes of a request are a set, identified by the endpoint that ended
+**    and the life of it that ended. To hear of a strike twice, from whomever
+**    and in whatever order, changes nothing. So instances only merge what they
+**    know, and none of them has to decide first.
+** 2. A hold ends by itself, so that a request that was blamed wrongly is
+**    served again. Each further strike makes the next hold longer, and from
+**    QUARANTINE_STRIKES_MAX strikes on only an operator ends it. So after the
+**    third strike is known at most QUARANTINE_STRIKES_MAX -
+**    QUARANTINE_HOLD_STRIKES more runs are tried, however long the request is
+**    sent.
+** 3. A run that ends well takes the oldest strike off a request with fewer
+**    than QUARANTINE_HOLD_STRIKES strikes. Otherwise a request that many
+**    callers send would collect strikes, since it is running whenever an
+**    endpoint ends.
+** 4. A strike that an operator has lifted, or a good run has taken off, does
+**    not come back when an instance reports it late.
 **
-** Times are in microseconds of the steady clock unless a name says otherwise.
+** A Router owns one Quarantine: suspects.c uses it, and io/quarantine_writer.c
+** writes what quarantine_next_save returns to the store. Times are in
+** microseconds of this instance's steady clock unless a name says otherwise.
 */
 
 #ifndef ROUTER_QUARANTINE_H
@@ -32,35 +38,41 @@
 
 #include "router/store_position.h"
 
-/* two engines may end by themselves under one that has come back; with three,
-** chance is rare (and the platform allows three) */
+/* A request with this many strikes or more is held. Two engines may end by
+** themselves under a request that was sent again; with three, chance is rare
+** (and the platform allows three). */
 #define QUARANTINE_HOLD_STRIKES 3
-/* held until an operator lifts it; the platform allows three more runs */
+/* A request with this many strikes or more is held until an operator lifts the
+** hold. The platform allows three more runs. */
 #define QUARANTINE_STRIKES_MAX MP_CRASHES_EACH
 
-/* the strikes against one request, as instances tell them and the store keeps
+/* the strikes of one request, as instances report them and the store keeps
 ** them */
 typedef struct QuarantineRecord {
   guint64 content; /* digest of the request's content and account */
-  guint count;
-  guint32 crashes[QUARANTINE_STRIKES_MAX]; /* of the endpoint and its life */
-  gint64 last_unix_ms;                     /* the last of them */
-  /* for operators: the last one that came with it; NULL: not known */
+  guint count;     /* of 'crashes' */
+  guint32 crashes[QUARANTINE_STRIKES_MAX]; /* hashes of an endpoint's id and
+                                           ** the life that ended */
+  gint64 last_unix_ms; /* time of the newest strike; 0: not known */
+  /* For operators: the id, route and client account of the last request that
+  ** got a strike, where this is known; else NULL. */
   char *request;
   char *route;
   char *account;
 } QuarantineRecord;
 
+/* Frees the texts and sets the record to zero. */
 void quarantine_record_clear(QuarantineRecord *record);
 
 typedef struct Quarantine Quarantine;
 
-/* 'unix_offset': Unix time less the steady clock's, microseconds; 'seed' is
-** another one at each instance */
+/* 'unix_offset' is Unix time minus the steady clock, in microseconds. 'seed'
+** differs between instances, so that they don't all remove an object at once.
+** The caller frees the result with quarantine_free. */
 Quarantine *quarantine_new(gint64 unix_offset, guint64 seed);
 void quarantine_free(Quarantine *quarantine);
 
-/* whose strike it is; texts are copied */
+/* a request that an endpoint ran; texts belong to the caller */
 typedef struct QuarantineSuspect {
   guint64 content;
   const char *request;
@@ -68,62 +80,78 @@
   const char *account; /* NULL: none */
 } QuarantineSuspect;
 
-/* an endpoint ended under it, as this instance saw. FALSE: that is known */
+/* Adds a strike that this instance saw itself: the life 'crash' of an endpoint
+** ended while it ran the suspect. Texts are copied. Returns FALSE if the
+** strike is known already, or if there is no room for it. */
 gboolean quarantine_add_strike(Quarantine *quarantine,
                                const QuarantineSuspect *suspect, guint32 crash,
                                gint64 now);
-/* another instance, or the store, tells so. FALSE: nothing is new */
+/* Merges the strikes that another instance reports or the store holds. Returns
+** TRUE if one of them was new. */
 gboolean quarantine_merge(Quarantine *quarantine,
                           const QuarantineRecord *record, gint64 now);
-/* a run of it ended well */
+/* A run of the request ended well: takes a strike off (invariant 3). */
 void quarantine_run_succeeded(Quarantine *quarantine, guint64 content);
-/* an operator, or an instance for whom it was over, removed it */
+/* The request's object was removed from the store, by an operator or by an
+** instance for which it had expired: takes all strikes off. */
 void quarantine_lift(Quarantine *quarantine, guint64 content, gint64 now);
 
+/* Returns the number of strikes that count against the request. */
 guint quarantine_strike_count(const Quarantine *quarantine, guint64 content);
-/* is this end known of it, whether it counts still or was taken off? */
+/* Returns TRUE if this end of a life is known as a strike of the request,
+** whether it still counts or was taken off. */
 gboolean quarantine_has_strike(const Quarantine *quarantine, guint64 content,
                                guint32 crash);
-/* until when it is held; 0: it is not; G_MAXINT64: until an operator acts */
+/* Returns the time until which the request is held; 0 if it is not held, and
+** G_MAXINT64 if it is held until an operator lifts that. */
 gint64 quarantine_held_until(const Quarantine *quarantine, guint64 content,
                              gint64 now);
 
-/* rows that have not been over for long, and how many of them are held */
+/* Counts the remembered requests with a strike that counts, and those that are
+** held. */
 void quarantine_count(const Quarantine *quarantine, gint64 now,
                       guint *suspects, guint *held);
-/* grows whenever there is something new to tell the other instances */
+/* Returns a number that grows whenever there is something new to report to the
+** other instances. */
 guint64 quarantine_version(const Quarantine *quarantine);
-/* what was learned lately: by this instance alone, or 'all' of it */
+/* Writes the requests with strikes learned in the last 10 s: those of which
+** this instance saw a strike itself, or with 'all' every one. If there are too
+** many, those with the most strikes are written. */
 void quarantine_write_news(const Quarantine *quarantine, gboolean all,
                            mp_CrashNews *out, gint64 now);
 
 /*
-** The store
+** Exchange with the store, which has one object for each request
 */
 
-/* what has to be written there */
+/* a write that the store needs */
 typedef struct QuarantineSave {
-  gboolean remove;         /* else create or replace */
-  StorePosition position;  /* of the object that stands there, if any */
-  QuarantineRecord record; /* texts belong to the quarantine */
+  gboolean remove;         /* remove the object, else create or replace it */
+  StorePosition position;  /* of the object that is there; none: create it */
+  QuarantineRecord record; /* its texts belong to the quarantine and stay valid
+                           ** until the next call that changes it */
 } QuarantineSave;
 
-/* the object stands there at this position and says that; as quarantine_merge
- */
+/* The store has an object with this record at this position. Merges the
+** strikes; returns TRUE if one of them was new. */
 gboolean quarantine_merge_stored(Quarantine *quarantine,
                                  const QuarantineRecord *record,
                                  StorePosition position, gint64 now);
-/* FALSE: nothing has to be written now */
-/* the store was restored from a copy, and this era began: what stands there is
-** not known, and what this instance saw is written again */
+/* The store was restored from a copy, which began this era. Forgets which
+** objects it has, except those seen in this era, so that the strikes that this
+** instance saw are written again. */
 void quarantine_store_restored(Quarantine *quarantine, guint64 era);
+/* Returns TRUE and a write that is due, or FALSE if none is due now. The same
+** write is returned again until quarantine_merge_stored, quarantine_lift or
+** quarantine_save_failed tells its outcome. */
 gboolean quarantine_next_save(Quarantine *quarantine, QuarantineSave *out,
                               gint64 now);
-/* the write has failed, or another one was faster: again a little later */
+/* The write has failed, or another instance's write came first: it is due
+** again a little later. */
 void quarantine_save_failed(Quarantine *quarantine, guint64 content,
                             gint64 now);
 
-/* forget what is over */
+/* Removes what has expired; called with every tick, it acts once a second. */
 void quarantine_expire(Quarantine *quarantine, gint64 now);
 
 #endif
