--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -367,17 +367,17 @@
   'if (find_strike(row, crash) != NULL || !make_room(row))' \
   'if (!make_room(row))'
 m q-off "hold: a good run takes a strike off" router/quarantine.c \
-  'row->strikes[i].off = TRUE;
-  if (count_of(row) == 0)' 'if (count_of(row) == 0)'
+  'row->strikes[i].is_off = TRUE;
+  if (strike_count(row) == 0)' 'if (strike_count(row) == 0)'
 m q-last "hold: three runs are tried at most" router/quarantine.c \
   'if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
   for' 'for'
 m q-store "hold: what instances know is kept in the store" \
   router/quarantine.c \
-  'return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
+  'return strike_count(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
 m q-tell "hold: instances tell each other" router/quarantine.c \
-  'if (now - row->learned >= NEWS_REPEAT_TIME ||
+  'if (now - row->learned_at >= NEWS_REPEAT_TIME ||
         !(all || has_own_strike(row)))' 'if (TRUE)'
 m q-door "hold: a held request is not sent" router/suspects.c \
   'if (until == 0)
