--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -366,8 +366,9 @@
     out->row[least] = *row;
 }
 
-void quarantine_write_news(const Quarantine *quarantine, gboolean all,
-                           mp_CrashNews *out, gint64 now) {
+void quarantine_write_news(const Quarantine *quarantine,
+                           gboolean with_received, mp_CrashNews *out,
+                           gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   out->n = 0;
@@ -376,7 +377,7 @@
     const Row *row = value;
     mp_CrashRow crashes;
     if (now - row->learned_at >= NEWS_REPEAT_TIME ||
-        !(all || has_own_strike(row)))
+        !(with_received || has_own_strike(row)))
       continue;
     write_row(row, &crashes);
     if (crashes.n > 0)
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -115,10 +115,11 @@
 ** other instances. */
 guint64 quarantine_version(const Quarantine *quarantine);
 /* Writes the requests with strikes learned in the last 10 s: those of which
-** this instance saw a strike itself, or with 'all' every one. If there are too
-** many, those with the most strikes are written. */
-void quarantine_write_news(const Quarantine *quarantine, gboolean all,
-                           mp_CrashNews *out, gint64 now);
+** this instance saw a strike itself, or with 'with_received' every one. If
+** there are too many, those with the most strikes are written. */
+void quarantine_write_news(const Quarantine *quarantine,
+                           gboolean with_received, mp_CrashNews *out,
+                           gint64 now);
 
 /*
 ** Exchange with the store, which has one object for each request
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -1,25 +1,28 @@
 /*
 ** suspects.c
-** Requests that end the endpoints that run them: what the router does
+** Requests under which endpoints end: holds or defers them
 **
-** Who may be sent is asked before every dispatch, so that a request that
-** waited, or whose prompt was read, while it became held is not sent either.
+** A request is held by the quarantine (router/quarantine.h) and deferred by
+** strikes and suspicions together (router/suspicions.h). suspects_may_send is
+** asked before every dispatch for a caller, so a request that becomes held
+** while it waits or while its prompt is read is not sent either.
 */
 
 #include "router/state.h"
 
-/* when to come back to a hold that only an operator ends: what a caller's next
-** try on another day finds */
-#define RETRY_AFTER_LIFTED (86400 * MP_SEC)
+/* The caller of a request whose hold only an operator ends is asked to come
+** back on another day, when the hold may have been lifted. */
+#define MANUAL_HOLD_RETRY_AFTER (86400 * MP_SEC)
 
 static gboolean is_proved(void *quarantine, guint64 content, guint32 life) {
   return quarantine_has_strike(quarantine, content, life);
 }
 
 /*
-** Ends that are not proved yet count as strikes for the seconds until they are
-** proved or disproved: else each instance sends the request to one endpoint
-** more meanwhile. 0: it is not deferred.
+** Returns the time until which the request is deferred, or 0 if it is not.
+** Suspected ends count like strikes for the seconds until they are proved or
+** disproved, because otherwise each instance would send the request to one
+** more endpoint meanwhile.
 */
 static gint64 deferred_until(const Router *router, guint64 content,
                              gint64 now) {
@@ -44,22 +47,24 @@
   }
   if (until == 0)
     return TRUE;
-  request->come_back = until == G_MAXINT64 ? RETRY_AFTER_LIFTED : until - now;
+  request->come_back =
+      until == G_MAXINT64 ? MANUAL_HOLD_RETRY_AFTER : until - now;
   return FALSE;
 }
 
-/* held, or deferred */
-static gboolean is_held(const Router *router, guint64 content, gint64 now) {
+/* Returns TRUE if the request is held or deferred. */
+static gboolean is_held_or_deferred(const Router *router, guint64 content,
+                                    gint64 now) {
   return quarantine_held_until(router->quarantine, content, now) != 0 ||
          deferred_until(router, content, now) != 0;
 }
 
-/* a request that waits and is held; NULL: there is none */
+/* Returns a waiting request that is held or deferred; NULL if none is. */
 static Request *find_held_waiting(const Router *router, gint64 now) {
   guint i;
   for (i = 0; i < router->waiting->len; i++) {
     Request *request = router->waiting->pdata[i];
-    if (is_held(router, request->content, now))
+    if (is_held_or_deferred(router, request->content, now))
       return request;
   }
   return NULL;
@@ -74,7 +79,8 @@
   }
 }
 
-/* 'from' says who told of the newest strike */
+/* Logs that a request is held, if it is. 'from' says where the newest strike
+** comes from: "here", "instance" or "store". */
 static void log_held(Router *router, guint64 content, const char *from,
                      gint64 now) {
   gint64 until = quarantine_held_until(router->quarantine, content, now);
@@ -115,11 +121,12 @@
 
 /*
 ** {==================================================================
-** Other instances, and the store
+** Exchange with other instances and the store
 ** ===================================================================
 */
 
-static void record_of(const mp_CrashRow *row, QuarantineRecord *out) {
+/* Makes a record of a message's row, which has neither a time nor texts. */
+static void record_from_row(const mp_CrashRow *row, QuarantineRecord *out) {
   unsigned i;
   out->content = row->request;
   out->count = MIN(row->n, QUARANTINE_STRIKES_MAX);
@@ -129,20 +136,20 @@
 
 gboolean router_hear_crashes(Router *router, const mp_CrashNews *news,
                              gint64 now) {
-  gboolean is_news = FALSE;
+  gboolean is_new = FALSE;
   unsigned i;
   for (i = 0; i < news->n; i++) {
     QuarantineRecord record = {0};
-    record_of(&news->row[i], &record);
+    record_from_row(&news->row[i], &record);
     if (!quarantine_merge(router->quarantine, &record, now))
       continue;
-    is_news = TRUE;
+    is_new = TRUE;
     log_held(router, record.content, "instance", now);
   }
-  is_news |= suspicions_receive(router->suspicions, news, now);
-  if (is_news)
+  is_new |= suspicions_receive(router->suspicions, news, now);
+  if (is_new)
     suspects_sweep(router, now);
-  return is_news;
+  return is_new;
 }
 
 void router_tell_crashes(const Router *router, gboolean all, mp_CrashNews *out,
@@ -164,7 +171,7 @@
 }
 
 void router_lift_quarantine(Router *router, guint64 content, gint64 now) {
-  if (is_held(router, content, now))
+  if (is_held_or_deferred(router, content, now))
     router_log(router, MP_LOG_REQUEST_LIFTED,
                " content=%016" G_GINT64_MODIFIER "x", content);
   quarantine_lift(router->quarantine, content, now);
--- a/router/suspicions.c
+++ b/router/suspicions.c
@@ -1,22 +1,25 @@
 /*
 ** suspicions.c
-** Ends of endpoints that are suspected, and not proved yet
+** Suspected ends of endpoints, which are not proved yet
 */
 
 #include "router/suspicions.h"
 
-/* bytes that an endpoint sent before it ended arrive within this */
-#define ON_ITS_WAY (100 * MP_MS)
-/* others are told after this: mostly the endpoint has answered by then */
-#define TOLD_AFTER (200 * MP_MS)
-/* suspicions remembered: runs that broke off lately, at all instances */
-#define SUSPICIONS_MOST 4096
+/* Bytes that an endpoint sent before it ended arrive within this time, so an
+** answer clears only suspicions of this age or older. */
+#define IN_FLIGHT_TIME (100 * MP_MS)
+/* A suspicion is reported to other instances once it is this old: mostly the
+** endpoint has answered by then. */
+#define REPORT_DELAY (200 * MP_MS)
+/* At most this many suspicions are stored, which are the runs that broke off
+** lately at all instances. Beyond that the first one that came is dropped. */
+#define SUSPICIONS_MAX 4096
 
 typedef struct Suspicion {
   guint64 content;
-  guint32 life; /* of the endpoint: Endpoint.hash */
-  gboolean own; /* this instance saw the run break off */
-  gint64 at;
+  guint32 life;    /* of the endpoint: Endpoint.hash */
+  gboolean is_own; /* this instance saw the run break off */
+  gint64 broken_at;
 } Suspicion;
 
 struct Suspicions {
@@ -34,47 +37,49 @@
   g_free(suspicions);
 }
 
-static Suspicion *at(const Suspicions *suspicions, guint i) {
+static Suspicion *suspicion_at(const Suspicions *suspicions, guint i) {
   return &g_array_index(suspicions->all, Suspicion, i);
 }
 
-static gboolean is_over(const Suspicion *one, gint64 now) {
-  return now - one->at >= SUSPICION_LIFETIME;
+static gboolean is_expired(const Suspicion *suspicion, gint64 now) {
+  return now - suspicion->broken_at >= SUSPICION_LIFETIME;
 }
 
-static gboolean is_noted(const Suspicions *suspicions, guint64 content,
-                         guint32 life) {
+static gboolean is_suspected(const Suspicions *suspicions, guint64 content,
+                             guint32 life) {
   guint i;
   for (i = 0; i < suspicions->all->len; i++) {
-    const Suspicion *one = at(suspicions, i);
-    if (one->content == content && one->life == life)
+    const Suspicion *suspicion = suspicion_at(suspicions, i);
+    if (suspicion->content == content && suspicion->life == life)
       return TRUE;
   }
   return FALSE;
 }
 
-static gboolean add(Suspicions *suspicions, guint64 content, guint32 life,
-                    gboolean own, gint64 when) {
-  Suspicion one = {content, life, own, when};
-  if (is_noted(suspicions, content, life))
+static gboolean add_suspicion(Suspicions *suspicions, guint64 content,
+                              guint32 life, gboolean is_own,
+                              gint64 broken_at) {
+  Suspicion suspicion = {content, life, is_own, broken_at};
+  if (is_suspected(suspicions, content, life))
     return FALSE;
-  if (suspicions->all->len >= SUSPICIONS_MOST)
+  if (suspicions->all->len >= SUSPICIONS_MAX)
     g_array_remove_index(suspicions->all, 0);
-  g_array_append_val(suspicions->all, one);
+  g_array_append_val(suspicions->all, suspicion);
   return TRUE;
 }
 
 gboolean suspicions_add(Suspicions *suspicions, guint64 content, guint32 life,
                         gint64 now) {
   suspicions_expire(suspicions, now);
-  return add(suspicions, content, life, TRUE, now);
+  return add_suspicion(suspicions, content, life, TRUE, now);
 }
 
 void suspicions_clear_life(Suspicions *suspicions, guint32 life, gint64 now) {
   guint i = 0;
   while (i < suspicions->all->len) {
-    const Suspicion *one = at(suspicions, i);
-    if (one->life == life && now - one->at >= ON_ITS_WAY)
+    const Suspicion *suspicion = suspicion_at(suspicions, i);
+    if (suspicion->life == life &&
+        now - suspicion->broken_at >= IN_FLIGHT_TIME)
       g_array_remove_index(suspicions->all, i);
     else
       i++;
@@ -82,36 +87,37 @@
 }
 
 guint suspicions_count(const Suspicions *suspicions, guint64 content,
-                       gboolean (*is_known)(void *data, guint64 content,
-                                            guint32 life),
+                       gboolean (*is_proved)(void *data, guint64 content,
+                                             guint32 life),
                        void *data, gint64 *until, gint64 now) {
   guint count = 0;
   guint i;
   *until = 0;
   for (i = 0; i < suspicions->all->len; i++) {
-    const Suspicion *one = at(suspicions, i);
-    if (one->content != content || is_over(one, now) ||
-        is_known(data, content, one->life))
+    const Suspicion *suspicion = suspicion_at(suspicions, i);
+    if (suspicion->content != content || is_expired(suspicion, now) ||
+        is_proved(data, content, suspicion->life))
       continue;
-    *until = MAX(*until, one->at + SUSPICION_LIFETIME);
+    *until = MAX(*until, suspicion->broken_at + SUSPICION_LIFETIME);
     count++;
   }
   return count;
 }
 
-void suspicions_write(const Suspicions *suspicions, gboolean all,
+void suspicions_write(const Suspicions *suspicions, gboolean with_received,
                       mp_CrashNews *out, gint64 now) {
   guint i;
   out->suspected_n = 0;
   for (i = suspicions->all->len; i > 0 && out->suspected_n < MP_SUSPECT_ROWS;
        i--) {
-    const Suspicion *one = at(suspicions, i - 1);
+    const Suspicion *suspicion = suspicion_at(suspicions, i - 1);
     mp_SuspectRow *row = &out->suspected[out->suspected_n];
-    gint64 age = now - one->at;
-    if (is_over(one, now) || age < TOLD_AFTER || !(all || one->own))
+    gint64 age = now - suspicion->broken_at;
+    if (is_expired(suspicion, now) || age < REPORT_DELAY ||
+        !(with_received || suspicion->is_own))
       continue;
-    row->request = one->content;
-    row->endpoint = one->life;
+    row->request = suspicion->content;
+    row->endpoint = suspicion->life;
     row->age_ms = (guint32)(age / MP_MS);
     out->suspected_n++;
   }
@@ -119,21 +125,22 @@
 
 gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashNews *news,
                             gint64 now) {
-  gboolean is_news = FALSE;
+  gboolean is_new = FALSE;
   unsigned i;
   for (i = 0; i < news->suspected_n; i++) {
     const mp_SuspectRow *row = &news->suspected[i];
-    gint64 when = now - (gint64)row->age_ms * MP_MS;
-    if (now - when < SUSPICION_LIFETIME)
-      is_news |= add(suspicions, row->request, row->endpoint, FALSE, when);
+    gint64 broken_at = now - (gint64)row->age_ms * MP_MS;
+    if (now - broken_at < SUSPICION_LIFETIME)
+      is_new |= add_suspicion(suspicions, row->request, row->endpoint, FALSE,
+                              broken_at);
   }
-  return is_news;
+  return is_new;
 }
 
 void suspicions_expire(Suspicions *suspicions, gint64 now) {
   guint i = 0;
   while (i < suspicions->all->len) {
-    if (is_over(at(suspicions, i), now))
+    if (is_expired(suspicion_at(suspicions, i), now))
       g_array_remove_index(suspicions->all, i);
     else
       i++;
--- a/router/suspicions.h
+++ b/router/suspicions.h
@@ -1,16 +1,24 @@
 /*
 ** suspicions.h
-** Ends of endpoints that are suspected, and not proved yet
+** Suspected ends of endpoints, which are not proved yet
 **
-** A run that broke off may mean that its endpoint has ended. Where nothing
-** refuses connections then, only the platform's list proves it, seconds later.
-** Until then the end is held against the request as a suspicion.
+** A run that breaks off may mean that its endpoint's process has ended. Where
+** nothing refuses connections then, only the platform's list proves the end,
+** some seconds later. Until then the end is held against the request that ran
+** there as a suspicion, and the other instances are told.
 **
-** Invariants. A suspicion ends by itself after SUSPICION_LIFETIME, in which
-** the list would have proved the end, and at once when that life of the
-** endpoint answers anything: so a faulty endpoint that breaks answers off, and
-** goes on to answer, leaves none. It never becomes a strike
-** (router/quarantine.h): it defers a request, and quarantines none.
+** Invariants:
+** 1. A suspicion ends by itself after SUSPICION_LIFETIME, within which the
+**    list would have proved the end.
+** 2. It ends at once when that life of the endpoint answers anything. So an
+**    endpoint that breaks answers off because of a fault, and goes on to
+**    answer, leaves no suspicion here.
+** 3. It never becomes a strike (router/quarantine.h): a suspicion can defer a
+**    request and can't quarantine one.
+**
+** A Router owns one Suspicions, which suspects.c uses. A request is identified
+** by the digest of its content and client account, a life by Endpoint.hash.
+** Times are in microseconds of this instance's steady clock.
 */
 
 #ifndef ROUTER_SUSPICIONS_H
@@ -18,34 +26,41 @@
 
 #include "madderpier.h"
 
-/* the list drops an endpoint that ended after three of its heartbeats, 3.6 s
-** with the platform's, and hands that on */
+/* counted from the time when the run broke off. The list drops an endpoint
+** three heartbeats after its end, 3.6 s with the platform's heartbeat, and
+** that has to reach this instance. */
 #define SUSPICION_LIFETIME (4500 * MP_MS)
 
 typedef struct Suspicions Suspicions;
 
+/* The caller frees the result with suspicions_free. */
 Suspicions *suspicions_new(void);
 void suspicions_free(Suspicions *suspicions);
 
-/* a run of this content broke off at this life, here; TRUE: that is new */
+/* A run of this request broke off here, at this life of an endpoint. Returns
+** TRUE if that is not suspected already. */
 gboolean suspicions_add(Suspicions *suspicions, guint64 content, guint32 life,
                         gint64 now);
-/* that life has answered something: it has not ended */
+/* This life has answered something, so it has not ended: removes its
+** suspicions, except for those so new that the answer may have been sent
+** before an end. */
 void suspicions_clear_life(Suspicions *suspicions, guint32 life, gint64 now);
-/* suspected ends that stand against this content, but for those that
-** 'is_known' says are proved; '*until' is when the last of them is over */
+/* Returns how many suspected ends stand against the request, without those for
+** which 'is_proved' returns TRUE, because they are proved. Stores in '*until'
+** when the last of them expires, or 0 if there are none. */
 guint suspicions_count(const Suspicions *suspicions, guint64 content,
-                       gboolean (*is_known)(void *data, guint64 content,
-                                            guint32 life),
+                       gboolean (*is_proved)(void *data, guint64 content,
+                                             guint32 life),
                        void *data, gint64 *until, gint64 now);
 
-/* those to tell the other instances: this one's own, or 'all' */
-void suspicions_write(const Suspicions *suspicions, gboolean all,
+/* Writes suspicions for other instances, the newest first: this instance's
+** own, or with 'with_received' those that it received too. */
+void suspicions_write(const Suspicions *suspicions, gboolean with_received,
                       mp_CrashNews *out, gint64 now);
-/* another instance suspects these; TRUE: something was new */
+/* Adds what another instance suspects. Returns TRUE if some of it was new. */
 gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashNews *news,
                             gint64 now);
-/* forget what is over */
+/* Removes the suspicions that have expired. */
 void suspicions_expire(Suspicions *suspicions, gint64 now);
 
 #endif
