--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -378,7 +378,7 @@
   'return strike_count(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
 m q-tell "hold: instances tell each other" router/quarantine.c \
   'if (now - row->learned_at >= NEWS_REPEAT_TIME ||
-        !(all || has_own_strike(row)))' 'if (TRUE)'
+        !(with_received || has_own_strike(row)))' 'if (TRUE)'
 m q-door "hold: a held request is not sent" router/suspects.c \
   'if (until == 0)
     return TRUE;' 'return TRUE;'
@@ -630,7 +630,7 @@
   'return quarantine_has_strike(quarantine, content, life);' \
   'return FALSE;'
 m s-life "suspicions: they end by themselves" router/suspicions.c \
-  'return now - one->at >= SUSPICION_LIFETIME;' \
+  'return now - suspicion->broken_at >= SUSPICION_LIFETIME;' \
   'return FALSE;'
 if [ -n "$stale_only" ]; then
   python3 - "$dir/rows" <<'P'
