--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -26,7 +26,7 @@
 ** 4. A strike that an operator has lifted, or a good run has taken off, does
 **    not come back when an instance reports it late.
 **
-** A Router owns one Quarantine: suspects.c uses it, and io/quarantine_writer.c
+** A Router owns one Quarantine. suspects.c uses it, and io/quarantine_writer.c
 ** writes what quarantine_next_save returns to the store. Times are in
 ** microseconds of this instance's steady clock unless a name says otherwise.
 */
--- a/router/rates.c
+++ b/router/rates.c
@@ -5,8 +5,8 @@
 **
 ** Invariant: each dispatch that sends an endpoint a request of any kind (all
 ** but checks) is counted there in dispatcher.c, and a reservation at a decode
-** engine counts like the run until the run itself is sent (prefill.c). None of
-** a caller's requests is sent that the endpoint's rate does not allow
+** engine counts like the run until the run itself is sent (prefill.c). No run
+** or prefill is sent to an endpoint whose rate does not allow it
 ** (gate_ask_limits).
 */
 
@@ -208,11 +208,11 @@
   news->n = n;
 }
 
-void router_hear_rates(Router *router, mp_Addr peer, const mp_RateNews *told,
-                       gint64 now) {
+void router_hear_rates(Router *router, mp_Addr peer,
+                       const mp_RateNews *message, gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
-  mp_RateNews news = *told;
+  mp_RateNews news = *message;
   unsigned i;
   keep_listed(router, &news, before);
   rate_limits_receive(router->rates, peer, &news, &sharers, now);
