--- a/io/directory.h
+++ b/io/directory.h
@@ -31,8 +31,8 @@
   mp_Addr store;
   const mp_Addr *seeds; /* instances to ask while there is no store */
   unsigned seeds_count;
-  gint64 watch_wait;   /* longest wait of one watch */
-  gint64 proof_within; /* of the configuration; as in NewsSource */
+  gint64 watch_wait;     /* longest wait of one watch */
+  gint64 proof_wait_max; /* of the configuration; as in NewsSource */
 } DirectoryOptions;
 
 typedef struct DirectoryHooks {
--- a/io/following.h
+++ b/io/following.h
@@ -17,9 +17,9 @@
 
 typedef struct FollowingOptions {
   StoreKind kind;
-  gint64 watch_wait;   /* longest wait of one watch */
-  gint64 pause;        /* after news */
-  gint64 proof_within; /* as in NewsSource */
+  gint64 watch_wait;     /* longest wait of one watch */
+  gint64 pause;          /* after news */
+  gint64 proof_wait_max; /* as in NewsSource */
   mp_Addr store;
   const mp_Addr *seeds; /* asked when the store is away at a start; they
                         ** outlive the Following */
--- a/io/relays.c
+++ b/io/relays.c
@@ -44,8 +44,8 @@
 
 static void start_timer(Relays *relays) {
   gint64 now = clock_now();
-  gint64 wait =
-      CLAMP(relay_group_next(relays->group, now) - now, MP_MS, RELAY_BEAT);
+  gint64 wait = CLAMP(relay_group_next_check(relays->group, now) - now, MP_MS,
+                      RELAY_HEARTBEAT_INTERVAL);
   struct timeval time = {wait / MP_SEC, wait % MP_SEC};
   event_add(relays->timer, &time);
 }
@@ -78,14 +78,14 @@
 
 /* to the relays of the other data centres */
 static void send_far(Relays *relays, const mp_Msg *message, gint64 now) {
-  GArray *far = relay_group_far(relays->group, now);
+  GArray *far = relay_group_remote_targets(relays->group, now);
   send_to_all(relays, far, message);
   g_array_free(far, TRUE);
 }
 
 /* does this instance tell others what its data centre does? */
 static gboolean is_teller(const Relays *relays, gint64 now) {
-  return relays->summing && relay_group_is_first(relays->group, now);
+  return relays->summing && relay_group_is_first_relay(relays->group, now);
 }
 
 static void send_beats(Relays *relays, gint64 now) {
@@ -125,7 +125,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
-  router_tell_crashes(relays->router, TRUE, &message.u.crashes, now);
+  router_report_crashes(relays->router, TRUE, &message.u.crashes, now);
   if (message.u.crashes.n == 0 && message.u.crashes.suspected_n == 0)
     return;
   send_far(relays, &message, now);
@@ -143,7 +143,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RATES;
-  router_tell_rates(relays->router, TRUE, &message.u.rates, now);
+  router_report_rates(relays->router, TRUE, &message.u.rates, now);
   if (message.u.rates.n == 0)
     return;
   relays->rates_at = now;
@@ -171,7 +171,7 @@
 /* an instance that knows nothing yet does not wait to be found */
 static void ask(Relays *relays) {
   mp_Addr asked[ASKED];
-  unsigned count = relay_group_ask(relays->group, asked, ASKED);
+  unsigned count = relay_group_first_members(relays->group, asked, ASKED);
   ask_all(relays, asked, count);
 }
 
@@ -179,7 +179,7 @@
 static void ask_clocks(Relays *relays, gint64 now) {
   mp_Addr asked[CLOCKS_AT_ONCE];
   unsigned count =
-      relay_group_unbounded(relays->group, now, asked, CLOCKS_AT_ONCE);
+      relay_group_clocks_to_bound(relays->group, now, asked, CLOCKS_AT_ONCE);
   ask_all(relays, asked, count);
 }
 
@@ -189,7 +189,7 @@
   if (role == relays->role)
     return;
   relays->role = role;
-  before = relay_group_before(relays->group, now);
+  before = relay_group_relays_before(relays->group, now);
   log_numbered(relays->log, MP_LOG_RELAY_ROLE,
                " role=%s members=%u relays_heard=%u relays_fresh=%u age_ms=%d",
                relay_role_name(role), relay_group_members(relays->group)->len,
@@ -226,10 +226,10 @@
 void relays_loads(Relays *relays) {
   gint64 now = clock_now();
   if (!relays->summing || now - relays->summary_at < SUMMARY_LEAST ||
-      !relay_group_is_first(relays->group, now))
+      !relay_group_is_first_relay(relays->group, now))
     return;
   if (router_urgent_set(relays->router, now) != relays->urgent ||
-      router_limits_untold(relays->router) > UNTOLD_MOST)
+      router_limits_unreported(relays->router) > UNTOLD_MOST)
     send_summary(relays, now);
 }
 
@@ -243,11 +243,11 @@
 
 static void take_beat(Relays *relays, mp_Addr from, const mp_Msg *message,
                       gint64 now) {
-  relay_group_hear(relays->group, from, &message->u.beat, now);
+  relay_group_receive_heartbeat(relays->group, from, &message->u.beat, now);
   router_configuration_proved(relays->router,
                               relay_group_proof(relays->group)->at);
-  router_news_heard(relays->router,
-                    now - relay_group_news_age(relays->group, now));
+  router_store_answered(relays->router,
+                        now - relay_group_news_age(relays->group, now));
   take_role(relays, now);
   directory_look(relays->directory);
 }
@@ -269,7 +269,7 @@
     return;
   router_zone_load(relays->router, message->seq, &message->u.summary, now);
   if (from == message->u.summary.relay &&
-      relay_group_is_first(relays->group, now))
+      relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
@@ -279,8 +279,8 @@
   const mp_RateNews *news = &message->u.rates;
   if (news->zone == relays->zone)
     return;
-  router_hear_rates(relays->router, from, news, now);
-  if (from == news->relay && relay_group_is_first(relays->group, now))
+  router_receive_rates(relays->router, from, news, now);
+  if (from == news->relay && relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -5,7 +5,8 @@
 **
 ** Invariant: no dispatch of a request with a key leaves unless the newest
 ** configuration known here has the key, and was certainly the newest one at
-** most RouterOptions.revoke_bound ago (router/config_proof.h). A revoke_bound
+** most RouterOptions.proof_age_max ago (router/config_proof.h). A
+*proof_age_max
 ** of 0 sets no bound.
 */
 
@@ -19,8 +20,8 @@
 #define OLD_CONFIGURATION_RETRY_AFTER_MS 300
 
 static gboolean is_configuration_too_old(const Router *router, gint64 now) {
-  return router->revoke_bound > 0 &&
-         now - router->proved_at > router->revoke_bound;
+  return router->proof_age_max > 0 &&
+         now - router->proved_at > router->proof_age_max;
 }
 
 gint64 accounts_configuration_age(const Router *router, gint64 now) {
@@ -91,12 +92,12 @@
   }
   if (call->keys == 1) {
     mp_digest(call->key, strlen(call->key), digest);
-    account = route_table_account(router->routes, digest);
+    account = route_table_find_account(router->routes, digest);
   }
   if (account != NULL)
     return account;
   refusal->kind = REFUSAL_KEY;
-  if (call->keys == 1 && router_lacks_news(router, now))
+  if (call->keys == 1 && router_may_be_outdated(router, now))
     refuse_for_old_configuration(router, refusal);
   else
     router_count(router, REFUSED_KEY);
@@ -116,8 +117,8 @@
   return FALSE;
 }
 
-void accounts_set(Request *request, const CallerRequest *call,
-                  const Account *account) {
+void accounts_attach(Request *request, const CallerRequest *call,
+                     const Account *account) {
   if (account == NULL)
     return;
   request->account = account;
@@ -136,10 +137,10 @@
   *why = REFUSAL_KEY;
   return request->table == router->routes ||
          router->routes->accounts == NULL ||
-         route_table_account(router->routes, request->key_digest) != NULL;
+         route_table_find_account(router->routes, request->key_digest) != NULL;
 }
 
-void accounts_return(Router *router, const Request *request) {
+void accounts_refund(Router *router, const Request *request) {
   if (request->account != NULL)
     account_limits_refund(router->limits, request->account->name,
                           request->cost);
--- a/router/crash_watch.c
+++ b/router/crash_watch.c
@@ -149,7 +149,7 @@
 void crash_watch_run_broken(CrashWatch *watch, const Endpoint *endpoint,
                             const QuarantineSuspect *suspect, gint64 now) {
   WatchedLife *watched;
-  if (endpoint_leaves(endpoint))
+  if (endpoint_is_leaving(endpoint))
     return; /* the endpoint ends by plan, so no request is to blame */
   watched = get_or_add_life(watch, endpoint);
   watched->broken_at = now;
--- a/router/rates.c
+++ b/router/rates.c
@@ -7,7 +7,7 @@
 ** but checks) is counted there in dispatcher.c, and a reservation at a decode
 ** engine counts like the run until the run itself is sent (prefill.c). No run
 ** or prefill is sent to an endpoint whose rate does not allow it
-** (gate_ask_limits).
+** (gate_check_limits).
 */
 
 #include <string.h>
@@ -63,7 +63,8 @@
              " endpoint=%s rate=%.3f before=%.3f said_by=%s age_ms=%u "
              "heard=%u instances=%u open=%u",
              endpoint->record.id, rate, before, said_by, age_ms, sharers.heard,
-             sharers.instances, endpoint_open(router->endpoints, endpoint));
+             sharers.instances,
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 static void log_unreadable(Router *router, const Endpoint *endpoint) {
@@ -71,8 +72,8 @@
   router_log(router, MP_LOG_EP_RATE_BAD, " endpoint=%s", endpoint->record.id);
 }
 
-void rates_signalled(Router *router, const Endpoint *endpoint,
-                     const EndpointSignals *signals, gint64 now) {
+void rates_apply_signal(Router *router, const Endpoint *endpoint,
+                        const EndpointSignals *signals, gint64 now) {
   gboolean given = signals->rate == SIGNAL_GIVEN;
   double named = given ? signals->rate_per_second : RATE_UNLIMITED;
   double before;
@@ -110,8 +111,8 @@
                                  const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
-  double arrivals = retry_budget_others(router_budget(router, service->name),
-                                        &router->retry, now);
+  double arrivals = retry_budget_others_rate(
+      router_retry_budget(router, service->name), &router->retry, now);
   double expected = arrivals * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
     expected += peer_loads_waiting_requests(peers);
@@ -163,10 +164,10 @@
 GateLimits rates_limits(Router *router, const Service *service, gint64 now) {
   GateLimits limits = {0};
   if (is_connection_limit_near(router, service))
-    limits.most_connections = service->max_connections;
+    limits.connections_max = service->max_connections;
   if (rate_limits_count(router->rates) > 0)
     limits.rates = router->rates;
-  if (limits.most_connections == 0 && limits.rates == NULL)
+  if (limits.connections_max == 0 && limits.rates == NULL)
     return limits;
   limits.sharers = rates_sharers(router, service, now);
   limits.seed = router->seed;
@@ -185,8 +186,8 @@
   return rate_limits_version(router->rates);
 }
 
-void router_tell_rates(const Router *router, gboolean sums, mp_RateNews *out,
-                       gint64 now) {
+void router_report_rates(const Router *router, gboolean sums, mp_RateNews *out,
+                         gint64 now) {
   if (sums)
     rate_limits_write_summary(router->rates, out, now);
   else
@@ -208,8 +209,8 @@
   news->n = n;
 }
 
-void router_hear_rates(Router *router, mp_Addr peer,
-                       const mp_RateNews *message, gint64 now) {
+void router_receive_rates(Router *router, mp_Addr peer,
+                          const mp_RateNews *message, gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
   mp_RateNews news = *message;
@@ -219,7 +220,7 @@
   for (i = 0; i < news.n; i++)
     log_change(router, find_listed(router, news.row[i].endpoint), before[i],
                "instance", news.row[i].age_ms, now);
-  admission_run(router, now);
+  admission_start_waiting(router, now);
 }
 
 /* }================================================================== */
--- a/router/signals.c
+++ b/router/signals.c
@@ -22,13 +22,13 @@
   router_log(router, MP_LOG_EP_SAYS_LEAVING,
              " endpoint=%s said_by=%s listed=%s open=%u", endpoint->record.id,
              said_by, endpoint->record.ready ? "ready" : "draining",
-             endpoint_open(router->endpoints, endpoint));
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 /* Returns TRUE if it was not known yet that the endpoint is leaving. */
 static gboolean mark_leaving(Router *router, Endpoint *endpoint,
                              const char *said_by, gint64 now) {
-  if (!availability_leave(&endpoint->availability, now))
+  if (!availability_set_leaving(&endpoint->availability, now))
     return FALSE;
   log_leaving(router, endpoint, said_by);
   return TRUE;
@@ -38,13 +38,13 @@
 static void start_rest(Router *router, Endpoint *endpoint, gint64 time,
                        gint64 now) {
   Availability *known = &endpoint->availability;
-  if (!availability_rest(known, time, now))
+  if (!availability_extend_rest(known, time, now))
     return;
   router_log(router, MP_LOG_EP_REST,
              " endpoint=%s asked_ms=%d rest_ms=%d open=%u",
-             endpoint->record.id, (int)(MIN(time, REST_MOST) / MP_MS),
-             (int)(availability_rest_left(known, now) / MP_MS),
-             endpoint_open(router->endpoints, endpoint));
+             endpoint->record.id, (int)(MIN(time, REST_DURATION_MAX) / MP_MS),
+             (int)(availability_rest_remaining(known, now) / MP_MS),
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 /* Counts unreadable signals, and logs the first one in a life of the endpoint,
@@ -82,7 +82,8 @@
 
 void router_endpoint_signals(Router *router, const char *id, guint32 life,
                              const EndpointSignals *signals, gint64 now) {
-  Endpoint *endpoint = endpoint_table_get_life(router->endpoints, id, life);
+  Endpoint *endpoint =
+      endpoint_table_get_incarnation(router->endpoints, id, life);
   if (endpoint == NULL)
     return; /* the answer comes from a life of the endpoint that has ended */
   if (signals->leaving == SIGNAL_GIVEN &&
@@ -95,7 +96,7 @@
     report_unreadable(router, endpoint, signals);
   if (signals->unknown != NULL)
     report_unknown_field(router, endpoint, signals->unknown);
-  rates_signalled(router, endpoint, signals, now);
+  rates_apply_signal(router, endpoint, signals, now);
 }
 
 /*
@@ -117,7 +118,7 @@
 */
 static gboolean must_report_leaving(const Endpoint *endpoint) {
   return endpoint->availability.leaving_since != 0 && endpoint->record.ready &&
-         endpoint->record.born_unix_ms != 0;
+         endpoint->record.started_unix_ms != 0;
 }
 
 static guint count_to_report(const Router *router) {
@@ -129,7 +130,8 @@
   return count;
 }
 
-void signals_write(const Router *router, mp_LoadDigest *out, gint64 now) {
+void signals_write_digest(const Router *router, mp_LoadDigest *out,
+                          gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint count = count_to_report(router);
   guint first = 0;
@@ -157,12 +159,13 @@
   return FALSE;
 }
 
-void signals_hear(Router *router, const mp_LoadDigest *digest, gint64 now) {
+void signals_read_digest(Router *router, const mp_LoadDigest *digest,
+                         gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint i;
   for (i = 0; digest->leaving_count > 0 && i < all->len; i++) {
     Endpoint *endpoint = all->pdata[i];
-    if (endpoint->record.born_unix_ms != 0 &&
+    if (endpoint->record.started_unix_ms != 0 &&
         names_as_leaving(digest, endpoint->hash))
       mark_leaving(router, endpoint, "instance", now);
   }
@@ -186,7 +189,7 @@
   guint i;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    count += availability_rest_left(&endpoint->availability, now) > 0;
+    count += availability_rest_remaining(&endpoint->availability, now) > 0;
   }
   return count;
 }
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -3,7 +3,8 @@
 ** Requests under which endpoints end: holds or defers them
 **
 ** A request is held by the quarantine (router/quarantine.h) and deferred by
-** strikes and suspicions together (router/suspicions.h). suspects_may_send is
+** strikes and suspicions together (router/suspicions.h). suspects_may_dispatch
+*is
 ** asked before every dispatch for a caller, so a request that becomes held
 ** while it waits or while its prompt is read is not sent either.
 */
@@ -36,8 +37,8 @@
   return strikes + suspected >= QUARANTINE_HOLD_STRIKES ? until : 0;
 }
 
-gboolean suspects_may_send(Router *router, Request *request, RefusalKind *why,
-                           gint64 now) {
+gboolean suspects_may_dispatch(Router *router, Request *request,
+                               RefusalKind *why, gint64 now) {
   gint64 until =
       quarantine_held_until(router->quarantine, request->content, now);
   *why = REFUSAL_HELD;
@@ -70,11 +71,11 @@
   return NULL;
 }
 
-void suspects_sweep(Router *router, gint64 now) {
+void suspects_refuse_held(Router *router, gint64 now) {
   Request *request;
   RefusalKind why = REFUSAL_HELD;
   while ((request = find_held_waiting(router, now)) != NULL) {
-    suspects_may_send(router, request, &why, now);
+    suspects_may_dispatch(router, request, &why, now);
     finish_forbidden(router, request, why, now);
   }
 }
@@ -94,28 +95,28 @@
              content, strikes, from, seconds);
 }
 
-void suspects_broken(Router *router, const Request *request,
-                     const Endpoint *endpoint, gint64 now) {
+void suspects_note_broken(Router *router, const Request *request,
+                          const Endpoint *endpoint, gint64 now) {
   QuarantineSuspect suspect = {request->content, request->id,
                                request->route->name, NULL};
   if (request->account != NULL)
     suspect.account = request->account->name;
-  if (!endpoint_leaves(endpoint))
+  if (!endpoint_is_leaving(endpoint))
     suspicions_add(router->suspicions, request->content, endpoint->hash, now);
   crash_watch_run_broken(router->crashes, endpoint, &suspect, now);
 }
 
-void suspects_strike(Router *router, const QuarantineSuspect *suspect,
-                     guint32 life, gint64 now) {
+void suspects_add_strike(Router *router, const QuarantineSuspect *suspect,
+                         guint32 life, gint64 now) {
   if (quarantine_add_strike(router->quarantine, suspect, life, now))
     log_held(router, suspect->content, "here", now);
 }
 
-void suspects_answered(Router *router, const Request *request, gint64 now) {
+void suspects_note_answer(Router *router, const Request *request, gint64 now) {
   suspicions_clear_life(router->suspicions, request->open.life, now);
 }
 
-void suspects_succeeded(Router *router, const Request *request) {
+void suspects_note_success(Router *router, const Request *request) {
   quarantine_run_succeeded(router->quarantine, request->content);
 }
 
@@ -134,8 +135,8 @@
     out->crashes[i] = row->crash[i];
 }
 
-gboolean router_hear_crashes(Router *router, const mp_CrashNews *news,
-                             gint64 now) {
+gboolean router_receive_crashes(Router *router, const mp_CrashNews *news,
+                                gint64 now) {
   gboolean is_new = FALSE;
   unsigned i;
   for (i = 0; i < news->n; i++) {
@@ -148,12 +149,12 @@
   }
   is_new |= suspicions_receive(router->suspicions, news, now);
   if (is_new)
-    suspects_sweep(router, now);
+    suspects_refuse_held(router, now);
   return is_new;
 }
 
-void router_tell_crashes(const Router *router, gboolean all, mp_CrashNews *out,
-                         gint64 now) {
+void router_report_crashes(const Router *router, gboolean all,
+                           mp_CrashNews *out, gint64 now) {
   quarantine_write_news(router->quarantine, all, out, now);
   suspicions_write(router->suspicions, all, out, now);
 }
@@ -162,15 +163,15 @@
   return quarantine_version(router->quarantine);
 }
 
-void router_take_quarantine(Router *router, const QuarantineRecord *record,
-                            StorePosition position, gint64 now) {
+void router_apply_quarantine(Router *router, const QuarantineRecord *record,
+                             StorePosition position, gint64 now) {
   if (!quarantine_merge_stored(router->quarantine, record, position, now))
     return;
   log_held(router, record->content, "store", now);
-  suspects_sweep(router, now);
+  suspects_refuse_held(router, now);
 }
 
-void router_lift_quarantine(Router *router, guint64 content, gint64 now) {
+void router_remove_quarantine(Router *router, guint64 content, gint64 now) {
   if (is_held_or_deferred(router, content, now))
     router_log(router, MP_LOG_REQUEST_LIFTED,
                " content=%016" G_GINT64_MODIFIER "x", content);
--- a/test/rate_fleet.h
+++ b/test/rate_fleet.h
@@ -86,7 +86,7 @@
   gint64 rest_work = 0; /* time that it takes to turn one away */
   std::vector<Told> leavings{}, rests{};
   /* of all instances; the most at once, and those that it reset */
-  unsigned connections = 0, most_connections = 0, resets = 0;
+  unsigned connections = 0, connections_max = 0, resets = 0;
 };
 
 class Fleet {
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -277,11 +277,11 @@
 }
 
 TEST_F(RateWorld, ALaterLifeHasNone) {
-  world.born_unix_ms = 1000;
+  world.started_unix_ms = 1000;
   world.populate();
   std::string limited = served("/safe/x", 1);
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({limited.c_str(), "app", "a", STAGE_NONE});
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
 }
@@ -305,15 +305,15 @@
   served("/stream/x", 50);
   world.advance(5 * second);
   mp_RateNews before = {};
-  router_tell_rates(world.router, FALSE, &before, world.now);
+  router_report_rates(world.router, FALSE, &before, world.now);
   world.request("/stream/x");
   ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
   mp_RateNews reserved = {};
-  router_tell_rates(world.router, FALSE, &reserved, world.now);
+  router_report_rates(world.router, FALSE, &reserved, world.now);
   world.prefilled(world.last().number);
   ASSERT_EQ(world.last().kind, DISPATCH_RUN);
   mp_RateNews sent = {};
-  router_tell_rates(world.router, FALSE, &sent, world.now);
+  router_report_rates(world.router, FALSE, &sent, world.now);
   auto sum = [](const mp_RateNews &news) {
     guint32 all = 0;
     for (unsigned i = 0; i < news.n; i++)
