--- a/router/gate.c
+++ b/router/gate.c
@@ -65,8 +65,9 @@
     return TRUE;
   remaining = OPEN_NEW_SHARE * limits->connections_max -
               endpoint_connections(table, endpoint);
-  return remaining > 0 && draw_fraction(endpoint, limits, now) <
-                              remaining / (1 + limits->sharers.rivals);
+  return remaining > 0 &&
+         draw_fraction(endpoint, limits, now) <
+             remaining / (1 + limits->sharers.competing_requests);
 }
 
 GateVerdict gate_check_limits(const EndpointTable *table,
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -308,8 +308,8 @@
 m n-pause "news: a store that does not answer delays no relay's" \
   router/news_source.c '(source->follower.failures == 0 ||' '(TRUE ||'
 m s-far "summaries: other data centres' loads are not summed twice" \
-  router/peer_loads.c 'if (peer->zone != 0 || now - peer->heard' \
-  'if (now - peer->heard'
+  router/peer_loads.c 'if (peer->zone != 0 || now - peer->received_at' \
+  'if (now - peer->received_at'
 m s-other "summaries: one relay of a data centre counts" router/peer_loads.c \
   'if (peer == kept || peer->zone != kept->zone)' 'if (TRUE)'
 m s-first "summaries: a relay's first totals are no spending" \
@@ -346,10 +346,10 @@
 m l-cut "limits: scaled by the share heard" router/shared_totals.c \
   'return MIN((double)sharers->heard / sharers->instances, 1.0);' 'return 1;'
 m l-kill "limits: a young instance does not know the level" \
-  router/account_limits.c 'limit->is_unknown = is_young(limits, now);' \
+  router/account_limits.c 'limit->is_unknown = is_in_first_window(limits, now);' \
   'limit->is_unknown = FALSE;'
 m l-silent "limits: what was spent out of reach is not charged" \
-  router/shared_totals.c 'if (!known || peer->was_silent)' 'if (!known)'
+  router/shared_totals.c 'if (!is_known || peer->was_silent)' 'if (!is_known)'
 m l-small "limits: small requests pass first" router/account_limits.c \
   'if (cost <= SMALL_REQUEST_SHARE * limit->burst)' 'if (FALSE)'
 m k-large "relays: the largest machines" router/relay_group.c \
@@ -372,17 +372,18 @@
   'if (find_strike(row, crash) != NULL || !make_room(row))' \
   'if (!make_room(row))'
 m q-off "hold: a good run takes a strike off" router/quarantine.c \
-  'row->strikes[i].off = TRUE;
-  if (count_of(row) == 0)' 'if (count_of(row) == 0)'
+  'row->strikes[i].is_off = TRUE;
+  if (strike_count(row) == 0)' 'if (strike_count(row) == 0)'
 m q-last "hold: three runs are tried at most" router/quarantine.c \
   'if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
   for' 'for'
 m q-store "hold: what instances know is kept in the store" \
   router/quarantine.c \
-  'return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
+  'return strike_count(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
 m q-tell "hold: instances tell each other" router/quarantine.c \
-  'if (now - row->learned >= NEWS_REPEAT_TIME || !(all || has_own_strike(row)))' 'if (TRUE)'
+  'if (now - row->learned_at >= NEWS_REPEAT_TIME ||
+        !(with_received || has_own_strike(row)))' 'if (TRUE)'
 m q-door "hold: a held request is not sent" router/suspects.c \
   'if (until == 0)
     return TRUE;' 'return TRUE;'
@@ -441,19 +442,19 @@
 m o-beat "input: a heartbeat's clock is bounded" wire/rpc.c \
   '*v <= INT64_MAX / 2' 'TRUE'
 m r-peers "rates: what peers send is taken off" router/rate_limits.c \
-  'limit->bucket.level -= more;' \
-  '(void)more;'
+  'limit->bucket.level -= increase;' \
+  '(void)increase;'
 m r-share "rates: the share is of those heard" router/rate_limits.c \
-  'double rate = rate_of(limit) * share;' \
-  'double rate = rate_of(limit);'
+  'double rate = effective_rate(limit) * share;' \
+  'double rate = effective_rate(limit);'
 m r-rivals "rates: what is on its way is met by a chance" router/rate_limits.c \
-  'limit->bucket.level / (1 + sharers->rivals)' \
+  'limit->bucket.level / (1 + sharers->competing_requests)' \
   'limit->bucket.level'
 m r-newest "rates: the newest answer is right" router/rate_limits.c \
-  'return newer < 0 ||' \
+  'return newer_by < 0 ||' \
   'return FALSE ||'
 m r-over "rates: one answer among others ends none" router/rate_limits.c \
-  'newer < RATE_END_DELAY' \
+  'newer_by < RATE_END_DELAY' \
   FALSE
 m r-least "rates: none holds for good" router/rate_limits.c \
   'MAX(limit->rate, RATE_MIN)' \
@@ -465,11 +466,11 @@
   'share + BURST_SECONDS * rate' \
   '60 * rate'
 m r-unused "rates: what is returned is not told twice" router/rate_limits.c \
-  'limit->unused++;' \
+  'limit->refunded++;' \
   ''
 m r-sums "rates: sums hold those heard alone" router/rate_limits.c \
-  'limit->near += news->zone == 0 ? more : 0;' \
-  'limit->near += more;'
+  'limit->peers_sent += news->zone == 0 ? increase : 0;' \
+  'limit->peers_sent += increase;'
 m r-told "rates: that one is over is told for a while" router/rate_limits.c \
   'age > RATE_END_REPORT_TIME' \
   TRUE
@@ -481,7 +482,8 @@
       rate_limits_refund(router->rates, endpoint->hash);' \
   ''
 m r-reserve "rates: a place is counted when it is reserved" router/prefill.c \
-  'request->is_decode_counted = rate_limits_count_sent(router->rates, decode->hash);' \
+  'request->is_decode_counted =
+      rate_limits_count_sent(router->rates, decode->hash);' \
   'request->is_decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
   'router->shortage_recheck_at = now + RECHECK_INTERVAL;' \
@@ -507,7 +509,7 @@
   'http_head_count(head, "Server-Limit") == 1' \
   TRUE
 m t-sweep "totals: silent peers are forgotten" router/shared_totals.c \
-  '    sweep(totals, now);' \
+  '    remove_silent_peers(totals, now);' \
   ''
 m b-resume "lists: reading goes on behind a broken item" platform/store.c \
   'return read_sound_list(answer, out) || read_broken_list(answer, out);' \
@@ -634,7 +636,7 @@
   'return quarantine_has_strike(quarantine, content, life);' \
   'return FALSE;'
 m s-life "suspicions: they end by themselves" router/suspicions.c \
-  'return now - one->at >= SUSPICION_LIFETIME;' \
+  'return now - suspicion->broken_at >= SUSPICION_LIFETIME;' \
   'return FALSE;'
 if [ -n "$stale_only" ]; then
   python3 - "$dir/rows" <<'P'
