--- a/io/directory.c
+++ b/io/directory.c
@@ -365,7 +365,7 @@
 
 static void begin_following(Directory *directory) {
   directory->is_started = TRUE;
-  following_look(directory->following[STORE_INSTANCES]);
+  following_poll(directory->following[STORE_INSTANCES]);
 }
 
 static void on_settle_timer(evutil_socket_t fd, short what, void *data) {
@@ -484,7 +484,7 @@
   directory->settle_timer = evtimer_new(base, on_settle_timer, directory);
   follow_all(directory, options);
   enter(directory);
-  directory_look(directory);
+  directory_poll(directory);
   return directory;
 }
 
@@ -513,25 +513,25 @@
   start_timer(directory->register_timer, wait);
 }
 
-void directory_look(Directory *directory) {
+void directory_poll(Directory *directory) {
   int kind;
   router_observe_era(directory->router, relay_group_era(directory->group),
                      clock_now());
   look_at_entry(directory);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     if (kind != STORE_INSTANCES || directory->is_started)
-      following_look(directory->following[kind]);
+      following_poll(directory->following[kind]);
   }
 }
 
-void directory_answer(const Directory *directory, const NewsQuery *query,
-                      StoreReply *out) {
+void directory_answer_query(const Directory *directory, const NewsQuery *query,
+                            StoreReply *out) {
   follower_answer(following_follower(directory->following[query->kind]),
                   &query->asked, out);
 }
 
-void directory_changed(const Directory *directory,
-                       StorePosition changed[MP_RELAY_KINDS]) {
+void directory_newest_changes(const Directory *directory,
+                              StorePosition changed[MP_RELAY_KINDS]) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     changed[kind] = following_follower(directory->following[kind])->changed;
@@ -541,7 +541,7 @@
   return follower_is_synced(following_follower(directory->following[kind]));
 }
 
-gboolean directory_knows(const Directory *directory) {
+gboolean directory_is_loaded(const Directory *directory) {
   return knows(directory, STORE_CONFIGURATION) &&
          knows(directory, STORE_ENDPOINTS);
 }
@@ -553,8 +553,9 @@
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
                               RecordField field) {
   guint64 unreadable_names =
-      field == RECORD_NAME ? following_nameless(directory->following[kind])
-                           : 0;
+      field == RECORD_NAME
+          ? following_nameless_objects(directory->following[kind])
+          : 0;
   return directory->bad_objects[kind][field] + unreadable_names;
 }
 
@@ -566,10 +567,10 @@
   return calls;
 }
 
-guint64 directory_store_calls_left(const Directory *directory) {
+guint64 directory_abandoned_store_calls(const Directory *directory) {
   guint64 calls = 0;
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
-    calls += following_calls_left(directory->following[kind]);
+    calls += following_abandoned_calls(directory->following[kind]);
   return calls;
 }
--- a/io/following.c
+++ b/io/following.c
@@ -16,7 +16,7 @@
   StoreLink *instance; /* a relay, or a seed */
   struct event *timer;
   gint64 asked_at;    /* the open call's, or the last one's */
-  guint64 calls_left; /* as following_calls_left */
+  guint64 calls_left; /* as following_abandoned_calls */
   gboolean lag_told;  /* the log has a line that this instance lags */
   gint64 lagged_from; /* lag_told: since then */
   guint64 unreadable_names;
@@ -65,9 +65,9 @@
                (int)(news_state_lag(news, now) / MP_MS),
                following->source.at_store ? "store" : "instance",
                (int)((now - following->asked_at) / MP_MS),
-               store_link_received(following->source.at_store
-                                       ? following->store
-                                       : following->instance));
+               store_link_received_bytes(following->source.at_store
+                                             ? following->store
+                                             : following->instance));
 }
 
 static void leave_store(Following *following) {
@@ -81,17 +81,17 @@
                store_position_format(news->held, held),
                store_position_format(news->newest, newest),
                (int)((clock_now() - following->asked_at) / MP_MS),
-               store_link_received(following->store));
+               store_link_received_bytes(following->store));
   store_link_abandon(following->store);
   start_timer(following, 0);
 }
 
-void following_look(Following *following) {
+void following_poll(Following *following) {
   NewsAction wanted;
   note_lag(following);
-  if (store_link_heard_at(following->store) != 0)
+  if (store_link_received_at(following->store) != 0)
     news_source_progress(&following->source,
-                         store_link_heard_at(following->store));
+                         store_link_received_at(following->store));
   news_source_next(&following->source, clock_now(), &wanted);
   if (wanted.step == NEWS_ASK_STORE || wanted.step == NEWS_ASK_INSTANCE)
     following->asked_at = clock_now();
@@ -116,7 +116,7 @@
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  following_look(data);
+  following_poll(data);
 }
 
 static void note_overtaken(const Following *following,
@@ -241,11 +241,11 @@
   return &following->source.follower;
 }
 
-guint64 following_nameless(const Following *following) {
+guint64 following_nameless_objects(const Following *following) {
   return following->unreadable_names;
 }
 
-guint64 following_calls_left(const Following *following) {
+guint64 following_abandoned_calls(const Following *following) {
   return following->calls_left;
 }
 
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -62,8 +62,8 @@
 static void set_tick(Gateway *gateway) {
   gint64 wait = router_next_tick(gateway->router) - clock_now();
   struct timeval time;
-  load_exchange_notice(gateway->exchange);
-  quarantine_writer_look(gateway->quarantine);
+  load_exchange_send_changes(gateway->exchange);
+  quarantine_writer_poll(gateway->quarantine);
   wait = CLAMP(wait, 0, TICK_MOST);
   time.tv_sec = wait / MP_SEC;
   time.tv_usec = wait % MP_SEC;
@@ -98,20 +98,20 @@
 
 static void host_answer(void *data, guint64 request, const Outcome *outcome) {
   Gateway *gateway = data;
-  const EndpointAnswer *answer = outcome->payload;
+  const EndpointResponse *answer = outcome->payload;
   switch (outcome->kind) {
   case OUTCOME_STREAM_HEAD:
-    front_begin(gateway->front, request, answer->head);
+    front_begin_response(gateway->front, request, answer->head);
     break;
   case OUTCOME_STREAM_PIECE:
-    front_piece(gateway->front, request, answer->bytes, answer->size);
+    front_send_piece(gateway->front, request, answer->bytes, answer->size);
     break;
   case OUTCOME_STREAM_END:
-    front_end(gateway->front, request);
+    front_end_response(gateway->front, request);
     break;
   default:
-    front_answer(gateway->front, request, answer->head, answer->bytes,
-                 answer->size);
+    front_send_response(gateway->front, request, answer->head, answer->bytes,
+                        answer->size);
   }
 }
 
@@ -126,7 +126,7 @@
   if (!gateway->dialect->read_caller(caller, &read, NULL))
     return;
   head = gateway->dialect->write_refusal(refusal, read.request.id, &body);
-  front_answer(gateway->front, request, head, body, strlen(body));
+  front_send_response(gateway->front, request, head, body, strlen(body));
   caller_head_clear(&read);
   http_head_free(head);
   g_free(body);
@@ -134,7 +134,7 @@
 
 static void host_break_off(void *data, guint64 request) {
   Gateway *gateway = data;
-  front_break_off(gateway->front, request);
+  front_abort_response(gateway->front, request);
 }
 
 static void host_log(void *data, mp_EventNo number, const char *fields) {
@@ -144,7 +144,7 @@
 
 static void host_note(void *data, guint32 endpoint, guint32 tokens) {
   Gateway *gateway = data;
-  load_exchange_note(gateway->exchange, endpoint, tokens);
+  load_exchange_send_note(gateway->exchange, endpoint, tokens);
 }
 
 static void host_lease_call(void *data, const StoreCall *call) {
@@ -170,7 +170,7 @@
         gateway->dialect->write_bad_input(400, error->message, &body);
     log_numbered(gateway->log, MP_LOG_CALLER_BAD, " status=400 detail=\"%s\"",
                  error->message);
-    front_answer(gateway->front, number, refused, body, strlen(body));
+    front_send_response(gateway->front, number, refused, body, strlen(body));
     http_head_free(refused);
     g_free(body);
     g_error_free(error);
@@ -271,19 +271,19 @@
 static void on_relay_message(void *data, mp_Addr from, const mp_Msg *message) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_take(gateway->relays, from, message);
+    relays_receive(gateway->relays, from, message);
 }
 
 static void on_crashes(void *data) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_crashes(gateway->relays);
+    relays_on_crashes(gateway->relays);
 }
 
 static void on_rate_news(void *data) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_rates(gateway->relays);
+    relays_on_rates(gateway->relays);
 }
 
 static void on_digest(void *data) {
@@ -294,7 +294,7 @@
     endpoint_links_trim(gateway->links);
   }
   if (gateway->relays != NULL)
-    relays_loads(gateway->relays);
+    relays_on_loads(gateway->relays);
 }
 
 static void on_store_answer(void *data) {
@@ -304,12 +304,12 @@
   router_store_answered(gateway->router,
                         clock_now() -
                             relay_group_news_age(gateway->group, clock_now()));
-  relays_news(gateway->relays);
+  relays_on_news(gateway->relays);
 }
 
 static void on_configuration(void *data, RouteTable *table) {
   Gateway *gateway = data;
-  front_limits(gateway->front, &table->limits);
+  front_set_limits(gateway->front, &table->limits);
 }
 
 /* }================================================================== */
@@ -335,18 +335,19 @@
   return ready;
 }
 
-static CarrierCounts carrier_counts(const Gateway *gateway) {
-  CarrierCounts counts;
+static AdapterCounts carrier_counts(const Gateway *gateway) {
+  AdapterCounts counts;
   int kind;
   int field;
-  counts.endpoint_connections = endpoint_links_opened(gateway->links);
+  counts.endpoint_connections = endpoint_links_opened_count(gateway->links);
   counts.store_calls = directory_store_calls(gateway->directory) +
                        store_link_calls(gateway->leases) +
-                       quarantine_writer_calls(gateway->quarantine);
-  counts.store_calls_left = directory_store_calls_left(gateway->directory);
+                       quarantine_writer_store_calls(gateway->quarantine);
+  counts.abandoned_store_calls =
+      directory_abandoned_store_calls(gateway->directory);
   counts.log_lines_left_out = log_left_out(gateway->log);
   counts.log_lines_lost = log_lost(gateway->log);
-  counts.idle_endpoint_connections = endpoint_links_idle(gateway->links);
+  counts.idle_endpoint_connections = endpoint_links_idle_count(gateway->links);
   counts.news_role =
       relay_role_name(relay_group_role(gateway->group, clock_now()));
   counts.store_era = relay_group_era(gateway->group);
@@ -374,13 +375,13 @@
 
 static GString *ask_metrics(void *data) {
   const Gateway *gateway = data;
-  CarrierCounts counts = carrier_counts(gateway);
+  AdapterCounts counts = carrier_counts(gateway);
   return metrics_text(gateway->router, &counts);
 }
 
 static void ask_news(void *data, const NewsQuery *query, StoreReply *out) {
   const Gateway *gateway = data;
-  directory_answer(gateway->directory, query, out);
+  directory_answer_query(gateway->directory, query, out);
 }
 
 static gboolean make_status_server(Gateway *gateway,
@@ -433,7 +434,7 @@
   look_again(gateway);
 }
 
-gboolean gateway_drained(const Gateway *gateway) {
+gboolean gateway_is_drained(const Gateway *gateway) {
   return gateway->drained;
 }
 
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -50,6 +50,6 @@
 /* planned stop: the loop is broken once nothing is open */
 void gateway_drain(Gateway *gateway);
 /* the last drain left nothing open */
-gboolean gateway_drained(const Gateway *gateway);
+gboolean gateway_is_drained(const Gateway *gateway);
 
 #endif
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -60,8 +60,8 @@
   datagram_send(exchange->fd, to, bytes, size);
 }
 
-void load_exchange_note(LoadExchange *exchange, guint32 endpoint,
-                        guint32 tokens) {
+void load_exchange_send_note(LoadExchange *exchange, guint32 endpoint,
+                             guint32 tokens) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_LOAD_NOTE;
@@ -157,7 +157,7 @@
   return REFRESH;
 }
 
-void load_exchange_notice(LoadExchange *exchange) {
+void load_exchange_send_changes(LoadExchange *exchange) {
   gint64 sent_at = exchange->sent_at;
   gint64 wait;
   if (router_crash_version(exchange->router) != exchange->crashes_told)
@@ -241,7 +241,7 @@
       break;
     take(exchange, from, bytes, (size_t)size);
   }
-  load_exchange_notice(exchange); /* waiting requests may have started */
+  load_exchange_send_changes(exchange); /* waiting requests may have started */
 }
 
 LoadExchange *load_exchange_new(struct event_base *base, mp_Addr address,
--- a/io/news_codec.c
+++ b/io/news_codec.c
@@ -251,6 +251,6 @@
   return out;
 }
 
-int news_status(const StoreReply *reply) {
+int news_reply_status(const StoreReply *reply) {
   return reply->status == STORE_OK ? 200 : STATUS_KNOWS_NOTHING;
 }
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -44,7 +44,7 @@
   store_link_call(writer->link, &call, CALL_PATIENCE);
 }
 
-void quarantine_writer_look(QuarantineWriter *writer) {
+void quarantine_writer_poll(QuarantineWriter *writer) {
   QuarantineSave save;
   if (!store_link_is_open(writer->link) &&
       router_next_quarantine_save(writer->router, &save, clock_now()))
@@ -54,7 +54,7 @@
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  quarantine_writer_look(data);
+  quarantine_writer_poll(data);
 }
 
 /* what stands in the store, as a write was answered */
@@ -123,6 +123,6 @@
   g_free(writer);
 }
 
-guint64 quarantine_writer_calls(const QuarantineWriter *writer) {
+guint64 quarantine_writer_store_calls(const QuarantineWriter *writer) {
   return store_link_calls(writer->link);
 }
--- a/io/relays.c
+++ b/io/relays.c
@@ -59,13 +59,13 @@
   message.u.beat.sent_us = (guint64)now;
   message.u.beat.proof_ms =
       config_proof_age_ms(relay_group_proof(relays->group), now);
-  directory_changed(relays->directory, message.u.beat.changed);
+  directory_newest_changes(relays->directory, message.u.beat.changed);
   return message;
 }
 
 static gboolean may_beat(const Relays *relays) {
   return relays->role == RELAY_ROLE_RELAY &&
-         directory_knows(relays->directory);
+         directory_is_loaded(relays->directory);
 }
 
 static void send_to_all(Relays *relays, const GArray *addresses,
@@ -132,7 +132,7 @@
   send_to_all(relays, relay_group_members(relays->group), &message);
 }
 
-void relays_crashes(Relays *relays) {
+void relays_on_crashes(Relays *relays) {
   send_crashes(relays, clock_now());
 }
 
@@ -152,7 +152,7 @@
   send_far(relays, &message, now);
 }
 
-void relays_rates(Relays *relays) {
+void relays_on_rates(Relays *relays) {
   gint64 now = clock_now();
   if (now - relays->rates_at >= SUMMARY_LEAST)
     send_rates(relays, now);
@@ -204,11 +204,12 @@
   send_summary(relays, now);
   send_crashes(relays, now);
   send_rates(relays, now);
-  if (relays->role == RELAY_ROLE_MEMBER && !directory_knows(relays->directory))
+  if (relays->role == RELAY_ROLE_MEMBER &&
+      !directory_is_loaded(relays->directory))
     ask(relays);
   if (relays->proving)
     ask_clocks(relays, now);
-  directory_look(relays->directory);
+  directory_poll(relays->directory);
   start_timer(relays);
 }
 
@@ -223,7 +224,7 @@
   look(relays);
 }
 
-void relays_loads(Relays *relays) {
+void relays_on_loads(Relays *relays) {
   gint64 now = clock_now();
   if (!relays->summing || now - relays->summary_at < SUMMARY_LEAST ||
       !relay_group_is_first_relay(relays->group, now))
@@ -233,10 +234,10 @@
     send_summary(relays, now);
 }
 
-void relays_news(Relays *relays) {
+void relays_on_news(Relays *relays) {
   StorePosition changed[MP_RELAY_KINDS];
   gint64 now = clock_now();
-  directory_changed(relays->directory, changed);
+  directory_newest_changes(relays->directory, changed);
   if (memcmp(changed, relays->told, sizeof changed) != 0)
     send_beats(relays, now);
 }
@@ -249,7 +250,7 @@
   router_store_answered(relays->router,
                         now - relay_group_news_age(relays->group, now));
   take_role(relays, now);
-  directory_look(relays->directory);
+  directory_poll(relays->directory);
 }
 
 static void take_wish(Relays *relays, mp_Addr from, const mp_Msg *message,
@@ -284,7 +285,7 @@
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
-void relays_take(Relays *relays, mp_Addr from, const mp_Msg *message) {
+void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message) {
   gint64 now = clock_now();
   switch (message->kind) {
   case MP_MSG_RELAY_BEAT:
