--- a/io/adapters.h
+++ b/io/adapters.h
@@ -1,8 +1,13 @@
 /*
 ** adapters.h
-** The adapters of a node: one for each side it talks to
-** Each performs the effects of its side and feeds what comes back. None
-** calls another, but that endpoints reads the bodies callers keep.
+** The adapters of a node (node.h): one for each kind of peer it talks to
+**
+** An adapter performs those effects of the core that concern its peers, and
+** hands what comes back to the core as events, by node_feed(). No adapter
+** calls another, with one exception: the endpoints adapter reads the request
+** bodies that the callers adapter keeps. Only node.c calls these functions,
+** except for callers_body(). An adapter is freed by its '..._free' function,
+** after which none of its callbacks runs.
 */
 
 #ifndef ADAPTERS_H
@@ -19,21 +24,32 @@
 ** ===================================================================
 */
 
-/* a caller's request as its endpoint shall get it */
+/*
+** A caller's request in the form in which it goes to an endpoint. The callers
+** adapter owns it and all that it points to.
+*/
 typedef struct CallBody {
-  const char *method; /* plain services */
-  const char *uri;    /* path and query */
-  struct evbuffer *raw;
-  json_t *json; /* engine calls */
-  const char *content_type;
+  const char *method;       /* for plain services only */
+  const char *uri;          /* path and query, for plain services only */
+  struct evbuffer *raw;     /* the body as received */
+  json_t *json;             /* the parsed body, for engines only */
+  const char *content_type; /* as the caller sent it */
 } CallBody;
 
+/*
+** Listens for callers on o->callers. Returns NULL and sets 'err' when the
+** address cannot be bound.
+*/
 Callers *callers_new(Node *node, const NodeOptions *o, GError **err);
 void callers_free(Callers *C);
+/* Performs the effect MP_FX_REPLY: sends (a part of) a response. */
 void callers_reply(Callers *C, const mp_Reply *r);
-/* NULL when the caller is gone */
+/*
+** The request of the call 'call', valid until the caller's request is freed;
+** NULL when the caller has disconnected.
+*/
 const CallBody *callers_body(Callers *C, uint64_t call);
-/* callers that are connected with a request under way */
+/* The number of connected callers that have a request in progress. */
 unsigned callers_count(const Callers *C);
 
 /* }================================================================== */
@@ -45,8 +61,17 @@
 */
 
 Endpoints *endpoints_new(Node *node);
+/* Aborts all calls to endpoints without feeding events for them. */
 void endpoints_free(Endpoints *E);
+/*
+** Performs the effect MP_FX_XCALL: begins a call to an endpoint. Its outcome
+** is fed as events from the event loop.
+*/
 void endpoints_call(Endpoints *E, const mp_Xcall *x);
+/*
+** Performs the effect MP_FX_XABORT: aborts the call 'xcall', for which no
+** further event is fed.
+*/
 void endpoints_abort(Endpoints *E, uint64_t xcall);
 
 /* }================================================================== */
@@ -57,8 +82,16 @@
 ** ===================================================================
 */
 
+/*
+** Receives from other instances on the UDP address 'rpc'. Returns NULL and
+** sets 'err' when the address cannot be bound.
+*/
 Peers *peers_new(Node *node, mp_Addr rpc, GError **err);
 void peers_free(Peers *P);
+/*
+** Performs the effect MP_FX_SEND: sends one datagram, without a report of
+** whether it was delivered.
+*/
 void peers_send(Peers *P, mp_Addr to, const mp_Msg *m);
 
 /* }================================================================== */
@@ -69,18 +102,28 @@
 ** ===================================================================
 */
 
+/* 'at' is the address of the platform's object API. */
 Platform *platform_new(Node *node, mp_Addr at);
+/* Aborts all calls to the platform without feeding events for them. */
 void platform_free(Platform *P);
+/*
+** Performs the effect MP_FX_STORE: begins a call to the platform. Exactly one
+** event MP_EV_STORE with its outcome is fed from the event loop.
+*/
 void platform_call(Platform *P, const mp_StoreCall *s);
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** Operators (ops.c): live, ready, counters, status, drain
+** Operators (ops.c): liveness, readiness, metrics, status, drain, by evhttp
 ** ===================================================================
 */
 
+/*
+** Listens for operators on the address 'at'. Returns NULL and sets 'err' when
+** the address cannot be bound.
+*/
 Ops *ops_new(Node *node, mp_Addr at, GError **err);
 void ops_free(Ops *O);
 
--- a/io/caller_errors.h
+++ b/io/caller_errors.h
@@ -1,6 +1,9 @@
 /*
 ** caller_errors.h
-** Errors as callers of the own interface see them
+** Error responses of madderpier's own HTTP interface to callers
+**
+** Used by callers.c. The body is JSON: an object "error" with the kind, a
+** message, and whether the request may have run.
 */
 
 #ifndef CALLER_ERRORS_H
@@ -12,23 +15,34 @@
 #include "madderpier.h"
 
 /*
-** The body of an error. 'detail' and 'id' (of the request) may be NULL;
-** 'retry_s' is when to come back, in seconds, 0 for never.
+** Returns the body of an error response, a new reference. 'ran' says whether
+** the request has run. 'retry_s' is the number of seconds after which to
+** retry, left out when it is 0. 'detail' and 'id' (the request's id) are left
+** out when they are NULL.
 */
 json_t *caller_error_body(mp_Error e, mp_Ran ran, int retry_s,
                           const char *detail, const char *id);
 
-/* add a field to the answer */
+/* Adds the header field 'k' to the response. Both texts are copied. */
 void caller_set_header(evhtp_request_t *r, const char *k, const char *v);
 
-/* end the answer with a JSON body; takes the reference of 'j' */
+/* Sends a whole response with a JSON body. Takes over the reference 'j'. */
 void caller_send_json(evhtp_request_t *r, int status, json_t *j);
 
-/* end the answer with an error, and say when to come back */
+/*
+** Sends a whole error response, with the HTTP status of 'e' and, when
+** 'retry_s' is above 0, the header Retry-After. The arguments are those of
+** caller_error_body().
+*/
 void caller_send_error(evhtp_request_t *r, mp_Error e, mp_Ran ran, int retry_s,
                        const char *detail, const char *id);
 
-/* straight to the socket: libevhtp is about to close it */
-void caller_last_words(evhtp_connection_t *c, mp_Error e, const char *detail);
+/*
+** Writes an error response directly to the socket, for requests that libevhtp
+** rejects: it closes the connection without sending what is queued. The
+** response is cut off or lost when the socket buffer is full.
+*/
+void caller_send_before_close(evhtp_connection_t *c, mp_Error e,
+                              const char *detail);
 
 #endif
--- a/io/callers.c
+++ b/io/callers.c
@@ -1,13 +1,13 @@
 /*
 ** callers.c
-** Callers: HTTP in, by libevhtp
+** Callers: the HTTP server for requests, by libevhtp
 **
-** One request at a time on a connection; a second one sent before the
-** first is answered closes it, so answers never mix. libevhtp ends a
-** connection without a word on malformed or oversized input; the hooks
-** here answer first, in the same JSON as every other refusal.
-** A Caller lives from its request's arrival until libevhtp frees that
-** request (the one place where it is freed).
+** A connection carries one request at a time. A second request that arrives
+** before the first one is answered closes the connection, so responses are
+** never mixed up. On malformed or oversized input libevhtp closes a
+** connection without a response; the hooks here send one first, in the same
+** JSON as every other error. A Caller exists from the end of its request's
+** header until libevhtp frees that request, and is freed there only.
 */
 
 #include <string.h>
@@ -22,20 +22,21 @@
 #include "io/adapters.h"
 #include "io/caller_errors.h"
 
-/* bytes of a prompt whose hash is its prefix, for cache affinity */
+/* length of the prompt prefix whose hash is used for cache affinity */
 #define PREFIX_BYTES 2048
-/* a caller that leaves this much unread is given up */
-#define MAXUNREAD (4 << 20)
-/* bytes of text counted as one token, until the engine counts */
+/* bytes of unsent response above which a connection is closed */
+#define MAX_UNREAD_BYTES (4 << 20)
+/* estimate of a token's length, used until the engine reports the count */
 #define BYTES_PER_TOKEN 4
+/* limit of output tokens for requests that name none */
 #define DEFAULT_MAX_TOKENS 256
 
 struct Callers {
   Node *node;
   evhtp_t *htp;
-  uint64_t last;
-  GHashTable *open;   /* call -> Caller */
-  GHashTable *byconn; /* connection -> its Caller; not owned */
+  uint64_t last_call;        /* number of the newest call */
+  GHashTable *open;          /* call -> Caller */
+  GHashTable *by_connection; /* connection -> its Caller; not owned */
   uint32_t max_body, max_headers;
   struct timeval timeout;
 };
@@ -46,26 +47,27 @@
   evhtp_request_t *req; /* NULL once libevhtp has freed it */
   CallBody body;
   char *uri;
-  int known; /* the core has the request */
-  int stream, chat, plain;
-  int started; /* the head of the answer is out */
-  int ended;
-  GString *text; /* answers that are not streamed */
+  int is_submitted;        /* the request was handed to the core */
+  int stream, chat, plain; /* streamed response; chat; plain service */
+  int started;             /* the header of the response was sent */
+  int ended;               /* the whole response was sent */
+  GString *text;           /* the response so far, when it is not streamed */
 } Caller;
 
 /*
 ** {==================================================================
-** Life of a caller
+** Lifetime of a caller
 ** ===================================================================
 */
 
-typedef struct Gone {
+/* a disconnected caller, of which the core is yet to be told */
+typedef struct Hangup {
   Node *node;
   uint64_t call;
-} Gone;
+} Hangup;
 
-static void tellgone(evutil_socket_t fd, short what, void *arg) {
-  Gone *g = arg;
+static void feed_hangup(evutil_socket_t fd, short what, void *arg) {
+  Hangup *g = arg;
   mp_Event e = {0};
   (void)fd;
   (void)what;
@@ -75,7 +77,7 @@
   g_free(g);
 }
 
-static void freecaller(void *p) {
+static void free_caller(void *p) {
   Caller *c = p;
   json_decref(c->body.json);
   if (c->body.raw != NULL)
@@ -87,17 +89,21 @@
   g_free(c);
 }
 
-/* libevhtp frees the request: after its answer, or because of a hang-up */
-static evhtp_res onfini(evhtp_request_t *r, void *arg) {
+/*
+** libevhtp frees the request, after its response or because the caller has
+** disconnected. The core is told of the latter from the event loop, because
+** this may run while effects are performed.
+*/
+static evhtp_res on_request_freed(evhtp_request_t *r, void *arg) {
   Caller *c = arg;
   struct timeval now = {0, 0};
-  g_hash_table_remove(c->C->byconn, r->conn);
+  g_hash_table_remove(c->C->by_connection, r->conn);
   c->req = NULL;
-  if (c->known && !c->ended) {
-    Gone *g = g_new0(Gone, 1);
+  if (c->is_submitted && !c->ended) {
+    Hangup *g = g_new0(Hangup, 1);
     g->node = c->C->node;
     g->call = c->call;
-    event_base_once(c->C->node->base, -1, EV_TIMEOUT, tellgone, g, &now);
+    event_base_once(c->C->node->base, -1, EV_TIMEOUT, feed_hangup, g, &now);
   }
   g_hash_table_remove(c->C->open, &c->call);
   return EVHTP_RES_OK;
@@ -116,15 +122,15 @@
 
 /*
 ** {==================================================================
-** A request comes in
+** Incoming requests
 ** ===================================================================
 */
 
-static const char *header(evhtp_request_t *r, const char *k) {
+static const char *request_header(evhtp_request_t *r, const char *k) {
   return evhtp_header_find(r->headers_in, k);
 }
 
-static const char *methodname(evhtp_request_t *r) {
+static const char *method_name(evhtp_request_t *r) {
   static const struct {
     htp_method m;
     const char *name;
@@ -140,38 +146,47 @@
   return NULL;
 }
 
-/* length in bytes of all texts of a prompt or of chat messages */
-static size_t promptlen(const json_t *j, XXH3_state_t *h, size_t sofar) {
+/*
+** The length in bytes of all texts of a prompt or of chat messages. It also
+** adds those texts to the hash 'h' as far as they are within the first
+** PREFIX_BYTES; 'length_before' is the length of the texts before this one.
+*/
+static size_t prompt_length(const json_t *j, XXH3_state_t *h,
+                            size_t length_before) {
   size_t n = 0;
   size_t i;
   if (json_is_string(j)) {
     n = json_string_length(j);
-    if (sofar < PREFIX_BYTES)
+    if (length_before < PREFIX_BYTES)
       XXH3_64bits_update(h, json_string_value(j),
-                         MIN(n, PREFIX_BYTES - sofar));
+                         MIN(n, PREFIX_BYTES - length_before));
     return n;
   }
   for (i = 0; i < json_array_size(j); i++) {
     const json_t *m = json_array_get(j, i);
     const json_t *t = json_is_object(m) ? json_object_get(m, "content") : m;
-    n += promptlen(t, h, sofar + n);
+    n += prompt_length(t, h, length_before + n);
   }
   return n;
 }
 
-static void measure(const json_t *prompt, mp_Call *q) {
+static void measure_prompt(const json_t *prompt, mp_Call *q) {
   XXH3_state_t *h = XXH3_createState();
   size_t n;
   XXH3_64bits_reset(h);
-  n = promptlen(prompt, h, 0);
+  n = prompt_length(prompt, h, 0);
   q->prompt_tokens = (uint32_t)(n / BYTES_PER_TOKEN + 1);
-  /* a short prompt shares nothing worth the detour */
+  /* a shorter prompt has no prefix: what it could share in a cache is not
+  ** worth preferring an endpoint for */
   q->prefix = n >= PREFIX_BYTES ? XXH3_64bits_digest(h) : 0;
   XXH3_freeState(h);
 }
 
-/* NULL when all is well; else what is wrong */
-static const char *readengine(Caller *c, mp_Call *q) {
+/*
+** Parses a request for an engine into '*q'. Returns NULL, or the text of what
+** is wrong with it.
+*/
+static const char *parse_engine_request(Caller *c, mp_Call *q) {
   evhtp_request_t *r = c->req;
   size_t n = evbuffer_get_length(r->buffer_in);
   const char *s = (const char *)evbuffer_pullup(r->buffer_in, -1);
@@ -193,30 +208,30 @@
   q->max_tokens =
       max != NULL ? (uint32_t)json_integer_value(max) : DEFAULT_MAX_TOKENS;
   c->stream = json_is_true(json_object_get(c->body.json, "stream"));
-  measure(prompt, q);
+  measure_prompt(prompt, q);
   return NULL;
 }
 
-static void readplain(Caller *c) {
+static void take_plain_request(Caller *c) {
   c->plain = 1;
   c->body.raw = evbuffer_new();
   evbuffer_add_buffer(c->body.raw, c->req->buffer_in);
-  c->body.content_type = g_strdup(header(c->req, "Content-Type"));
+  c->body.content_type = g_strdup(request_header(c->req, "Content-Type"));
 }
 
-static const char *bearer(evhtp_request_t *r) {
-  const char *a = header(r, "Authorization");
+static const char *bearer_token(evhtp_request_t *r) {
+  const char *a = request_header(r, "Authorization");
   if (a == NULL || g_ascii_strncasecmp(a, "Bearer ", 7) != 0)
     return NULL;
   return a + 7;
 }
 
-static void newcaller(Callers *C, evhtp_request_t *r) {
+static void add_caller(Callers *C, evhtp_request_t *r) {
   Caller *c = g_new0(Caller, 1);
   const char *path = r->uri->path->full;
   const unsigned char *query = r->uri->query_raw;
   c->C = C;
-  c->call = ++C->last;
+  c->call = ++C->last_call;
   c->req = r;
   c->text = g_string_new(NULL);
   if (query != NULL && query[0] != '\0')
@@ -224,56 +239,57 @@
   else
     c->uri = g_strdup(path);
   c->body.uri = c->uri;
-  c->body.method = g_strdup(methodname(r));
+  c->body.method = g_strdup(method_name(r));
   g_hash_table_insert(C->open, &c->call, c);
-  g_hash_table_insert(C->byconn, r->conn, c);
-  evhtp_request_set_hook(r, evhtp_hook_on_request_fini, (evhtp_hook)onfini, c);
+  g_hash_table_insert(C->by_connection, r->conn, c);
+  evhtp_request_set_hook(r, evhtp_hook_on_request_fini,
+                         (evhtp_hook)on_request_freed, c);
 }
 
-/* the timer for slow callers ends with the request's arrival */
-static void arrived(Caller *c) {
+/* The request is complete, so the timeout for reading it ends. */
+static void end_read_timeout(Caller *c) {
   bufferevent_set_timeouts(evhtp_request_get_bev(c->req), NULL,
                            &c->C->timeout);
 }
 
-static void refuse(Caller *c, mp_Error e, const char *detail) {
+static void reject(Caller *c, mp_Error e, const char *detail) {
   c->ended = 1;
   caller_send_error(c->req, e, MP_RAN_NO, mp_error_retry(e), detail, NULL);
 }
 
-static void onrequest(evhtp_request_t *r, void *arg) {
+static void on_request(evhtp_request_t *r, void *arg) {
   Callers *C = arg;
-  Caller *c = g_hash_table_lookup(C->byconn, r->conn);
+  Caller *c = g_hash_table_lookup(C->by_connection, r->conn);
   const char *path = r->uri->path->full;
   const char *wrong = NULL;
   mp_Event e = {0};
   mp_Call *q = &e.u.call;
-  g_assert(c != NULL); /* made by onheaders */
+  g_assert(c != NULL); /* added by on_headers */
   if (c->body.method == NULL) {
-    refuse(c, MP_ERR_METHOD, NULL);
+    reject(c, MP_ERR_METHOD, NULL);
     return;
   }
   c->chat = strcmp(path, "/v1/chat/completions") == 0;
   if (c->chat || strcmp(path, "/v1/completions") == 0) {
     if (r->method != htp_method_POST) {
-      refuse(c, MP_ERR_METHOD, "use POST");
+      reject(c, MP_ERR_METHOD, "use POST");
       return;
     }
-    wrong = readengine(c, q);
+    wrong = parse_engine_request(c, q);
   } else
-    readplain(c);
+    take_plain_request(c);
   if (wrong != NULL) {
-    refuse(c, MP_ERR_BAD_REQUEST, wrong);
+    reject(c, MP_ERR_BAD_REQUEST, wrong);
     return;
   }
-  arrived(c);
+  end_read_timeout(c);
   e.kind = MP_EV_CALL;
   q->call = c->call;
   q->path = path;
-  q->bearer = bearer(r);
-  q->class_name = header(r, "X-Request-Class");
-  q->key = header(r, "Idempotency-Key");
-  c->known = 1;
+  q->bearer = bearer_token(r);
+  q->class_name = request_header(r, "X-Request-Class");
+  q->key = request_header(r, "Idempotency-Key");
+  c->is_submitted = 1;
   node_feed(C->node, &e);
 }
 
@@ -281,16 +297,17 @@
 
 /*
 ** {==================================================================
-** Bad input
+** Invalid input, and connections
 ** ===================================================================
 */
 
-typedef struct Seen {
+/* how often header fields occur in a request */
+typedef struct HeaderCounts {
   unsigned all, length, key, encoding;
-} Seen;
+} HeaderCounts;
 
-static int countheader(evhtp_kv_t *kv, void *arg) {
-  Seen *s = arg;
+static int count_header(evhtp_kv_t *kv, void *arg) {
+  HeaderCounts *s = arg;
   s->all++;
   s->length += g_ascii_strcasecmp(kv->key, "Content-Length") == 0;
   s->key += g_ascii_strcasecmp(kv->key, "Idempotency-Key") == 0;
@@ -298,88 +315,94 @@
   return 0;
 }
 
-static evhtp_res onheaders(evhtp_request_t *r, evhtp_headers_t *h, void *arg) {
+static evhtp_res on_headers(evhtp_request_t *r, evhtp_headers_t *h,
+                            void *arg) {
   Callers *C = arg;
-  Seen s = {0};
-  const char *len = header(r, "Content-Length");
-  evhtp_kvs_for_each(h, countheader, &s);
+  HeaderCounts s = {0};
+  const char *len = request_header(r, "Content-Length");
+  evhtp_kvs_for_each(h, count_header, &s);
   if (s.all > C->max_headers) {
-    caller_last_words(r->conn, MP_ERR_TOO_LARGE, "too many headers");
+    caller_send_before_close(r->conn, MP_ERR_TOO_LARGE, "too many headers");
     return EVHTP_RES_ERROR;
   }
   if (s.length > 1 || s.key > 1 || s.encoding > 1 ||
       (s.length > 0 && s.encoding > 0)) {
-    caller_last_words(
+    caller_send_before_close(
         r->conn, MP_ERR_BAD_REQUEST,
         "Content-Length, Transfer-Encoding and Idempotency-Key may "
         "stand once, and not the first two together");
     return EVHTP_RES_ERROR;
   }
   if (len != NULL && g_ascii_strtoull(len, NULL, 10) > C->max_body) {
-    caller_last_words(r->conn, MP_ERR_TOO_LARGE, "Content-Length");
+    caller_send_before_close(r->conn, MP_ERR_TOO_LARGE, "Content-Length");
     return EVHTP_RES_ERROR;
   }
   if (r->uri == NULL || r->uri->path == NULL || r->uri->path->full == NULL) {
-    caller_last_words(r->conn, MP_ERR_BAD_REQUEST, "no path");
+    caller_send_before_close(r->conn, MP_ERR_BAD_REQUEST, "no path");
     return EVHTP_RES_ERROR;
   }
-  /* now, since libevhtp takes a form's body for the query later on */
-  newcaller(C, r);
+  /* the URI is copied now, because libevhtp later replaces the query by the
+  ** body of a form */
+  add_caller(C, r);
   return EVHTP_RES_OK;
 }
 
-/* a body without a length is measured as it comes */
-static evhtp_res onread(evhtp_request_t *r, struct evbuffer *b, void *arg) {
+/* Enforces max_body as a body arrives, since it may lack a Content-Length. */
+static evhtp_res on_body_data(evhtp_request_t *r, struct evbuffer *b,
+                              void *arg) {
   Callers *C = arg;
   if (evbuffer_get_length(r->buffer_in) + evbuffer_get_length(b) <=
       C->max_body)
     return EVHTP_RES_OK;
-  caller_last_words(r->conn, MP_ERR_TOO_LARGE, "body");
+  caller_send_before_close(r->conn, MP_ERR_TOO_LARGE, "body");
   return EVHTP_RES_ERROR;
 }
 
-/* the connection's timer: a caller that is too slow to send */
-static void onevent(evhtp_connection_t *conn, short events, void *arg) {
+/* An event of the connection: answers callers that send too slowly. */
+static void on_connection_event(evhtp_connection_t *conn, short events,
+                                void *arg) {
   Callers *C = arg;
-  const Caller *c = g_hash_table_lookup(C->byconn, conn);
-  if (c != NULL && (c->known || c->ended))
-    return; /* words would mix with the answer */
+  const Caller *c = g_hash_table_lookup(C->by_connection, conn);
+  if (c != NULL && (c->is_submitted || c->ended))
+    return; /* an error here would be mixed into the response */
   if ((events & BEV_EVENT_TIMEOUT) && (events & BEV_EVENT_READING))
-    caller_last_words(conn, MP_ERR_TIMEOUT, NULL);
+    caller_send_before_close(conn, MP_ERR_TIMEOUT, NULL);
 }
 
-/* closed by the parser, and not by one of the hooks above */
-static evhtp_res onclose(evhtp_connection_t *conn, void *arg) {
+/* Answers a connection that the parser closes, rather than a hook above. */
+static evhtp_res on_connection_close(evhtp_connection_t *conn, void *arg) {
   Callers *C = arg;
-  const Caller *c = g_hash_table_lookup(C->byconn, conn);
+  const Caller *c = g_hash_table_lookup(C->by_connection, conn);
   htpparse_error e = htparser_get_error(conn->parser);
-  if (c != NULL && (c->known || c->ended))
+  if (c != NULL && (c->is_submitted || c->ended))
     return EVHTP_RES_OK;
   if (e != htparse_error_none && e != htparse_error_user)
-    caller_last_words(conn, MP_ERR_BAD_REQUEST, "not HTTP");
+    caller_send_before_close(conn, MP_ERR_BAD_REQUEST, "not HTTP");
   return EVHTP_RES_OK;
 }
 
-/* a new request on a connection whose last one is not answered yet */
-static evhtp_res onstart(evhtp_request_t *r, void *arg) {
+/* Rejects a request on a connection whose previous one is still open. */
+static evhtp_res on_request_start(evhtp_request_t *r, void *arg) {
   Callers *C = arg;
-  if (g_hash_table_contains(C->byconn, r->conn))
+  if (g_hash_table_contains(C->by_connection, r->conn))
     return EVHTP_RES_ERROR;
   bufferevent_set_timeouts(evhtp_connection_get_bev(r->conn), &C->timeout,
                            &C->timeout);
   return EVHTP_RES_OK;
 }
 
-static evhtp_res onaccept(evhtp_connection_t *c, void *arg) {
+static evhtp_res on_accept(evhtp_connection_t *c, void *arg) {
   evhtp_connection_set_hook(c, evhtp_hook_on_headers_start,
-                            (evhtp_hook)onstart, arg);
-  evhtp_connection_set_hook(c, evhtp_hook_on_headers, (evhtp_hook)onheaders,
+                            (evhtp_hook)on_request_start, arg);
+  evhtp_connection_set_hook(c, evhtp_hook_on_headers, (evhtp_hook)on_headers,
+                            arg);
+  evhtp_connection_set_hook(c, evhtp_hook_on_read, (evhtp_hook)on_body_data,
                             arg);
-  evhtp_connection_set_hook(c, evhtp_hook_on_read, (evhtp_hook)onread, arg);
   evhtp_connection_set_hook(c, evhtp_hook_on_event,
-                            (evhtp_hook)(void (*)(void))onevent, arg);
+                            (evhtp_hook)(void (*)(void))on_connection_event,
+                            arg);
   evhtp_connection_set_hook(c, evhtp_hook_on_connection_fini,
-                            (evhtp_hook)onclose, arg);
+                            (evhtp_hook)on_connection_close, arg);
   return EVHTP_RES_OK;
 }
 
@@ -387,12 +410,12 @@
 
 /*
 ** {==================================================================
-** Answers
+** Responses
 ** ===================================================================
 */
 
-/* headers of a plain endpoint that its caller gets */
-static int passed(const char *k) {
+/* Is this header field of a plain endpoint's response for the caller? */
+static int is_forwarded_header(const char *k) {
   static const char *const not [] = {"Connection", "Content-Length",
                                      "Transfer-Encoding", "Keep-Alive"};
   size_t i;
@@ -403,13 +426,13 @@
   return 1;
 }
 
-static void starthead(Caller *c, const mp_Reply *p) {
+static void start_response(Caller *c, const mp_Reply *p) {
   c->started = 1;
   if (p->head != NULL) {
     const struct evkeyvalq *q = p->head;
     struct evkeyval *kv;
     TAILQ_FOREACH(kv, q, next) {
-      if (passed(kv->key))
+      if (is_forwarded_header(kv->key))
         caller_set_header(c->req, kv->key, kv->value);
     }
   } else
@@ -418,28 +441,29 @@
   evhtp_send_reply_chunk_start(c->req, (evhtp_res)p->status);
 }
 
-static void onhead(Caller *c, const mp_Reply *p) {
+static void reply_head(Caller *c, const mp_Reply *p) {
   if (c->plain || c->stream)
-    starthead(c, p);
+    start_response(c, p);
 }
 
-static void chunk(Caller *c, const char *s, size_t n) {
+static void send_chunk(Caller *c, const char *s, size_t n) {
   struct evbuffer *b = evbuffer_new();
   evbuffer_add(b, s, n);
   evhtp_send_reply_chunk(c->req, b);
   evbuffer_free(b);
 }
 
-static void sse(Caller *c, json_t *j) {
+static void send_event(Caller *c, json_t *j) {
   char *s = json_dumps(j, JSON_COMPACT);
   gchar *line = g_strdup_printf("data: %s\n\n", s);
-  chunk(c, line, strlen(line));
+  send_chunk(c, line, strlen(line));
   g_free(line);
   free(s);
   json_decref(j);
 }
 
-static json_t *choice(const Caller *c, const char *s, size_t n, int whole) {
+static json_t *choice_json(const Caller *c, const char *s, size_t n,
+                           int whole) {
   json_t *t = json_stringn(s, n);
   if (t == NULL)
     t = json_string("");
@@ -450,26 +474,27 @@
                    t);
 }
 
-/* a caller that does not read is given up */
-static int unread(Caller *c) {
+/* Has the caller left too much of the response unread? */
+static int is_too_far_behind(Caller *c) {
   struct evbuffer *b = bufferevent_get_output(evhtp_request_get_bev(c->req));
-  return evbuffer_get_length(b) > MAXUNREAD;
+  return evbuffer_get_length(b) > MAX_UNREAD_BYTES;
 }
 
-static void onpiece(Caller *c, const mp_Reply *p) {
+static void reply_piece(Caller *c, const mp_Reply *p) {
   if (c->plain)
-    chunk(c, p->text, p->len);
+    send_chunk(c, p->text, p->len);
   else if (c->stream)
-    sse(c, json_pack("{s:s, s:[o]}", "object",
-                     c->chat ? "chat.completion.chunk" : "text_completion",
-                     "choices", choice(c, p->text, p->len, 0)));
+    send_event(c,
+               json_pack("{s:s, s:[o]}", "object",
+                         c->chat ? "chat.completion.chunk" : "text_completion",
+                         "choices", choice_json(c, p->text, p->len, 0)));
   else
     g_string_append_len(c->text, p->text, (gssize)p->len);
-  if (unread(c))
+  if (is_too_far_behind(c))
     shutdown(c->req->conn->sock, SHUT_RDWR);
 }
 
-static json_t *summary(const Caller *c, const mp_Reply *p) {
+static json_t *summary_json(const Caller *c, const mp_Reply *p) {
   char prefill[24];
   char decode[24];
   json_t *j;
@@ -483,41 +508,42 @@
   return j;
 }
 
-static void onend(Caller *c, const mp_Reply *p) {
+static void reply_end(Caller *c, const mp_Reply *p) {
   json_t *j;
   c->ended = 1;
   if (c->plain) {
     evhtp_send_reply_chunk_end(c->req);
     return;
   }
-  j = summary(c, p);
+  j = summary_json(c, p);
   if (c->stream) {
-    sse(c, j);
-    chunk(c, "data: [DONE]\n\n", 14);
+    send_event(c, j);
+    send_chunk(c, "data: [DONE]\n\n", 14);
     evhtp_send_reply_chunk_end(c->req);
     return;
   }
   json_object_set_new(
       j, "choices",
-      json_pack("[o]", choice(c, c->text->str, c->text->len, 1)));
+      json_pack("[o]", choice_json(c, c->text->str, c->text->len, 1)));
   caller_set_header(c->req, "X-Request-Id", p->id);
   caller_send_json(c->req, 200, j);
 }
 
-/* an answer that broke off never looks like a whole one */
-static void cutoff(Caller *c, const mp_Reply *p) {
+/* Ends a response that broke off so that it cannot be taken as complete. */
+static void abort_response(Caller *c, const mp_Reply *p) {
   if (c->stream) {
-    sse(c, caller_error_body(p->error, p->ran, p->retry_s, NULL, p->id));
+    send_event(c,
+               caller_error_body(p->error, p->ran, p->retry_s, NULL, p->id));
     evhtp_send_reply_chunk_end(c->req);
   } else
-    /* no last chunk: the caller's HTTP library sees the break */
+    /* without a last chunk, the caller's HTTP library detects the break */
     shutdown(c->req->conn->sock, SHUT_RDWR);
 }
 
-static void onerrorreply(Caller *c, const mp_Reply *p) {
+static void reply_error(Caller *c, const mp_Reply *p) {
   c->ended = 1;
   if (c->started)
-    cutoff(c, p);
+    abort_response(c, p);
   else
     caller_send_error(c->req, p->error, p->ran, p->retry_s, NULL, p->id);
 }
@@ -525,19 +551,19 @@
 void callers_reply(Callers *C, const mp_Reply *p) {
   Caller *c = g_hash_table_lookup(C->open, &p->call);
   if (c == NULL || c->req == NULL)
-    return; /* gone; the core hears of it */
+    return; /* disconnected; the core is told of it */
   switch (p->what) {
   case MP_REPLY_HEAD:
-    onhead(c, p);
+    reply_head(c, p);
     break;
   case MP_REPLY_PIECE:
-    onpiece(c, p);
+    reply_piece(c, p);
     break;
   case MP_REPLY_END:
-    onend(c, p);
+    reply_end(c, p);
     break;
   case MP_REPLY_ERROR:
-    onerrorreply(c, p);
+    reply_error(c, p);
     break;
   }
 }
@@ -549,14 +575,14 @@
   char host[24];
   C->node = node;
   C->open =
-      g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, freecaller);
-  C->byconn = g_hash_table_new(NULL, NULL);
+      g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_caller);
+  C->by_connection = g_hash_table_new(NULL, NULL);
   C->max_body = o->max_body;
   C->max_headers = o->max_headers;
   C->timeout.tv_sec = o->caller_timeout_s;
   C->htp = evhtp_new(node->base, NULL);
-  evhtp_set_gencb(C->htp, onrequest, C);
-  evhtp_set_post_accept_cb(C->htp, onaccept, C);
+  evhtp_set_gencb(C->htp, on_request, C);
+  evhtp_set_post_accept_cb(C->htp, on_accept, C);
   mp_addr_text(o->callers, host);
   *strchr(host, ':') = '\0';
   if (evhtp_bind_socket(C->htp, host, (uint16_t)(o->callers & 0xffff), 1024) !=
@@ -574,7 +600,7 @@
 void callers_free(Callers *C) {
   evhtp_unbind_socket(C->htp);
   evhtp_free(C->htp);
-  g_hash_table_destroy(C->byconn);
+  g_hash_table_destroy(C->by_connection);
   g_hash_table_destroy(C->open);
   g_free(C);
 }
--- a/io/clock.c
+++ b/io/clock.c
@@ -1,6 +1,6 @@
 /*
 ** clock.c
-** The one clock of an instance
+** The monotonic clock of an instance
 */
 
 #include <time.h>
--- a/io/clock.h
+++ b/io/clock.h
@@ -1,6 +1,6 @@
 /*
 ** clock.h
-** The one clock of an instance
+** The monotonic clock of an instance
 */
 
 #ifndef IO_CLOCK_H
@@ -9,14 +9,16 @@
 #include "madderpier.h"
 
 /*
-** Microseconds that only grow, the time that the machine was suspended
-** included. Every age and deadline comes from here: with a clock that stands
-** still meanwhile, an instance that wakes after eight seconds would take its
-** endpoints, its lease, its configuration and what callers' deadlines leave
-** for eight seconds younger than they are.
+** The time in microseconds since an arbitrary point. It never decreases, and
+** it includes the time during which the machine was suspended
+** (CLOCK_BOOTTIME). Every age and deadline is taken from this clock, because
+** with a clock that stops during suspension, an instance that resumes after
+** eight seconds would take its endpoints, its lease, its configuration and
+** the time left until callers' deadlines as they stood eight seconds ago.
 **
-** Timers of the event loop do stand still: what is due is found at the next
-** look, TICK_MOST of gateway.c after waking at the latest.
+** Timers of the event loop do stop during suspension. What has become due
+** meanwhile is handled by the next timer, at most MAX_TICK_WAIT (gateway.c)
+** after the machine resumes.
 */
 mp_Time clock_now(void);
 
--- a/io/datagram.c
+++ b/io/datagram.c
@@ -1,6 +1,6 @@
 /*
 ** datagram.c
-** UDP between instances
+** UDP datagrams between instances
 */
 
 #include <errno.h>
--- a/io/datagram.h
+++ b/io/datagram.h
@@ -1,6 +1,6 @@
 /*
 ** datagram.h
-** UDP between instances: one bound socket, addresses as mp_Addr
+** UDP datagrams between instances, over IPv4 and without blocking
 */
 
 #ifndef DATAGRAM_H
@@ -10,13 +10,24 @@
 
 #include "madderpier.h"
 
-/* a bound socket that never waits; -1 and an error that names 'what' */
+/*
+** Returns a non-blocking socket that is bound to 'address' and that the caller
+** closes; or returns -1 and sets an error, whose text begins with 'what' (the
+** name of the setting).
+*/
 int datagram_open(mp_Addr address, const char *what, GError **error);
 
-/* one that cannot be sent now is lost like any other */
+/*
+** Sends one datagram. One that cannot be sent now is dropped, as the network
+** may drop any other.
+*/
 void datagram_send(int fd, mp_Addr to, const char *bytes, size_t size);
 
-/* bytes of the next datagram and its sender; negative when there is none */
+/*
+** Receives the next datagram. Returns its length in bytes, truncated to
+** 'size', and stores its sender in '*from'; returns a negative number when
+** there is none.
+*/
 ssize_t datagram_receive(int fd, char *bytes, size_t size, mp_Addr *from);
 
 #endif
--- a/io/endpoint_call.c
+++ b/io/endpoint_call.c
@@ -1,6 +1,6 @@
 /*
 ** endpoint_call.c
-** One dispatch on its way to an endpoint
+** One dispatch that was sent to an endpoint
 */
 
 #include "io/endpoint_call.h"
@@ -10,7 +10,7 @@
   call->dispatch = dispatch->number;
   call->kind = dispatch->kind;
   call->life = dispatch->life;
-  call->stream = dispatch->stream;
+  call->may_stream = dispatch->stream;
   call->body = g_byte_array_new();
   event_splitter_init(&call->events);
   return call;
@@ -33,8 +33,12 @@
          call->kind == DISPATCH_ORDER;
 }
 
-/* statuses that promise "not run" are believed only with that promise */
-static gboolean promises_falsely(const EndpointCall *call) {
+/*
+** Does the status say that the request was not run? It is believed only with
+** the endpoint's explicit promise (EndpointHead.not_run), which the caller of
+** this function has to check first.
+*/
+static gboolean is_refusal_status(const EndpointCall *call) {
   int status = call->head->status;
   return status == 408 || status == 429 || status == 503;
 }
@@ -42,20 +46,20 @@
 OutcomeKind endpoint_call_classify(const EndpointCall *call) {
   const HttpHead *head = call->head;
   gboolean success = head->status >= 200 && head->status < 300;
-  if (call->facts.not_run)
+  if (call->head_info.not_run)
     return OUTCOME_NOT_RUN;
-  if (promises_falsely(call) ||
+  if (is_refusal_status(call) ||
       http_head_get(head, "Content-Encoding") != NULL)
     return OUTCOME_BROKEN;
   if (call->kind == DISPATCH_PREFILL)
     return head->status == 200 ? OUTCOME_ANSWER : OUTCOME_BROKEN;
-  if (success && !call->facts.is_signed && !endpoint_call_is_control(call))
+  if (success && !call->head_info.is_signed && !endpoint_call_is_control(call))
     return OUTCOME_BROKEN;
   return OUTCOME_ANSWER;
 }
 
-gboolean endpoint_call_served(const EndpointCall *call) {
+gboolean endpoint_call_has_served(const EndpointCall *call) {
   int status = call->head->status;
-  return status >= 200 && status < 300 && !call->facts.not_run &&
+  return status >= 200 && status < 300 && !call->head_info.not_run &&
          (call->kind == DISPATCH_RUN || call->kind == DISPATCH_PREFILL);
 }
--- a/io/endpoint_call.h
+++ b/io/endpoint_call.h
@@ -1,6 +1,9 @@
 /*
 ** endpoint_call.h
-** One dispatch on its way to an endpoint, and what its answer amounts to
+** One dispatch that was sent to an endpoint, and the result that follows from
+** its response
+**
+** Used by endpoint_links.c, which fills in the response as it arrives.
 */
 
 #ifndef ENDPOINT_CALL_H
@@ -9,31 +12,39 @@
 #include "dialect/dialect.h"
 #include "http/events.h"
 
+/* It owns what its pointers refer to. */
 typedef struct EndpointCall {
-  guint64 dispatch;
+  guint64 dispatch; /* Dispatch.number */
   DispatchKind kind;
-  guint32 life;    /* of the endpoint: Dispatch.life */
-  gboolean stream; /* the route's answers come as events */
-  char *request_id;
-  GString *text;  /* the request, until it is written */
-  HttpHead *head; /* of the answer */
-  EndpointHead facts;
-  gboolean skip;      /* the answer that comes in is another request's */
-  gboolean is_stream; /* it is passed on event by event */
-  gboolean head_told;
-  EventSplitter events;
-  GByteArray *body;
+  guint32 life;           /* incarnation of the endpoint: Dispatch.life */
+  gboolean may_stream;    /* responses of the route may be event streams */
+  char *request_id;       /* the caller's; NULL: none */
+  GString *text;          /* the request, until it is written; then NULL */
+  HttpHead *head;         /* of the response; NULL until it is received */
+  EndpointHead head_info; /* 'head' as the dialect reads it */
+  gboolean is_foreign;    /* the response belongs to another request */
+  gboolean is_stream;     /* the response is forwarded event by event */
+  gboolean is_head_sent;  /* the head of a stream was forwarded */
+  EventSplitter events;   /* splits a stream into whole events */
+  GByteArray *body;       /* the body, or the part of a stream not split yet */
 } EndpointCall;
 
 EndpointCall *endpoint_call_new(const Dispatch *dispatch);
-/* NULL is allowed */
+/* 'call' may be NULL. */
 void endpoint_call_free(EndpointCall *call);
 
-/* no caller asked for it */
+/* Is it a release, a report or an order, which no caller has requested? */
 gboolean endpoint_call_is_control(const EndpointCall *call);
-/* the whole answer is there: how the dispatch ended */
+/*
+** The outcome of a dispatch whose response is complete and not a stream.
+** OUTCOME_BROKEN means that the response cannot be used, and that it is not
+** known whether the request has run.
+*/
 OutcomeKind endpoint_call_classify(const EndpointCall *call);
-/* the head is there: does the answer serve a caller's request? */
-gboolean endpoint_call_served(const EndpointCall *call);
+/*
+** Does the response serve a caller's request, by a status of 200 to 299? The
+** head has to have been received.
+*/
+gboolean endpoint_call_has_served(const EndpointCall *call);
 
 #endif
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -1,8 +1,10 @@
 /*
 ** endpoint_links.c
 ** Connections to endpoints, on bufferevents and http_parser
-** evhttp hands bytes left from one answer to the next request; why that
-** rules it out here is in docs/design/style.md.
+**
+** evhttp cannot be used here, because it passes bytes that are left over from
+** one response to the next request; docs/design/style.md says why that
+** matters.
 */
 
 #include <string.h>
@@ -17,15 +19,16 @@
 #include "io/link_pool.h"
 #include "io/sockets.h"
 
-/* how long a connection rests when its endpoint does not say */
-#define IDLE_UNSAID (800 * MP_MS)
-/* it is closed so long before the endpoint would close it */
+/* how long an idle connection is kept when its endpoint names no limit */
+#define DEFAULT_IDLE_TIMEOUT (800 * MP_MS)
+/* an idle connection is closed this long before its endpoint would close it */
 #define IDLE_MARGIN (600 * MP_MS)
-/* data that the peer's kernel does not take: the peer is gone */
+/* a connection fails when sent data stays unacknowledged this long */
 #define UNACKED_MS 2500
-/* largest whole answer that is kept in memory, bytes */
-#define MAX_ANSWER (8 << 20)
-/* answers to what no caller asked for are waited for so long */
+/* bytes of a response body that are buffered; the parts of the body that would
+** exceed it are dropped */
+#define MAX_BODY_BYTES (8 << 20)
+/* how long the response to a control call is waited for */
 #define CONTROL_TIMEOUT (1 * MP_SEC)
 
 struct EndpointLinks {
@@ -34,25 +37,26 @@
   EndpointLinksHooks hooks;
   LinkPool *pool;    /* of Link */
   GHashTable *calls; /* dispatch -> Link that carries it */
-  GHashTable *links; /* Link, as a set */
-  guint64 opened;
+  GHashTable *links; /* set of Link, which it owns */
+  guint64 opened;    /* connections begun since the start */
 };
 
+/* one connection to an endpoint */
 typedef struct Link {
   EndpointLinks *links;
   char *endpoint;
   struct bufferevent *events;
-  struct event *timer; /* connecting, resting, or waiting for an answer */
+  struct event *timer; /* timeout of connecting, idling, or a control call */
   HttpReader *reader;
-  gboolean connected;
-  gboolean doubtful; /* never used again */
-  gint64 idle_limit;
-  EndpointCall *call; /* NULL while it rests */
+  gboolean is_connected;
+  gboolean must_close; /* it is closed after its call */
+  gint64 idle_limit;   /* us, as the endpoint named it; 0: it named none */
+  EndpointCall *call;  /* NULL while the connection is idle */
 } Link;
 
 /*
 ** {==================================================================
-** Life
+** Lifetime of a connection
 ** ===================================================================
 */
 
@@ -66,15 +70,15 @@
   g_free(link);
 }
 
-/* the connection is closed and freed */
+/* Closes the connection and frees it. */
 static void close_link(Link *link) {
   EndpointLinks *links = link->links;
   link_pool_closed(links->pool, link->endpoint, link);
   g_hash_table_remove(links->links, link);
 }
 
-/* close the connection; its call, if there is one, is forgotten */
-static void drop(Link *link) {
+/* Closes the connection, and forgets its call if it has one. */
+static void close_and_forget(Link *link) {
   if (link->call != NULL)
     g_hash_table_remove(link->links->calls, &link->call->dispatch);
   close_link(link);
@@ -85,22 +89,22 @@
   event_add(link->timer, &time);
 }
 
-/* the call is over: the connection rests until the next one, or for so long */
-static void rest(Link *link, gint64 limit) {
+/* Ends the call. The connection is idle until the next one, or for 'limit'. */
+static void make_idle(Link *link, gint64 limit) {
   EndpointLinks *links = link->links;
   g_hash_table_remove(links->calls, &link->call->dispatch);
   endpoint_call_free(link->call);
   link->call = NULL;
-  link_pool_rest(links->pool, link->endpoint, link);
+  link_pool_put_idle(links->pool, link->endpoint, link);
   start_timer(link, limit);
 }
 
-/* keep the connection where nothing speaks against it */
-static void rest_or_close(Link *link) {
+/* Ends the call, and keeps the connection if it can be used again. */
+static void make_idle_or_close(Link *link) {
   const EndpointLinksHooks *hooks = &link->links->hooks;
-  gint64 limit = IDLE_UNSAID;
+  gint64 limit = DEFAULT_IDLE_TIMEOUT;
   gboolean keep =
-      !link->doubtful && hooks->keeps(hooks->data, link->endpoint) &&
+      !link->must_close && hooks->keeps(hooks->data, link->endpoint) &&
       http_reader_state(link->reader) == HTTP_READER_DONE &&
       http_reader_keep_alive(link->reader) &&
       evbuffer_get_length(bufferevent_get_input(link->events)) == 0 &&
@@ -108,11 +112,11 @@
   if (link->idle_limit > 0)
     limit = MAX(link->idle_limit - IDLE_MARGIN, 100 * MP_MS);
   if (!keep) {
-    drop(link);
+    close_and_forget(link);
     return;
   }
   http_reader_next(link->reader);
-  rest(link, limit);
+  make_idle(link, limit);
 }
 
 /* }================================================================== */
@@ -123,8 +127,11 @@
 ** ===================================================================
 */
 
-/* hand an outcome on; FALSE when the link is gone after it */
-static gboolean tell(Link *link, Outcome *outcome) {
+/*
+** Reports an outcome. Returns FALSE when the link has been freed by that, or
+** its call cancelled.
+*/
+static gboolean report_outcome(Link *link, Outcome *outcome) {
   EndpointLinks *links = link->links;
   guint64 dispatch = link->call->dispatch;
   outcome->dispatch = dispatch;
@@ -132,8 +139,8 @@
   return g_hash_table_lookup(links->calls, &dispatch) == link;
 }
 
-/* the connection ends without a whole answer */
-static void fail(Link *link, OutcomeKind kind) {
+/* Closes a connection without a whole response, and reports the outcome. */
+static void fail_call(Link *link, OutcomeKind kind) {
   Outcome outcome = {0};
   EndpointLinks *links = link->links;
   EndpointCall *call = link->call;
@@ -148,16 +155,16 @@
   endpoint_call_free(call);
 }
 
-/* the whole answer is there */
-static void finish(Link *link) {
+/* Reports the outcome of a whole response, and ends the call. */
+static void finish_call(Link *link) {
   EndpointCall *call = link->call;
   Outcome outcome = {0};
   PrefillAnswer prefill = {0};
   EngineReport report = {0};
-  EndpointAnswer answer = {call->head, (const char *)call->body->data,
-                           call->body->len};
+  EndpointResponse answer = {call->head, (const char *)call->body->data,
+                             call->body->len};
   if (call->kind == DISPATCH_RELEASE) {
-    rest_or_close(link);
+    make_idle_or_close(link);
     return;
   }
   outcome.kind =
@@ -165,7 +172,7 @@
   if (call->is_stream && event_splitter_pending(&call->events) > 0)
     outcome.kind = OUTCOME_BROKEN;
   outcome.status = call->head->status;
-  outcome.misdirected = call->facts.misdirected;
+  outcome.misdirected = call->head_info.misdirected;
   outcome.payload = &answer;
   if (call->kind == DISPATCH_PREFILL && outcome.kind == OUTCOME_ANSWER) {
     if (!link->links->dialect->read_prefill(answer.bytes, answer.size,
@@ -180,10 +187,10 @@
     outcome.report = &report;
   }
   if (outcome.kind == OUTCOME_BROKEN || outcome.misdirected)
-    link->doubtful = TRUE;
-  link->idle_limit = call->facts.idle_limit;
-  if (tell(link, &outcome))
-    rest_or_close(link);
+    link->must_close = TRUE;
+  link->idle_limit = call->head_info.idle_limit;
+  if (report_outcome(link, &outcome))
+    make_idle_or_close(link);
   g_free(prefill.handle);
 }
 
@@ -195,55 +202,62 @@
 ** ===================================================================
 */
 
-/* what the endpoint tells about itself, if it is this request's answer */
-static void tell_signals(const Link *link) {
+/*
+** Reports what the head of the response tells about the endpoint, unless the
+** response is another request's or another endpoint's.
+*/
+static void report_signals(const Link *link) {
   const EndpointLinksHooks *hooks = &link->links->hooks;
   const EndpointCall *call = link->call;
-  EndpointSignals signals = call->facts.signals;
-  if (call->skip || call->facts.misdirected)
+  EndpointSignals signals = call->head_info.signals;
+  if (call->is_foreign || call->head_info.misdirected)
     return;
-  signals.served = endpoint_call_served(call);
+  signals.served = endpoint_call_has_served(call);
   hooks->signals(hooks->data, link->endpoint, call->life, &signals);
 }
 
 static void on_head(void *data, HttpHead *head) {
   Link *link = data;
   EndpointCall *call = link->call;
-  const EndpointHead *facts = &call->facts;
+  const EndpointHead *info = &call->head_info;
   http_head_free(call->head);
   call->head = head;
-  link->links->dialect->read_endpoint(head, &call->facts);
-  call->skip = facts->request_id != NULL && call->request_id != NULL &&
-               strcmp(facts->request_id, call->request_id) != 0;
-  if (call->skip)
-    link->doubtful = TRUE;
-  tell_signals(link);
-  call->is_stream = !call->skip && call->stream && facts->is_event_stream &&
-                    facts->is_signed && head->status == 200 &&
+  link->links->dialect->read_endpoint(head, &call->head_info);
+  call->is_foreign = info->request_id != NULL && call->request_id != NULL &&
+                     strcmp(info->request_id, call->request_id) != 0;
+  if (call->is_foreign)
+    link->must_close = TRUE;
+  report_signals(link);
+  call->is_stream = !call->is_foreign && call->may_stream &&
+                    info->is_event_stream && info->is_signed &&
+                    head->status == 200 &&
                     http_head_get(head, "Content-Encoding") == NULL;
 }
 
 static void on_body(void *data, const char *bytes, size_t size) {
   Link *link = data;
   EndpointCall *call = link->call;
-  if (!call->skip && call->body->len + size <= MAX_ANSWER)
+  if (!call->is_foreign && call->body->len + size <= MAX_BODY_BYTES)
     g_byte_array_append(call->body, (const guint8 *)bytes, (guint)size);
 }
 
-/* pass on the head and the whole events so far; FALSE: the link is gone */
-static gboolean tell_stream(Link *link) {
+/*
+** Forwards the head and the whole events received so far. Returns FALSE when
+** the link has been freed by that.
+*/
+static gboolean report_stream(Link *link) {
   EndpointCall *call = link->call;
-  EndpointAnswer answer = {call->head, NULL, 0};
+  EndpointResponse answer = {call->head, NULL, 0};
   Outcome outcome = {0};
   GString *whole;
   char *id = NULL;
   gboolean alive = TRUE;
   outcome.payload = &answer;
   outcome.status = call->head->status;
-  if (!call->head_told) {
-    call->head_told = TRUE;
+  if (!call->is_head_sent) {
+    call->is_head_sent = TRUE;
     outcome.kind = OUTCOME_STREAM_HEAD;
-    if (!tell(link, &outcome))
+    if (!report_outcome(link, &outcome))
       return FALSE;
   }
   if (call->body->len == 0)
@@ -257,43 +271,47 @@
     answer.size = whole->len;
     outcome.kind = OUTCOME_STREAM_PIECE;
     outcome.event = id;
-    alive = tell(link, &outcome);
+    alive = report_outcome(link, &outcome);
   }
   g_string_free(whole, TRUE);
   g_free(id);
   return alive;
 }
 
-/* what the bytes read so far amount to; FALSE: the link is gone */
-static gboolean digest(Link *link) {
+/*
+** Handles what the reader has parsed so far. Returns FALSE when the call has
+** ended, after which the link may have been freed.
+*/
+static gboolean handle_parsed(Link *link) {
   HttpReaderState state = http_reader_state(link->reader);
   const EndpointCall *call = link->call;
   g_assert(call != NULL);
   if (state == HTTP_READER_BAD ||
       (state == HTTP_READER_DONE && call->head == NULL)) {
-    fail(link, OUTCOME_BROKEN);
+    fail_call(link, OUTCOME_BROKEN);
     return FALSE;
   }
-  if (call->head != NULL && call->is_stream && !tell_stream(link))
+  if (call->head != NULL && call->is_stream && !report_stream(link))
     return FALSE;
   if (state != HTTP_READER_DONE)
     return TRUE;
-  if (call->head->status < 200 || call->skip) { /* not the answer yet */
+  /* after an informational or another request's response, its own follows */
+  if (call->head->status < 200 || call->is_foreign) {
     http_reader_next(link->reader);
     return TRUE;
   }
-  finish(link);
+  finish_call(link);
   return FALSE;
 }
 
-static void read_answer(Link *link) {
+static void read_response(Link *link) {
   struct evbuffer *in = bufferevent_get_input(link->events);
   while (evbuffer_get_length(in) > 0) {
     size_t size = evbuffer_get_contiguous_space(in);
     const char *bytes = (const char *)evbuffer_pullup(in, (ev_ssize_t)size);
     size_t used = http_reader_feed(link->reader, bytes, size);
     evbuffer_drain(in, used);
-    if (!digest(link))
+    if (!handle_parsed(link))
       return;
   }
 }
@@ -302,9 +320,9 @@
   Link *link = data;
   (void)events;
   if (link->call == NULL)
-    drop(link); /* bytes that nobody asked for */
+    close_and_forget(link); /* bytes without a request */
   else
-    read_answer(link);
+    read_response(link);
 }
 
 /* }================================================================== */
@@ -325,52 +343,54 @@
     start_timer(link, CONTROL_TIMEOUT);
 }
 
-/* the peer closed in good order: that may end an answer without length */
+/* The peer closed the connection, which ends a response without a length. */
 static void on_eof(Link *link) {
   EndpointLinks *links = link->links;
   guint64 dispatch = link->call->dispatch;
-  read_answer(link);
+  read_response(link);
   if (g_hash_table_lookup(links->calls, &dispatch) != link)
     return;
   http_reader_end(link->reader);
-  link->doubtful = TRUE;
+  link->must_close = TRUE;
   if (http_reader_state(link->reader) != HTTP_READER_DONE)
-    fail(link, OUTCOME_BROKEN);
+    fail_call(link, OUTCOME_BROKEN);
   else
-    digest(link);
+    handle_parsed(link);
 }
 
-/* the endpoint takes connections: that was the question. The next dispatch
-** may use this one */
-static void checked(Link *link) {
+/*
+** Ends a check of whether the endpoint accepts connections. The next dispatch
+** may use this connection.
+*/
+static void finish_check(Link *link) {
   Outcome outcome = {0};
   outcome.kind = OUTCOME_ANSWER;
-  if (tell(link, &outcome))
-    rest(link, IDLE_UNSAID);
+  if (report_outcome(link, &outcome))
+    make_idle(link, DEFAULT_IDLE_TIMEOUT);
 }
 
 static void on_event(struct bufferevent *events, short what, void *data) {
   Link *link = data;
   if (what & BEV_EVENT_CONNECTED) {
-    link->connected = TRUE;
+    link->is_connected = TRUE;
     socket_set_options(events, UNACKED_MS);
     if (link->call->kind == DISPATCH_CHECK)
-      checked(link);
+      finish_check(link);
     else
       write_call(link);
     return;
   }
   if (link->call == NULL) {
-    drop(link);
+    close_and_forget(link);
     return;
   }
-  if (!link->connected) {
-    fail(link, OUTCOME_UNREACHABLE);
+  if (!link->is_connected) {
+    fail_call(link, OUTCOME_UNREACHABLE);
     return;
   }
   if ((what & BEV_EVENT_ERROR) && (what & BEV_EVENT_WRITING)) {
-    /* an answer that came before the body was out is still read */
-    link->doubtful = TRUE;
+    /* a response that arrived before the body was sent is still read */
+    link->must_close = TRUE;
     bufferevent_disable(events, EV_WRITE);
     bufferevent_enable(events, EV_READ);
     return;
@@ -380,9 +400,9 @@
   else {
     EndpointLinks *links = link->links;
     guint64 dispatch = link->call->dispatch;
-    read_answer(link); /* what came before the reset */
+    read_response(link); /* what was received before the reset */
     if (g_hash_table_lookup(links->calls, &dispatch) == link)
-      fail(link, OUTCOME_BROKEN);
+      fail_call(link, OUTCOME_BROKEN);
   }
 }
 
@@ -391,9 +411,9 @@
   (void)fd;
   (void)what;
   if (link->call == NULL)
-    drop(link); /* rested long enough */
+    close_and_forget(link); /* idle for too long */
   else
-    fail(link, link->connected ? OUTCOME_BROKEN : OUTCOME_UNREACHABLE);
+    fail_call(link, link->is_connected ? OUTCOME_BROKEN : OUTCOME_UNREACHABLE);
 }
 
 /* }================================================================== */
@@ -425,16 +445,17 @@
   link->links->opened++;
   start_timer(link, dispatch->connect_timeout);
   if (!socket_connect(link->events, dispatch->address))
-    start_timer(link, 0); /* fails from the loop, not from here */
+    start_timer(link, 0); /* the failure is reported from the event loop */
 }
 
-static Link *idle_link(EndpointLinks *links, const char *endpoint) {
-  Link *link = link_pool_take(links->pool, endpoint);
+static Link *take_idle_link(EndpointLinks *links, const char *endpoint) {
+  Link *link = link_pool_take_idle(links->pool, endpoint);
   if (link != NULL)
     event_del(link->timer);
   return link;
 }
 
+/* The text of the request: its head, and the dialect's or caller's body. */
 static GString *request_text(const EndpointLinks *links,
                              const Dispatch *dispatch, const HttpHead *caller,
                              const GByteArray *body) {
@@ -456,15 +477,18 @@
   return text;
 }
 
-static void carry(Link *link, EndpointCall *call) {
+static void set_call(Link *link, EndpointCall *call) {
   link->call = call;
   g_hash_table_insert(link->links->calls, &call->dispatch, link);
 }
 
-/* a new connection, whatever rests: an old one may be silent for good */
+/*
+** A check always opens a new connection, even if one is idle: an old one may
+** have been cut without a sign of it.
+*/
 static void send_check(EndpointLinks *links, const Dispatch *dispatch) {
   Link *link = link_new(links, dispatch);
-  carry(link, endpoint_call_new(dispatch));
+  set_call(link, endpoint_call_new(dispatch));
   connect_link(link, dispatch);
 }
 
@@ -478,7 +502,7 @@
     return;
   }
   call = endpoint_call_new(dispatch);
-  link = idle_link(links, dispatch->endpoint);
+  link = take_idle_link(links, dispatch->endpoint);
   call->text = request_text(links, dispatch, caller, body);
   if (caller != NULL && links->dialect->read_caller(caller, &read, NULL)) {
     call->request_id = g_strdup(read.request.id);
@@ -486,20 +510,19 @@
   }
   if (link == NULL)
     link = link_new(links, dispatch);
-  carry(link, call);
+  set_call(link, call);
   if (caller != NULL && g_ascii_strcasecmp(caller->method, "HEAD") == 0)
     http_reader_expect_no_body(link->reader);
-  if (link->connected)
+  if (link->is_connected)
     write_call(link);
   else
     connect_link(link, dispatch);
 }
 
-/* after a whole answer this keeps the connection, else it closes it */
 void endpoint_links_cancel(EndpointLinks *links, guint64 dispatch) {
   Link *link = g_hash_table_lookup(links->calls, &dispatch);
   if (link != NULL)
-    drop(link);
+    close_and_forget(link);
 }
 
 /* }================================================================== */
@@ -527,23 +550,23 @@
 
 void endpoint_links_trim(EndpointLinks *links) {
   const EndpointLinksHooks *hooks = &links->hooks;
-  GPtrArray *endpoints = link_pool_endpoints(links->pool);
+  GPtrArray *endpoints = link_pool_idle_endpoints(links->pool);
   guint i;
   for (i = 0; i < endpoints->len; i++) {
     char *endpoint = g_strdup(endpoints->pdata[i]);
     Link *link;
-    while ((link = link_pool_oldest(links->pool, endpoint)) != NULL &&
+    while ((link = link_pool_longest_idle(links->pool, endpoint)) != NULL &&
            !hooks->keeps(hooks->data, endpoint))
-      drop(link);
+      close_and_forget(link);
     g_free(endpoint);
   }
   g_ptr_array_free(endpoints, TRUE);
 }
 
-unsigned endpoint_links_idle(const EndpointLinks *links) {
-  return link_pool_resting(links->pool);
+unsigned endpoint_links_idle_count(const EndpointLinks *links) {
+  return link_pool_idle_count(links->pool);
 }
 
-guint64 endpoint_links_opened(const EndpointLinks *links) {
+guint64 endpoint_links_opened_count(const EndpointLinks *links) {
   return links->opened;
 }
--- a/io/endpoint_links.h
+++ b/io/endpoint_links.h
@@ -1,12 +1,14 @@
 /*
 ** endpoint_links.h
-** Connections to endpoints, kept between dispatches
+** Connections to endpoints, which are kept for reuse between dispatches
 **
-** Invariants. One dispatch at a time uses a connection. A connection is
-** kept only after a whole answer that bears the id of its own request,
-** with nothing left to write and nothing more to read; any byte or end
-** while it rests closes it. A dispatch whose connection never stood has
-** certainly not run; from the first byte written on it has perhaps run.
+** The gateway hands it the router's dispatches, and gets their outcomes.
+**
+** Invariants. A connection is used by one dispatch at a time. It is kept only
+** after a whole response that is not another request's, with nothing left to
+** write and nothing more to read. Any byte or the end of the connection while
+** it is idle closes it. A dispatch whose connection was never established has
+** certainly not run; from the first byte written on, it may have run.
 */
 
 #ifndef ENDPOINT_LINKS_H
@@ -18,44 +20,65 @@
 
 typedef struct EndpointLinks EndpointLinks;
 
-/* the payload of an outcome: what goes on to the caller */
-typedef struct EndpointAnswer {
-  const HttpHead *head; /* ANSWER and STREAM_HEAD */
-  const char *bytes;    /* ANSWER: the whole body; STREAM_PIECE: events */
-  gsize size;
-} EndpointAnswer;
+/*
+** Outcome.payload: what is forwarded to the caller. It is valid during the
+** callback 'outcome'.
+*/
+typedef struct EndpointResponse {
+  const HttpHead *head; /* for OUTCOME_ANSWER and OUTCOME_STREAM_HEAD */
+  const char *bytes;    /* OUTCOME_ANSWER: the whole body;
+                        ** OUTCOME_STREAM_PIECE: whole events */
+  gsize size;           /* of 'bytes' */
+} EndpointResponse;
 
 typedef struct EndpointLinksHooks {
   void *data;
-  /* never called from within a function below */
+  /* A dispatch has ended, or a part of a stream has arrived. It is never
+  ** called from within a function below. There is none for the end of a
+  ** DISPATCH_RELEASE. */
   void (*outcome)(void *data, const Outcome *outcome);
-  /* the head of an answer that can be believed tells this about that life of
-  ** the endpoint; no dispatch may be sent or cancelled from here */
+  /* The head of a response has told this about the incarnation 'life' of the
+  ** endpoint. The response is that of the dispatch, and from the endpoint that
+  ** was meant. No dispatch may be sent or cancelled from here. */
   void (*signals)(void *data, const char *endpoint, guint32 life,
                   const EndpointSignals *signals);
-  /* so many connections to the endpoint are there, and so many rest; may be
-  ** called at any time, also from within a function below */
+  /* As LinkPoolHooks.counted. It may be called at any time, also from within
+  ** a function below. */
   void (*counted)(void *data, const char *endpoint, guint connections,
-                  guint resting);
-  /* is a connection to it that is free kept? */
+                  guint idle);
+  /* Shall a connection to the endpoint be kept when it is not in use? */
   gboolean (*keeps)(void *data, const char *endpoint);
 } EndpointLinksHooks;
 
+/* 'base' and 'dialect' are borrowed; 'hooks' is copied. */
 EndpointLinks *endpoint_links_new(struct event_base *base,
                                   const Dialect *dialect,
                                   const EndpointLinksHooks *hooks);
+/* Closes all connections, without outcomes. */
 void endpoint_links_free(EndpointLinks *links);
 
-/* send a dispatch; 'caller' and 'body' are NULL where no caller asked */
+/*
+** Sends a dispatch. 'caller' and 'body' are the head and body of the caller's
+** request, NULL for a dispatch that has no caller; they are not needed after
+** the call. The outcome is reported later.
+*/
 void endpoint_links_send(EndpointLinks *links, const Dispatch *dispatch,
                          const HttpHead *caller, const GByteArray *body);
-/* forget a dispatch and close its connection; no outcome comes any more */
+/*
+** Aborts a dispatch and closes its connection, without an outcome. It has no
+** effect on a dispatch that has ended, whose connection may be idle.
+*/
 void endpoint_links_cancel(EndpointLinks *links, guint64 dispatch);
 
-/* close resting connections that are not to be kept any more */
+/*
+** Closes idle connections, those that have been idle longest first, as long as
+** 'keeps' returns FALSE for their endpoint.
+*/
 void endpoint_links_trim(EndpointLinks *links);
 
-unsigned endpoint_links_idle(const EndpointLinks *links);
-guint64 endpoint_links_opened(const EndpointLinks *links);
+/* The number of idle connections. */
+unsigned endpoint_links_idle_count(const EndpointLinks *links);
+/* The number of connections begun since the start, failed ones included. */
+guint64 endpoint_links_opened_count(const EndpointLinks *links);
 
 #endif
--- a/io/endpoints.c
+++ b/io/endpoints.c
@@ -1,13 +1,14 @@
 /*
 ** endpoints.c
-** Engines and plain services, by evhttp
+** Calls to engines and plain services, by evhttp
 **
-** The engine's HTTP, as docs/design/interfaces.md has it:
-**   POST /v1/completions, /v1/chat/completions   prefill and decode, told
-**        apart by "kv_transfer_params" as published engines do
+** The engine's HTTP interface, which docs/design/interfaces.md describes:
+**   POST /v1/completions, /v1/chat/completions   prefill and decode, which
+**        "kv_transfer_params" distinguishes, as in published engines
 **   POST /v1/kv/import, /v1/cancel, /v1/order; GET /v1/load, /v1/streams/ID
-** 429 and 503 and 409 say "refused, not run"; 400, 404, 413 and 422 that
-** the request is at fault; anything else unexpected leaves it unknown.
+** The statuses 409, 429 and 503 mean that the engine refused the request and
+** did not run it; 400, 404, 413 and 422 that the request is invalid. Any other
+** unexpected status leaves unknown whether the request has run.
 */
 
 #include <string.h>
@@ -18,23 +19,24 @@
 
 struct Endpoints {
   Node *node;
-  GHashTable *open; /* xcall -> Calling */
+  GHashTable *open; /* xcall -> EndpointRequest, which it owns */
 };
 
-typedef struct Calling {
+/* a call in progress */
+typedef struct EndpointRequest {
   Endpoints *E;
   uint64_t xcall;
   mp_XcallOp op;
-  char id[64]; /* token and attempt, as the engine knows them */
-  HttpCall *call;
-  int status;
-  GString *buf;    /* reply, or the event that is coming in */
-  int done;        /* the stream said that it is whole */
-  uint32_t tokens; /* as its last event counted */
-} Calling;
-
-static void freecalling(void *p) {
-  Calling *c = p;
+  char id[64];     /* token and attempt: the request's id at the engine */
+  HttpCall *call;  /* NULL once it has ended, or if it could not be made */
+  int status;      /* HTTP status; 0: no response was received */
+  GString *buf;    /* the body, or the part of a stream's last line so far */
+  int done;        /* the stream contained its end mark */
+  uint32_t tokens; /* output tokens according to the stream's last event */
+} EndpointRequest;
+
+static void free_request(void *p) {
+  EndpointRequest *c = p;
   if (c->call != NULL)
     http_abort(c->call);
   g_string_free(c->buf, TRUE);
@@ -43,11 +45,11 @@
 
 /*
 ** {==================================================================
-** What comes back
+** Results
 ** ===================================================================
 */
 
-static void feed(const Calling *c, mp_EndpointEvent *x) {
+static void feed_event(const EndpointRequest *c, mp_EndpointEvent *x) {
   mp_Event e = {0};
   e.kind = MP_EV_ENDPOINT;
   x->xcall = c->xcall;
@@ -55,23 +57,27 @@
   node_feed(c->E->node, &e);
 }
 
-/* the call is over; the row goes first, since feeding may reach it */
-static void finish(Calling *c, mp_EndpointEvent *x) {
+/*
+** Ends a call with its last event. The call leaves the table first, because
+** feeding the event may look it up or abort it.
+*/
+static void finish_call(EndpointRequest *c, mp_EndpointEvent *x) {
   Endpoints *E = c->E;
   g_hash_table_steal(E->open, &c->xcall);
-  feed(c, x);
-  freecalling(c);
+  feed_event(c, x);
+  free_request(c);
 }
 
-static void fail(Calling *c, mp_EndpointFail f) {
+static void fail_call(EndpointRequest *c, mp_EndpointFail f) {
   mp_EndpointEvent x = {0};
   x.what = MP_EP_FAIL;
   x.fail = f;
   x.status = c->status;
-  finish(c, &x);
+  finish_call(c, &x);
 }
 
-static mp_EndpointFail failof(int status) {
+/* The kind of failure that a status other than 200 means. */
+static mp_EndpointFail failure_of_status(int status) {
   switch (status) {
   case 409:
   case 429:
@@ -87,12 +93,13 @@
   }
 }
 
-static uint32_t num(const json_t *j, const char *key) {
+/* A member that is a number, limited to 32 bits; 0 when it is missing. */
+static uint32_t json_uint32(const json_t *j, const char *key) {
   json_int_t v = json_integer_value(json_object_get(j, key));
   return (uint32_t)CLAMP(v, 0, UINT32_MAX);
 }
 
-static const char *str(const json_t *j, const char *key) {
+static const char *json_text(const json_t *j, const char *key) {
   return json_string_value(json_object_get(j, key));
 }
 
@@ -104,29 +111,33 @@
 ** ===================================================================
 */
 
-/* one event's JSON; 0 when the stream can't be trusted any more */
-static int piece(Calling *c, const json_t *j) {
+/*
+** Feeds the text of one event. Returns 0 when the event is of another request
+** or attempt, and the stream therefore cannot be trusted.
+*/
+static int feed_piece(EndpointRequest *c, const json_t *j) {
   mp_EndpointEvent x = {0};
   const json_t *usage = json_object_get(j, "usage");
   const json_t *choice = json_array_get(json_object_get(j, "choices"), 0);
-  const char *id = str(j, "id");
-  const char *text = str(choice, "text");
+  const char *id = json_text(j, "id");
+  const char *text = json_text(choice, "text");
   if (id == NULL || strcmp(id, c->id) != 0)
-    return 0; /* not this attempt's */
+    return 0; /* another request or attempt */
   if (json_is_object(usage))
-    c->tokens = num(usage, "completion_tokens");
+    c->tokens = json_uint32(usage, "completion_tokens");
   if (text == NULL)
     return 1;
   x.what = MP_EP_PIECE;
-  x.index = num(j, "index");
-  x.tokens = num(j, "tokens");
+  x.index = json_uint32(j, "index");
+  x.tokens = json_uint32(j, "tokens");
   x.text = text;
   x.len = strlen(text);
-  feed(c, &x);
+  feed_event(c, &x);
   return 1;
 }
 
-static int event(Calling *c, const char *line) {
+/* Handles one line of a stream. Returns 0 when it is invalid. */
+static int handle_line(EndpointRequest *c, const char *line) {
   json_t *j;
   int ok;
   if (!g_str_has_prefix(line, "data: "))
@@ -138,15 +149,18 @@
   j = json_loads(line + 6, JSON_REJECT_DUPLICATES, NULL);
   if (j == NULL)
     return 0;
-  ok = piece(c, j);
+  ok = feed_piece(c, j);
   json_decref(j);
   return ok;
 }
 
-/* feed whole lines; feeding may end the call, so look it up each time */
-static void stream(Endpoints *E, uint64_t xcall) {
+/*
+** Handles the complete lines received so far. Feeding an event may end the
+** call, so it is looked up again for each line.
+*/
+static void handle_lines(Endpoints *E, uint64_t xcall) {
   for (;;) {
-    Calling *c = g_hash_table_lookup(E->open, &xcall);
+    EndpointRequest *c = g_hash_table_lookup(E->open, &xcall);
     char *nl = c != NULL ? memchr(c->buf->str, '\n', c->buf->len) : NULL;
     char *line;
     int ok;
@@ -155,18 +169,19 @@
     line = g_strndup(c->buf->str, (gsize)(nl - c->buf->str));
     g_string_erase(c->buf, 0, nl + 1 - c->buf->str);
     g_strchomp(line);
-    ok = event(c, line);
+    ok = handle_line(c, line);
     g_free(line);
     if (!ok) {
       c = g_hash_table_lookup(E->open, &xcall);
       if (c != NULL)
-        fail(c, MP_EPF_BROKEN);
+        fail_call(c, MP_EPF_BROKEN);
       return;
     }
   }
 }
 
-static int streams(const Calling *c) {
+/* Is the response of this call a stream? */
+static int is_streamed(const EndpointRequest *c) {
   return (c->op == MP_X_DECODE || c->op == MP_X_RESUME) && c->status == 200;
 }
 
@@ -174,23 +189,24 @@
 
 /*
 ** {==================================================================
-** Whole replies
+** Responses that are not streamed
 ** ===================================================================
 */
 
-static int prefilled(const json_t *j, mp_EndpointEvent *x) {
+/* Reads the response to a prefill; 0 when it is invalid. */
+static int parse_prefill(const json_t *j, mp_EndpointEvent *x) {
   const json_t *kv = json_object_get(j, "kv_transfer_params");
-  const char *id = str(kv, "kv_id");
+  const char *id = json_text(kv, "kv_id");
   if (id == NULL)
     return 0;
   x->text = id;
   x->len = strlen(id);
-  x->life_ms = num(kv, "expires_ms");
-  x->cached = num(json_object_get(j, "usage"), "cached_tokens");
+  x->life_ms = json_uint32(kv, "expires_ms");
+  x->cached = json_uint32(json_object_get(j, "usage"), "cached_tokens");
   return 1;
 }
 
-static mp_Role role(const char *s) {
+static mp_Role parse_role(const char *s) {
   if (s != NULL && strcmp(s, "prefill") == 0)
     return MP_ROLE_PREFILL;
   if (s != NULL && strcmp(s, "decode") == 0)
@@ -198,17 +214,22 @@
   return MP_ROLE_PLAIN;
 }
 
-static int load(const json_t *j, mp_LoadAnswer *l, mp_HoldNews *hold,
-                unsigned most) {
+/*
+** Reads the response to a load query; 0 when it is invalid. At most 'most' of
+** the reservations that it lists are stored in 'hold', which '*l' then refers
+** to.
+*/
+static int parse_load(const json_t *j, mp_LoadAnswer *l, mp_HoldNews *hold,
+                      unsigned most) {
   const json_t *holds = json_object_get(j, "holds");
   size_t i;
-  if (str(j, "role") == NULL)
+  if (json_text(j, "role") == NULL)
     return 0;
-  l->role = role(str(j, "role"));
-  l->slots = num(j, "slots");
-  l->used = num(j, "used");
-  l->queued_tokens = num(j, "queued_tokens");
-  l->rate = num(j, "rate");
+  l->role = parse_role(json_text(j, "role"));
+  l->slots = json_uint32(j, "slots");
+  l->used = json_uint32(j, "used");
+  l->queued_tokens = json_uint32(j, "queued_tokens");
+  l->rate = json_uint32(j, "rate");
   l->fence = (uint64_t)json_integer_value(json_object_get(j, "fence"));
   l->leaving = json_is_true(json_object_get(j, "leaving"));
   for (i = 0; i < json_array_size(holds) && l->nhold < most; i++) {
@@ -221,9 +242,11 @@
   return 1;
 }
 
-#define MAXHOLDS 512 /* holds read from one load answer */
+/* limit of reservations read from one response to a load query */
+#define MAX_HOLDS 512
 
-static void whole(Calling *c) {
+/* Ends a call whose response is complete and has status 200. */
+static void finish_whole_response(EndpointRequest *c) {
   mp_EndpointEvent x = {0};
   mp_LoadAnswer l = {0};
   mp_HoldNews *hold = NULL;
@@ -231,16 +254,16 @@
   int ok = 1;
   x.what = MP_EP_DONE;
   if (c->op == MP_X_PREFILL)
-    ok = prefilled(j, &x);
+    ok = parse_prefill(j, &x);
   else if (c->op == MP_X_LOAD) {
-    hold = g_new0(mp_HoldNews, MAXHOLDS);
-    ok = load(j, &l, hold, MAXHOLDS);
+    hold = g_new0(mp_HoldNews, MAX_HOLDS);
+    ok = parse_load(j, &l, hold, MAX_HOLDS);
     x.load = &l;
   }
   if (ok)
-    finish(c, &x);
+    finish_call(c, &x);
   else
-    fail(c, MP_EPF_BROKEN);
+    fail_call(c, MP_EPF_BROKEN);
   g_free(hold);
   json_decref(j);
 }
@@ -249,70 +272,71 @@
 
 /*
 ** {==================================================================
-** Hooks
+** Callbacks of the HTTP call
 ** ===================================================================
 */
 
-static void onhead(void *ud, int status, struct evkeyvalq *headers) {
-  Calling *c = ud;
+static void on_head(void *ud, int status, struct evkeyvalq *headers) {
+  EndpointRequest *c = ud;
   mp_EndpointEvent x = {0};
   c->status = status;
   x.what = MP_EP_HEAD;
   x.status = status;
   x.head = headers;
-  if (c->op == MP_X_PLAIN || streams(c))
-    feed(c, &x);
+  if (c->op == MP_X_PLAIN || is_streamed(c))
+    feed_event(c, &x);
 }
 
-static void ondata(void *ud, const char *s, size_t n) {
-  Calling *c = ud;
+static void on_data(void *ud, const char *s, size_t n) {
+  EndpointRequest *c = ud;
   mp_EndpointEvent x = {0};
   if (c->op == MP_X_PLAIN) {
     x.what = MP_EP_PIECE;
     x.text = s;
     x.len = n;
-    feed(c, &x);
+    feed_event(c, &x);
     return;
   }
   g_string_append_len(c->buf, s, (gssize)n);
-  if (streams(c))
-    stream(c->E, c->xcall);
+  if (is_streamed(c))
+    handle_lines(c->E, c->xcall);
 }
 
-static void onend(void *ud, HttpEnd end, int status) {
-  Calling *c = ud;
+static void on_end(void *ud, HttpEnd end, int status) {
+  EndpointRequest *c = ud;
   mp_EndpointEvent x = {0};
   c->call = NULL;
   c->status = status;
   if (end == HTTP_END_CONNECT)
-    fail(c, MP_EPF_CONNECT);
+    fail_call(c, MP_EPF_CONNECT);
   else if (end == HTTP_END_BROKEN)
-    fail(c, MP_EPF_BROKEN);
+    fail_call(c, MP_EPF_BROKEN);
   else if (c->op == MP_X_PLAIN) {
     x.what = MP_EP_DONE;
-    finish(c, &x);
+    finish_call(c, &x);
   } else if (status != 200)
-    fail(c, failof(status));
-  else if (!streams(c))
-    whole(c);
+    fail_call(c, failure_of_status(status));
+  else if (!is_streamed(c))
+    finish_whole_response(c);
   else if (c->done) {
     x.what = MP_EP_DONE;
     x.tokens = c->tokens;
-    finish(c, &x);
+    finish_call(c, &x);
   } else
-    fail(c, MP_EPF_BROKEN); /* it ended without saying so */
+    fail_call(c, MP_EPF_BROKEN); /* the stream ended without its end mark */
 }
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** What goes out
+** Requests
 ** ===================================================================
 */
 
-/* the caller's own JSON with what the engine needs beside it */
-static json_t *work(const Calling *c, const CallBody *b, const mp_Xcall *x) {
+/* The caller's JSON with the members that the engine needs in addition. */
+static json_t *work_json(const EndpointRequest *c, const CallBody *b,
+                         const mp_Xcall *x) {
   json_t *j = json_copy(b->json);
   int prefill = x->op == MP_X_PREFILL;
   json_object_set_new(j, "request_id", json_string(c->id));
@@ -329,7 +353,8 @@
   return j;
 }
 
-static json_t *control(const Calling *c, const mp_Xcall *x) {
+/* The body of a request that has no caller; NULL for other operations. */
+static json_t *control_json(const EndpointRequest *c, const mp_Xcall *x) {
   char from[24];
   switch (x->op) {
   case MP_X_IMPORT:
@@ -346,7 +371,7 @@
   }
 }
 
-static enum evhttp_cmd_type method(const char *s) {
+static enum evhttp_cmd_type method_code(const char *s) {
   static const struct {
     const char *name;
     enum evhttp_cmd_type m;
@@ -362,9 +387,10 @@
   return EVHTTP_REQ_POST;
 }
 
-static const HttpHooks hooks = {onhead, ondata, onend};
+static const HttpHooks hooks = {on_head, on_data, on_end};
 
-static void sendplain(Calling *c, const CallBody *b, const mp_Xcall *x) {
+static void send_plain(EndpointRequest *c, const CallBody *b,
+                       const mp_Xcall *x) {
   HttpHeader h[] = {{"X-Request-Id", c->id},
                     {"Content-Type", b->content_type},
                     {NULL, NULL}};
@@ -372,12 +398,13 @@
   if (b->content_type == NULL)
     h[1].name = NULL;
   c->call =
-      http_call(c->E->node->base, x->endpoint, method(b->method), b->uri, h,
-                (const char *)evbuffer_pullup(b->raw, -1), n, &hooks, c);
+      http_call(c->E->node->base, x->endpoint, method_code(b->method), b->uri,
+                h, (const char *)evbuffer_pullup(b->raw, -1), n, &hooks, c);
 }
 
-static void sendjson(Calling *c, const mp_Xcall *x, const char *uri,
-                     json_t *j) {
+/* Sends a POST with the body 'j', whose reference it takes over; or a GET. */
+static void send_json(EndpointRequest *c, const mp_Xcall *x, const char *uri,
+                      json_t *j) {
   static const HttpHeader h[] = {{"Content-Type", "application/json"},
                                  {NULL, NULL}};
   char *s = j != NULL ? json_dumps(j, JSON_COMPACT) : NULL;
@@ -388,75 +415,76 @@
   json_decref(j);
 }
 
-static void sendwork(Calling *c, const mp_Xcall *x) {
+static void send_work(EndpointRequest *c, const mp_Xcall *x) {
   const CallBody *b = callers_body(c->E->node->callers, x->call);
   if (b == NULL)
-    return; /* the caller is gone; the core hears of it by itself */
+    return; /* the caller has disconnected; callers.c tells the core */
   if (x->op == MP_X_PLAIN)
-    sendplain(c, b, x);
+    send_plain(c, b, x);
   else
-    sendjson(c, x, b->uri, work(c, b, x));
+    send_json(c, x, b->uri, work_json(c, b, x));
 }
 
-static void sendout(Calling *c, const mp_Xcall *x) {
+static void send_call(EndpointRequest *c, const mp_Xcall *x) {
   char uri[128];
   switch (x->op) {
   case MP_X_PREFILL:
   case MP_X_DECODE:
   case MP_X_PLAIN:
-    sendwork(c, x);
+    send_work(c, x);
     break;
   case MP_X_RESUME:
     g_snprintf(uri, sizeof uri, "/v1/streams/%s?from=%u", c->id,
                x->from_token);
-    sendjson(c, x, uri, NULL);
+    send_json(c, x, uri, NULL);
     break;
   case MP_X_IMPORT:
-    sendjson(c, x, "/v1/kv/import", control(c, x));
+    send_json(c, x, "/v1/kv/import", control_json(c, x));
     break;
   case MP_X_CANCEL:
-    sendjson(c, x, "/v1/cancel", control(c, x));
+    send_json(c, x, "/v1/cancel", control_json(c, x));
     break;
   case MP_X_LOAD:
-    sendjson(c, x, "/v1/load", NULL);
+    send_json(c, x, "/v1/load", NULL);
     break;
   case MP_X_ORDER:
-    sendjson(c, x, "/v1/order", control(c, x));
+    send_json(c, x, "/v1/order", control_json(c, x));
     break;
   }
 }
 
-/* it could not even be begun */
-typedef struct Stillborn {
+/* a call that could not be made */
+typedef struct UnsentCall {
   Endpoints *E;
   uint64_t xcall;
-} Stillborn;
+} UnsentCall;
 
-static void failnow(evutil_socket_t fd, short what, void *arg) {
-  Stillborn *b = arg;
-  Calling *c = g_hash_table_lookup(b->E->open, &b->xcall);
+/* Reports a call that could not be made, unless it was aborted meanwhile. */
+static void fail_unsent_call(evutil_socket_t fd, short what, void *arg) {
+  UnsentCall *b = arg;
+  EndpointRequest *c = g_hash_table_lookup(b->E->open, &b->xcall);
   (void)fd;
   (void)what;
   if (c != NULL)
-    fail(c, MP_EPF_CONNECT);
+    fail_call(c, MP_EPF_CONNECT);
   g_free(b);
 }
 
 void endpoints_call(Endpoints *E, const mp_Xcall *x) {
-  Calling *c = g_new0(Calling, 1);
+  EndpointRequest *c = g_new0(EndpointRequest, 1);
   c->E = E;
   c->xcall = x->xcall;
   c->op = x->op;
   c->buf = g_string_new(NULL);
   mp_token_text(&x->token, x->attempt, c->id);
   g_hash_table_insert(E->open, &c->xcall, c);
-  sendout(c, x);
+  send_call(c, x);
   if (c->call == NULL) {
-    Stillborn *b = g_new0(Stillborn, 1);
+    UnsentCall *b = g_new0(UnsentCall, 1);
     struct timeval now = {0, 0};
     b->E = E;
     b->xcall = x->xcall;
-    event_base_once(E->node->base, -1, EV_TIMEOUT, failnow, b, &now);
+    event_base_once(E->node->base, -1, EV_TIMEOUT, fail_unsent_call, b, &now);
   }
 }
 
@@ -470,7 +498,7 @@
   Endpoints *E = g_new0(Endpoints, 1);
   E->node = node;
   E->open =
-      g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, freecalling);
+      g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, free_request);
   return E;
 }
 
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -98,7 +98,7 @@
 
 static void host_answer(void *data, guint64 request, const Outcome *outcome) {
   Gateway *gateway = data;
-  const EndpointAnswer *answer = outcome->payload;
+  const EndpointResponse *answer = outcome->payload;
   switch (outcome->kind) {
   case OUTCOME_STREAM_HEAD:
     front_begin(gateway->front, request, answer->head);
@@ -339,14 +339,14 @@
   CarrierCounts counts;
   int kind;
   int field;
-  counts.endpoint_connections = endpoint_links_opened(gateway->links);
+  counts.endpoint_connections = endpoint_links_opened_count(gateway->links);
   counts.store_calls = directory_store_calls(gateway->directory) +
                        store_link_calls(gateway->leases) +
                        quarantine_writer_calls(gateway->quarantine);
   counts.store_calls_left = directory_store_calls_left(gateway->directory);
   counts.log_lines_left_out = log_left_out(gateway->log);
   counts.log_lines_lost = log_lost(gateway->log);
-  counts.idle_endpoint_connections = endpoint_links_idle(gateway->links);
+  counts.idle_endpoint_connections = endpoint_links_idle_count(gateway->links);
   counts.news_role =
       relay_role_name(relay_group_role(gateway->group, clock_now()));
   counts.store_era = relay_group_era(gateway->group);
--- a/io/http.c
+++ b/io/http.c
@@ -7,9 +7,12 @@
 
 #include "io/http.h"
 
-#define MAXREPLY (16 << 20)
-/* seconds; the core gives up long before, this only frees the connection */
-#define MAXSILENCE 120
+#define MAX_REPLY_BYTES (16 << 20)
+/*
+** Seconds without any data after which the connection is freed. The core
+** abandons a call long before.
+*/
+#define IDLE_TIMEOUT_S 120
 
 struct HttpCall {
   struct event_base *base;
@@ -17,13 +20,13 @@
   struct evhttp_request *req; /* NULL once evhttp has freed it */
   const HttpHooks *hooks;
   void *ud;
-  int headed;
-  int errored; /* evhttp reported an error after the connection stood */
-  int dead;    /* no callback any more */
+  int has_head; /* the header of the response was received */
+  int errored;  /* evhttp reported an error on an established connection */
+  int is_ended; /* no callback is called any more */
 };
 
-/* never free a connection inside its own callback */
-static void freelater(evutil_socket_t fd, short what, void *arg) {
+/* Frees a call from the event loop: evhttp forbids it in its callbacks. */
+static void free_call(evutil_socket_t fd, short what, void *arg) {
   HttpCall *c = arg;
   (void)fd;
   (void)what;
@@ -33,52 +36,52 @@
   g_free(c);
 }
 
-static void release(HttpCall *c) {
+static void free_call_later(HttpCall *c) {
   struct timeval now = {0, 0};
-  c->dead = 1;
-  event_base_once(c->base, -1, EV_TIMEOUT, freelater, c, &now);
+  c->is_ended = 1;
+  event_base_once(c->base, -1, EV_TIMEOUT, free_call, c, &now);
 }
 
-static int onhead(struct evhttp_request *req, void *arg) {
+static int on_head(struct evhttp_request *req, void *arg) {
   HttpCall *c = arg;
-  c->headed = 1;
-  if (!c->dead && c->hooks->head != NULL)
+  c->has_head = 1;
+  if (!c->is_ended && c->hooks->head != NULL)
     c->hooks->head(c->ud, evhttp_request_get_response_code(req),
                    evhttp_request_get_input_headers(req));
   return 0;
 }
 
-static void ondata(struct evhttp_request *req, void *arg) {
+static void on_data(struct evhttp_request *req, void *arg) {
   HttpCall *c = arg;
   struct evbuffer *b = evhttp_request_get_input_buffer(req);
   size_t n = evbuffer_get_length(b);
-  if (c->dead || c->hooks->data == NULL || n == 0)
+  if (c->is_ended || c->hooks->data == NULL || n == 0)
     return;
   c->hooks->data(c->ud, (const char *)evbuffer_pullup(b, -1), n);
 }
 
-static void onerror(enum evhttp_request_error e, void *arg) {
+static void on_error(enum evhttp_request_error e, void *arg) {
   HttpCall *c = arg;
   (void)e;
   c->errored = 1;
 }
 
-static void ondone(struct evhttp_request *req, void *arg) {
+static void on_done(struct evhttp_request *req, void *arg) {
   HttpCall *c = arg;
   HttpEnd end = HTTP_END_OK;
   int status = req != NULL ? evhttp_request_get_response_code(req) : 0;
   c->req = NULL; /* evhttp frees it after this */
-  if (c->dead)
+  if (c->is_ended)
     return;
-  if (c->errored || (status == 0 && c->headed))
+  if (c->errored || (status == 0 && c->has_head))
     end = HTTP_END_BROKEN;
   else if (status == 0)
     end = HTTP_END_CONNECT;
-  release(c);
+  free_call_later(c);
   c->hooks->end(c->ud, end, status);
 }
 
-static void addheaders(struct evkeyvalq *q, mp_Addr to, const HttpHeader *h) {
+static void add_headers(struct evkeyvalq *q, mp_Addr to, const HttpHeader *h) {
   char host[24];
   mp_addr_text(to, host);
   evhttp_add_header(q, "Host", host);
@@ -100,24 +103,24 @@
   c->ud = ud;
   c->conn =
       evhttp_connection_base_new(base, NULL, host, (uint16_t)(to & 0xffff));
-  evhttp_connection_set_max_body_size(c->conn, MAXREPLY);
-  evhttp_connection_set_timeout(c->conn, MAXSILENCE);
-  c->req = evhttp_request_new(ondone, c);
-  evhttp_request_set_header_cb(c->req, onhead);
-  evhttp_request_set_chunked_cb(c->req, ondata);
-  evhttp_request_set_error_cb(c->req, onerror);
-  addheaders(evhttp_request_get_output_headers(c->req), to, headers);
+  evhttp_connection_set_max_body_size(c->conn, MAX_REPLY_BYTES);
+  evhttp_connection_set_timeout(c->conn, IDLE_TIMEOUT_S);
+  c->req = evhttp_request_new(on_done, c);
+  evhttp_request_set_header_cb(c->req, on_head);
+  evhttp_request_set_chunked_cb(c->req, on_data);
+  evhttp_request_set_error_cb(c->req, on_error);
+  add_headers(evhttp_request_get_output_headers(c->req), to, headers);
   if (n > 0)
     evbuffer_add(evhttp_request_get_output_buffer(c->req), body, n);
   if (evhttp_make_request(c->conn, c->req, method, uri) != 0) {
     c->req = NULL; /* freed by evhttp */
-    release(c);
+    free_call_later(c);
     return NULL;
   }
   return c;
 }
 
 void http_abort(HttpCall *c) {
-  if (!c->dead)
-    release(c);
+  if (!c->is_ended)
+    free_call_later(c);
 }
--- a/io/http.h
+++ b/io/http.h
@@ -1,8 +1,11 @@
 /*
 ** http.h
 ** One HTTP call as a client, over evhttp
-** Each call has a connection of its own: whether a failed call may have
-** run is then known from whether that connection ever stood.
+**
+** Each call has a connection of its own. Whether a failed call may have been
+** executed then follows from whether that connection was ever established.
+** Used by platform.c, endpoints.c, the command line client, tests and
+** benchmarks.
 */
 
 #ifndef HTTP_H
@@ -18,15 +21,18 @@
 typedef struct HttpCall HttpCall;
 
 typedef enum HttpEnd {
-  HTTP_END_OK,      /* a whole reply came */
-  HTTP_END_CONNECT, /* no connection: nothing was sent */
-  HTTP_END_BROKEN   /* the connection was lost, or the reply is nonsense */
+  HTTP_END_OK,      /* a complete response was received */
+  HTTP_END_CONNECT, /* no connection was established; nothing was sent */
+  HTTP_END_BROKEN   /* the connection was lost, or the response is invalid */
 } HttpEnd;
 
-/* callbacks; 'head' and 'data' may be NULL */
+/* Callbacks; 'head' and 'data' may be NULL. */
 typedef struct HttpHooks {
+  /* The header of the response was received. */
   void (*head)(void *ud, int status, struct evkeyvalq *headers);
+  /* A part of the body was received; 's' is valid during the callback. */
   void (*data)(void *ud, const char *s, size_t n);
+  /* The call has ended. 'status' is 0 when no response was received. */
   void (*end)(void *ud, HttpEnd end, int status);
 } HttpHooks;
 
@@ -36,16 +42,19 @@
 } HttpHeader;
 
 /*
-** Begin a call. 'headers' ends with a row whose name is NULL (or is NULL).
-** 'end' is called once, never from within this function; after it the
-** call is freed. NULL when the call cannot be made.
+** Begins a call to the address 'to', with a body of 'n' bytes that is copied.
+** 'headers' ends with an element whose name is NULL, or is itself NULL.
+** 'hooks' has to outlive the call, and 'ud' is passed to its callbacks.
+** 'end' is called once, never from within this function, and the call is
+** freed after it. Returns NULL, without calling 'end', when the call cannot
+** be made.
 */
 HttpCall *http_call(struct event_base *base, mp_Addr to,
                     enum evhttp_cmd_type method, const char *uri,
                     const HttpHeader *headers, const char *body, size_t n,
                     const HttpHooks *hooks, void *ud);
 
-/* close the connection; no callback comes any more */
+/* Closes the connection and frees the call; no callback follows. */
 void http_abort(HttpCall *c);
 
 #endif
--- a/io/link_pool.c
+++ b/io/link_pool.c
@@ -1,104 +1,113 @@
 /*
 ** link_pool.c
-** Connections by endpoint
+** The number of connections to each endpoint, and which of them are idle
 */
 
 #include "io/link_pool.h"
 
 /* the connections to one endpoint */
-typedef struct Place {
+typedef struct EndpointPool {
   guint connections;
-  GQueue resting; /* links, newest first */
-} Place;
+  GQueue idle; /* links, the one that became idle last first */
+} EndpointPool;
 
 struct LinkPool {
   LinkPoolHooks hooks;
-  GHashTable *places; /* endpoint id -> Place; none without connections */
-  guint resting;
+  GHashTable *endpoint_pools; /* endpoint id -> Place, which has 1 connection
+                                 or more */
+  guint idle;                 /* sum over all endpoints */
 };
 
-static void place_free(gpointer p) {
-  Place *place = p;
-  g_queue_clear(&place->resting);
-  g_free(place);
+static void endpoint_pool_free(gpointer p) {
+  EndpointPool *endpoint_pool = p;
+  g_queue_clear(&endpoint_pool->idle);
+  g_free(endpoint_pool);
 }
 
 LinkPool *link_pool_new(const LinkPoolHooks *hooks) {
   LinkPool *pool = g_new0(LinkPool, 1);
   pool->hooks = *hooks;
-  pool->places =
-      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, place_free);
+  pool->endpoint_pools = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
+                                               endpoint_pool_free);
   return pool;
 }
 
 void link_pool_free(LinkPool *pool) {
-  g_hash_table_destroy(pool->places);
+  g_hash_table_destroy(pool->endpoint_pools);
   g_free(pool);
 }
 
-static void tell(const LinkPool *pool, const char *endpoint,
-                 const Place *place) {
-  pool->hooks.counted(pool->hooks.data, endpoint, place->connections,
-                      place->resting.length);
+static void report_counts(const LinkPool *pool, const char *endpoint,
+                          const EndpointPool *endpoint_pool) {
+  pool->hooks.counted(pool->hooks.data, endpoint, endpoint_pool->connections,
+                      endpoint_pool->idle.length);
 }
 
 void link_pool_opened(LinkPool *pool, const char *endpoint) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  if (place == NULL) {
-    place = g_new0(Place, 1);
-    g_queue_init(&place->resting);
-    g_hash_table_insert(pool->places, g_strdup(endpoint), place);
+  EndpointPool *endpoint_pool =
+      g_hash_table_lookup(pool->endpoint_pools, endpoint);
+  if (endpoint_pool == NULL) {
+    endpoint_pool = g_new0(EndpointPool, 1);
+    g_queue_init(&endpoint_pool->idle);
+    g_hash_table_insert(pool->endpoint_pools, g_strdup(endpoint),
+                        endpoint_pool);
   }
-  place->connections++;
-  tell(pool, endpoint, place);
+  endpoint_pool->connections++;
+  report_counts(pool, endpoint, endpoint_pool);
 }
 
 void link_pool_closed(LinkPool *pool, const char *endpoint, gpointer link) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  g_assert(place != NULL);
-  if (g_queue_remove(&place->resting, link))
-    pool->resting--;
-  place->connections--;
-  tell(pool, endpoint, place);
-  if (place->connections == 0)
-    g_hash_table_remove(pool->places, endpoint);
+  EndpointPool *endpoint_pool =
+      g_hash_table_lookup(pool->endpoint_pools, endpoint);
+  g_assert(endpoint_pool != NULL);
+  if (g_queue_remove(&endpoint_pool->idle, link))
+    pool->idle--;
+  endpoint_pool->connections--;
+  report_counts(pool, endpoint, endpoint_pool);
+  if (endpoint_pool->connections == 0)
+    g_hash_table_remove(pool->endpoint_pools, endpoint);
 }
 
-void link_pool_rest(LinkPool *pool, const char *endpoint, gpointer link) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  g_assert(place != NULL);
-  g_queue_push_head(&place->resting, link);
-  pool->resting++;
-  tell(pool, endpoint, place);
+void link_pool_put_idle(LinkPool *pool, const char *endpoint, gpointer link) {
+  EndpointPool *endpoint_pool =
+      g_hash_table_lookup(pool->endpoint_pools, endpoint);
+  g_assert(endpoint_pool != NULL);
+  g_queue_push_head(&endpoint_pool->idle, link);
+  pool->idle++;
+  report_counts(pool, endpoint, endpoint_pool);
 }
 
-gpointer link_pool_take(LinkPool *pool, const char *endpoint) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  gpointer link = place != NULL ? g_queue_pop_head(&place->resting) : NULL;
+gpointer link_pool_take_idle(LinkPool *pool, const char *endpoint) {
+  EndpointPool *endpoint_pool =
+      g_hash_table_lookup(pool->endpoint_pools, endpoint);
+  gpointer link =
+      endpoint_pool != NULL ? g_queue_pop_head(&endpoint_pool->idle) : NULL;
   if (link == NULL)
     return NULL;
-  pool->resting--;
-  tell(pool, endpoint, place);
+  pool->idle--;
+  report_counts(pool, endpoint, endpoint_pool);
   return link;
 }
 
-gpointer link_pool_oldest(const LinkPool *pool, const char *endpoint) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  return place != NULL ? g_queue_peek_tail(&place->resting) : NULL;
+gpointer link_pool_longest_idle(const LinkPool *pool, const char *endpoint) {
+  EndpointPool *endpoint_pool =
+      g_hash_table_lookup(pool->endpoint_pools, endpoint);
+  return endpoint_pool != NULL ? g_queue_peek_tail(&endpoint_pool->idle)
+                               : NULL;
 }
 
-guint link_pool_resting(const LinkPool *pool) {
-  return pool->resting;
+guint link_pool_idle_count(const LinkPool *pool) {
+  return pool->idle;
 }
 
-GPtrArray *link_pool_endpoints(const LinkPool *pool) {
+GPtrArray *link_pool_idle_endpoints(const LinkPool *pool) {
   GPtrArray *found = g_ptr_array_new();
   GHashTableIter iterator;
   gpointer endpoint;
   gpointer value;
-  g_hash_table_iter_init(&iterator, pool->places);
+  g_hash_table_iter_init(&iterator, pool->endpoint_pools);
   while (g_hash_table_iter_next(&iterator, &endpoint, &value)) {
-    if (((const Place *)value)->resting.length > 0)
+    if (((const EndpointPool *)value)->idle.length > 0)
       g_ptr_array_add(found, endpoint);
   }
   return found;
--- a/io/link_pool.h
+++ b/io/link_pool.h
@@ -1,7 +1,10 @@
 /*
 ** link_pool.h
-** Connections by endpoint: how many there are, and which of them rest
-** The pool owns no connection; whoever opens and closes them tells it.
+** The number of connections to each endpoint, and which of them are idle
+**
+** The pool owns no connection. Its user, endpoint_links.c, reports each
+** connection that it opens and closes. A 'link' is the user's pointer to a
+** connection; an endpoint is named by its id.
 */
 
 #ifndef LINK_POOL_H
@@ -13,29 +16,40 @@
 
 typedef struct LinkPoolHooks {
   void *data;
-  /* the counts at an endpoint have changed */
+  /* The numbers of an endpoint's connections have changed: 'connections' in
+  ** all, 'idle' of them idle. */
   void (*counted)(void *data, const char *endpoint, guint connections,
-                  guint resting);
+                  guint idle);
 } LinkPoolHooks;
 
 LinkPool *link_pool_new(const LinkPoolHooks *hooks);
 void link_pool_free(LinkPool *pool);
 
-/* a connection to the endpoint is there, in use; or it is gone, from use or
-** from rest */
+/* Adds a connection to the endpoint. It is in use. */
 void link_pool_opened(LinkPool *pool, const char *endpoint);
+/* Removes a connection, in use or idle. */
 void link_pool_closed(LinkPool *pool, const char *endpoint, gpointer link);
 
-/* a connection rests until it is taken */
-void link_pool_rest(LinkPool *pool, const char *endpoint, gpointer link);
-/* the one that rested last, for use; NULL: none rests */
-gpointer link_pool_take(LinkPool *pool, const char *endpoint);
-/* the one that rests longest, which stays; NULL: none rests */
-gpointer link_pool_oldest(const LinkPool *pool, const char *endpoint);
-
-/* resting connections, over all endpoints */
-guint link_pool_resting(const LinkPool *pool);
-/* ids of the endpoints at which some rest; free the array, not the ids */
-GPtrArray *link_pool_endpoints(const LinkPool *pool);
+/* Makes a connection in use idle, until it is taken. */
+void link_pool_put_idle(LinkPool *pool, const char *endpoint, gpointer link);
+/*
+** Returns the connection that became idle last, which is in use from then on;
+** NULL when none is idle.
+*/
+gpointer link_pool_take_idle(LinkPool *pool, const char *endpoint);
+/*
+** Returns the connection that has been idle longest, which stays idle; NULL
+** when none is idle.
+*/
+gpointer link_pool_longest_idle(const LinkPool *pool, const char *endpoint);
+
+/* The number of idle connections to all endpoints. */
+guint link_pool_idle_count(const LinkPool *pool);
+/*
+** The ids of the endpoints that have idle connections. The caller frees the
+** array, but not the ids, which are valid while such an endpoint has any
+** connection.
+*/
+GPtrArray *link_pool_idle_endpoints(const LinkPool *pool);
 
 #endif
--- a/io/log.c
+++ b/io/log.c
@@ -13,14 +13,14 @@
 
 #include "io/log.h"
 
-/* lines of one event number a second, below the level "warn" */
+/* limit of lines with one event number and a level below "warn" */
 #define LINES_PER_SECOND 100
-/* bytes kept while the pipe is full */
+/* bytes of buffered output above which further lines are dropped */
 #define MAX_PENDING (256 << 10)
-/* longest fields of one line, bytes */
+/* size of the buffer for the fields of one line, in bytes */
 #define MAX_FIELDS 512
 
-/* how many lines of one event number were written in this second */
+/* the lines of one event number in one second of the wall clock */
 typedef struct Quota {
   int number;
   time_t second;
@@ -32,11 +32,11 @@
   int fd;
   char *path;
   mp_Level least;
-  GString *pending;   /* not taken by the pipe yet */
+  GString *pending;   /* output that is not written yet */
   GHashTable *quotas; /* event number -> Quota */
   guint64 left_out;
   guint64 lost;
-  guint64 lost_told;
+  guint64 lost_reported; /* the part of 'lost' that a line has reported */
 };
 
 static const char *const levels[] = {"debug", "info", "warn", "fault"};
@@ -54,12 +54,15 @@
 
 /*
 ** {==================================================================
-** Writing without waiting
+** Non-blocking writes
 ** ===================================================================
 */
 
-/* a pipe's writer would wait for its reader: never do */
-static void never_wait(int fd) {
+/*
+** Makes a pipe or socket non-blocking, because a write would otherwise wait
+** for its reader. Files of other kinds are left as they are.
+*/
+static void set_nonblocking(int fd) {
   struct stat st;
   int flags;
   if (fstat(fd, &st) != 0 || !(S_ISFIFO(st.st_mode) || S_ISSOCK(st.st_mode)))
@@ -74,11 +77,11 @@
   if (path != NULL)
     fd = open(path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   if (fd >= 0)
-    never_wait(fd);
+    set_nonblocking(fd);
   return fd;
 }
 
-static void flush(Log *l) {
+static void write_pending(Log *l) {
   while (l->pending->len > 0) {
     ssize_t n = write(l->fd, l->pending->str, l->pending->len);
     if (n < 0 && errno == EINTR)
@@ -89,8 +92,8 @@
   }
 }
 
-static void append(Log *l, const struct timespec *now, int no, mp_Level level,
-                   const char *text, const char *fields) {
+static void append_line(Log *l, const struct timespec *now, int no,
+                        mp_Level level, const char *text, const char *fields) {
   struct tm tm;
   char when[32];
   gmtime_r(&now->tv_sec, &tm);
@@ -103,20 +106,20 @@
 static void write_line(Log *l, const struct timespec *now, int no,
                        mp_Level level, const char *text, const char *fields) {
   char count[48];
-  flush(l);
+  write_pending(l);
   if (l->pending->len > MAX_PENDING) {
     l->lost++;
     return;
   }
-  if (l->lost > l->lost_told) {
+  if (l->lost > l->lost_reported) {
     g_snprintf(count, sizeof count, " count=%" G_GUINT64_FORMAT,
-               l->lost - l->lost_told);
-    l->lost_told = l->lost;
-    append(l, now, MP_LOG_LINES_LOST, MP_WARN,
-           mp_event_text(MP_LOG_LINES_LOST), count);
+               l->lost - l->lost_reported);
+    l->lost_reported = l->lost;
+    append_line(l, now, MP_LOG_LINES_LOST, MP_WARN,
+                mp_event_text(MP_LOG_LINES_LOST), count);
   }
-  append(l, now, no, level, text, fields);
-  flush(l);
+  append_line(l, now, no, level, text, fields);
+  write_pending(l);
 }
 
 /* }================================================================== */
@@ -127,7 +130,7 @@
 ** ===================================================================
 */
 
-static Quota *quota_of(Log *l, int no) {
+static Quota *find_or_add_quota(Log *l, int no) {
   Quota *quota = g_hash_table_lookup(l->quotas, GINT_TO_POINTER(no));
   if (quota == NULL) {
     quota = g_new0(Quota, 1);
@@ -137,8 +140,8 @@
   return quota;
 }
 
-/* a new second: tell what the last one left out */
-static void turn(Log *l, Quota *quota, const struct timespec *now) {
+/* Starts a new second, after reporting what the previous one left out. */
+static void start_second(Log *l, Quota *quota, const struct timespec *now) {
   char fields[64];
   if (quota->left_out > 0) {
     g_snprintf(fields, sizeof fields, " number=E%d count=%u", quota->number,
@@ -151,10 +154,10 @@
   quota->left_out = 0;
 }
 
-static int within_quota(Log *l, int no, const struct timespec *now) {
-  Quota *quota = quota_of(l, no);
+static int count_against_quota(Log *l, int no, const struct timespec *now) {
+  Quota *quota = find_or_add_quota(l, no);
   if (quota->second != now->tv_sec)
-    turn(l, quota, now);
+    start_second(l, quota, now);
   if (quota->written++ < LINES_PER_SECOND)
     return 1;
   quota->left_out++;
@@ -188,7 +191,7 @@
     return;
   fd = open_log(l->path);
   if (fd < 0)
-    return; /* better the old file than none */
+    return; /* keep the old file rather than none */
   close(l->fd);
   l->fd = fd;
 }
@@ -199,7 +202,7 @@
   if (level < l->least)
     return;
   clock_gettime(CLOCK_REALTIME, &now);
-  if (level < MP_WARN && !within_quota(l, no, &now))
+  if (level < MP_WARN && !count_against_quota(l, no, &now))
     return;
   write_line(l, &now, no, level, text, fields);
 }
@@ -223,7 +226,7 @@
 }
 
 void log_free(Log *l) {
-  flush(l);
+  write_pending(l);
   if (l->path != NULL)
     close(l->fd);
   g_string_free(l->pending, TRUE);
--- a/io/log.h
+++ b/io/log.h
@@ -1,12 +1,14 @@
 /*
 ** log.h
-** The logger: one line an event, "time level number text key=value ..."
+** The logger: one line for each event, "time level number text key=value ..."
 **
-** Writing never waits: what a full pipe does not take is kept up to a
-** limit and then counted as lost. The volume is bounded: of the lines of
-** one event number below the level "warn", so many a second are written
-** and the others counted and summed up in one line. Lines of failures are
-** never left out for their number.
+** Writing never blocks. What a full pipe does not accept is buffered up to a
+** limit (MAX_PENDING in log.c); lines beyond it are dropped and counted as
+** lost. The volume is bounded as well: of the lines with one event number
+** and a level below "warn", at most LINES_PER_SECOND are written in each
+** second of the wall clock; the others are counted as left out, and one line
+** reports their number. Lines of the levels "warn" and "fault" have no such
+** limit.
 */
 
 #ifndef LOG_H
@@ -16,26 +18,42 @@
 
 typedef struct Log Log;
 
-/* 'path' NULL: standard output. 'least' drops lines below that level */
+/*
+** Opens a log that appends to the file 'path', or writes to standard output
+** when 'path' is NULL. Lines below the level 'least' are discarded. Returns
+** NULL and sets 'err' when the file cannot be opened.
+*/
 Log *log_new(const char *path, mp_Level least, GError **err);
+/* Writes what is buffered, as far as that is possible without blocking. */
 void log_free(Log *l);
 
-/* open the file anew, after it was moved away (SIGHUP) */
+/*
+** Reopens the file by its path, for use after log rotation (SIGHUP). The old
+** file stays in use when that fails.
+*/
 void log_reopen(Log *l);
 
-/* 'fields' begins with a space or is empty */
+/* Writes one line. 'fields' begins with a space or is empty. */
 void log_event(Log *l, int no, mp_Level level, const char *text,
                const char *fields);
 
-/* an event with the catalogue's level and text; fields as by printf */
+/*
+** Writes one line with the level and text that the list of events (mplog.h)
+** gives for 'number', and with fields formatted as by printf. Fields are
+** truncated to MAX_FIELDS - 1 bytes.
+*/
 void log_numbered(Log *l, mp_EventNo number, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
-/* lines left out for their number, and lines lost to a full pipe */
+/* The number of lines that exceeded the limit per second, since log_new(). */
 guint64 log_left_out(const Log *l);
+/* The number of lines dropped because of a full pipe, since log_new(). */
 guint64 log_lost(const Log *l);
 
-/* "debug", "info", "warn", "fault"; 0 when it is none of them */
+/*
+** Stores the level named 's' ("debug", "info", "warn" or "fault") in '*out'
+** and returns 1; returns 0 for any other name.
+*/
 int log_level(const char *s, mp_Level *out);
 
 #endif
--- a/io/node.c
+++ b/io/node.c
@@ -3,8 +3,8 @@
 ** One instance: the core, and the adapters that perform its effects
 **
 ** Effects are performed one by one after each event. No adapter feeds an
-** event while an effect is performed; what must come at once is deferred
-** to the loop.
+** event while an effect is performed; an event that arises meanwhile is
+** deferred to the event loop.
 */
 
 #include <string.h>
@@ -45,7 +45,7 @@
   }
 }
 
-static void rearm(Node *node) {
+static void start_timer(Node *node) {
   mp_Time wait = mp_wake(node->state) - clock_now();
   struct timeval t;
   wait = CLAMP(wait, 0, 10 * MP_SEC);
@@ -62,10 +62,10 @@
   while (mp_take(node->state, &fx))
     perform(node, &fx);
   node->performing = 0;
-  rearm(node);
+  start_timer(node);
 }
 
-static void ontimer(evutil_socket_t fd, short what, void *arg) {
+static void on_timer(evutil_socket_t fd, short what, void *arg) {
   mp_Event e = {0};
   (void)fd;
   (void)what;
@@ -73,7 +73,7 @@
   node_feed(arg, &e);
 }
 
-static mp_State *newcore(const NodeOptions *o) {
+static mp_State *new_core(const NodeOptions *o) {
   mp_Options m = {0};
   struct timespec t;
   clock_gettime(CLOCK_REALTIME, &t);
@@ -95,8 +95,8 @@
   mp_Event e = {0};
   node->base = base;
   node->log = log;
-  node->timer = evtimer_new(base, ontimer, node);
-  node->state = newcore(o);
+  node->timer = evtimer_new(base, on_timer, node);
+  node->state = new_core(o);
   node->endpoints = endpoints_new(node);
   node->platform = platform_new(node, o->platform);
   node->peers = peers_new(node, o->rpc, err);
--- a/io/node.h
+++ b/io/node.h
@@ -1,6 +1,11 @@
 /*
 ** node.h
-** One instance: the core, and the adapters that perform its effects
+** One instance of madderpierd: the core, and the adapters that perform its
+** effects (adapters.h)
+**
+** The core is a state machine without input or output of its own. An adapter
+** hands it an event by node_feed(); the effects that the core returns are
+** performed before node_feed() returns.
 */
 
 #ifndef NODE_H
@@ -17,28 +22,28 @@
 typedef struct Platform Platform;
 typedef struct Ops Ops;
 
-/* what an instance needs to know; see docs/SETTINGS.md */
+/* The settings of an instance; see docs/SETTINGS.md. */
 typedef struct NodeOptions {
-  const char *dc;
-  mp_Addr callers; /* HTTP for callers */
-  mp_Addr rpc;     /* UDP for other instances */
-  mp_Addr ops;     /* HTTP for operators */
-  mp_Addr platform;
-  const mp_Addr *seeds;
+  const char *dc;       /* data centre */
+  mp_Addr callers;      /* listens for callers (HTTP) */
+  mp_Addr rpc;          /* listens for other instances (UDP) */
+  mp_Addr ops;          /* listens for operators (HTTP) */
+  mp_Addr platform;     /* the platform's object API (HTTP) */
+  const mp_Addr *seeds; /* RPC addresses of instances to contact first */
   unsigned nseed;
-  uint32_t net, mask; /* network of the instance set */
-  uint32_t max_body;  /* bytes */
-  uint32_t max_headers;
-  uint32_t caller_timeout_s;
+  uint32_t net, mask;        /* network that instances belong to */
+  uint32_t max_body;         /* bytes of a request body */
+  uint32_t max_headers;      /* number of header fields of a request */
+  uint32_t caller_timeout_s; /* seconds without progress of a caller */
 } NodeOptions;
 
 typedef struct Node {
   struct event_base *base;
   mp_State *state;
   Log *log;
-  struct event *timer;
-  int performing;
-  int drained; /* the core said that nothing is left */
+  struct event *timer; /* next time at which the core has something to do */
+  int performing;      /* effects are being performed */
+  int drained;         /* the core reported that its drain is complete */
   Callers *callers;
   Endpoints *endpoints;
   Peers *peers;
@@ -46,12 +51,18 @@
   Ops *ops;
 } Node;
 
-/* NULL and an error when an address cannot be bound */
+/*
+** Starts an instance. Returns NULL and sets 'err' when an address cannot be
+** bound. 'base' and 'log' are borrowed and have to outlive the node.
+*/
 Node *node_new(struct event_base *base, const NodeOptions *o, Log *log,
                GError **err);
 void node_free(Node *node);
 
-/* hand an event to the core and perform what it wants */
+/*
+** Hands an event to the core and performs the resulting effects. It must not
+** be called while effects are performed.
+*/
 void node_feed(Node *node, const mp_Event *e);
 
 #endif
--- a/io/ops.c
+++ b/io/ops.c
@@ -1,6 +1,7 @@
 /*
 ** ops.c
-** Operators: live, ready, counters, status, drain; over evhttp
+** HTTP interface for operators, by evhttp: liveness, readiness, metrics,
+** status, and the start of a drain
 */
 
 #include <string.h>
@@ -15,8 +16,8 @@
   struct evhttp *http;
 };
 
-static void replytext(struct evhttp_request *r, int status, const char *type,
-                      const char *s) {
+static void reply_text(struct evhttp_request *r, int status, const char *type,
+                       const char *s) {
   struct evbuffer *b = evbuffer_new();
   evhttp_add_header(evhttp_request_get_output_headers(r), "Content-Type",
                     type);
@@ -25,29 +26,30 @@
   evbuffer_free(b);
 }
 
-static void replyjson(struct evhttp_request *r, json_t *j) {
+static void reply_json(struct evhttp_request *r, json_t *j) {
   char *s = json_dumps(j, JSON_INDENT(1) | JSON_SORT_KEYS);
-  replytext(r, 200, "application/json", s);
+  reply_text(r, 200, "application/json", s);
   free(s);
   json_decref(j);
 }
 
-/* the process runs its loop */
-static void live(struct evhttp_request *r, void *arg) {
+/* GET /live: answering at all shows that the event loop runs. */
+static void on_live(struct evhttp_request *r, void *arg) {
   (void)arg;
-  replytext(r, 200, "text/plain", "live\n");
+  reply_text(r, 200, "text/plain", "live\n");
 }
 
-/* new work may be sent here */
-static void ready(struct evhttp_request *r, void *arg) {
+/* GET /ready: 200 when new requests may be sent to this instance, else 503. */
+static void on_ready(struct evhttp_request *r, void *arg) {
   const Ops *O = arg;
   mp_Status s;
   mp_status(O->node->state, &s);
-  replytext(r, s.ready ? 200 : 503, "text/plain",
-            s.ready ? "ready\n" : "not ready\n");
+  reply_text(r, s.ready ? 200 : 503, "text/plain",
+             s.ready ? "ready\n" : "not ready\n");
 }
 
-static void metrics(struct evhttp_request *r, void *arg) {
+/* GET /metrics, in the text format of Prometheus. */
+static void on_metrics(struct evhttp_request *r, void *arg) {
   const Ops *O = arg;
   GString *g = g_string_new(NULL);
   mp_Status s;
@@ -65,11 +67,11 @@
                          "madderpier_instances %u\n",
                          (guint64)s.config_version, s.requests, s.holds,
                          s.claims, s.members);
-  replytext(r, 200, "text/plain", g->str);
+  reply_text(r, 200, "text/plain", g->str);
   g_string_free(g, TRUE);
 }
 
-static json_t *endpoints(const mp_State *state) {
+static json_t *endpoints_json(const mp_State *state) {
   json_t *a = json_array();
   mp_EndpointInfo e;
   char addr[24];
@@ -90,7 +92,7 @@
   return a;
 }
 
-static json_t *members(const mp_State *state) {
+static json_t *members_json(const mp_State *state) {
   static const char *const states[] = {"alive", "suspect", "leaving", "dead"};
   json_t *a = json_array();
   mp_MemberInfo m;
@@ -106,35 +108,37 @@
   return a;
 }
 
-static void status(struct evhttp_request *r, void *arg) {
+/* GET /status: the instance, the other instances and the endpoints as JSON. */
+static void on_status(struct evhttp_request *r, void *arg) {
   const Ops *O = arg;
   mp_Status s;
   mp_status(O->node->state, &s);
-  replyjson(r, json_pack("{s:I, s:I, s:i, s:i, s:b, s:b, s:o, s:o}",
-                         "config_version", (json_int_t)s.config_version,
-                         "list_version", (json_int_t)s.list_version,
-                         "requests", (int)s.requests, "reservations",
-                         (int)s.holds, "draining", s.draining, "ready",
-                         s.ready, "instances", members(O->node->state),
-                         "endpoints", endpoints(O->node->state)));
+  reply_json(r, json_pack("{s:I, s:I, s:i, s:i, s:b, s:b, s:o, s:o}",
+                          "config_version", (json_int_t)s.config_version,
+                          "list_version", (json_int_t)s.list_version,
+                          "requests", (int)s.requests, "reservations",
+                          (int)s.holds, "draining", s.draining, "ready",
+                          s.ready, "instances", members_json(O->node->state),
+                          "endpoints", endpoints_json(O->node->state)));
 }
 
-static void drain(struct evhttp_request *r, void *arg) {
+/* POST /drain: begins a planned stop. */
+static void on_drain(struct evhttp_request *r, void *arg) {
   Ops *O = arg;
   mp_Event e = {0};
   if (evhttp_request_get_command(r) != EVHTTP_REQ_POST) {
-    replytext(r, 405, "text/plain", "use POST\n");
+    reply_text(r, 405, "text/plain", "use POST\n");
     return;
   }
   e.kind = MP_EV_DRAIN;
   node_feed(O->node, &e);
-  replytext(r, 202, "text/plain", "draining\n");
+  reply_text(r, 202, "text/plain", "draining\n");
 }
 
-static void other(struct evhttp_request *r, void *arg) {
+static void on_unknown_path(struct evhttp_request *r, void *arg) {
   (void)arg;
-  replytext(r, 404, "text/plain",
-            "use /live, /ready, /metrics, /status or POST /drain\n");
+  reply_text(r, 404, "text/plain",
+             "use /live, /ready, /metrics, /status or POST /drain\n");
 }
 
 Ops *ops_new(Node *node, mp_Addr at, GError **err) {
@@ -154,12 +158,12 @@
   }
   evhttp_set_max_body_size(O->http, 4096);
   evhttp_set_timeout(O->http, 10);
-  evhttp_set_cb(O->http, "/live", live, O);
-  evhttp_set_cb(O->http, "/ready", ready, O);
-  evhttp_set_cb(O->http, "/metrics", metrics, O);
-  evhttp_set_cb(O->http, "/status", status, O);
-  evhttp_set_cb(O->http, "/drain", drain, O);
-  evhttp_set_gencb(O->http, other, O);
+  evhttp_set_cb(O->http, "/live", on_live, O);
+  evhttp_set_cb(O->http, "/ready", on_ready, O);
+  evhttp_set_cb(O->http, "/metrics", on_metrics, O);
+  evhttp_set_cb(O->http, "/status", on_status, O);
+  evhttp_set_cb(O->http, "/drain", on_drain, O);
+  evhttp_set_gencb(O->http, on_unknown_path, O);
   return O;
 }
 
--- a/io/peers.c
+++ b/io/peers.c
@@ -1,6 +1,6 @@
 /*
 ** peers.c
-** Other instances, ONC RPC over one UDP socket
+** Messages to and from other instances: ONC RPC over one UDP socket
 */
 
 #include <string.h>
@@ -10,7 +10,7 @@
 #include "io/datagram.h"
 #include "wire/rpc.h"
 
-/* datagrams read in one go, before others get their turn */
+/* limit of datagrams read before other events of the loop are handled */
 #define READ_BURST 64
 
 struct Peers {
@@ -22,21 +22,23 @@
 void peers_send(Peers *P, mp_Addr to, const mp_Msg *m) {
   char out[MP_MAXDGRAM];
   size_t n = rpc_encode(m, out, sizeof out);
-  g_assert(n > 0); /* limits in mpconf.h keep every message in a datagram */
+  /* the limits in mpconf.h let every message fit into a datagram */
+  g_assert(n > 0);
   datagram_send(P->fd, to, out, n);
 }
 
-static mp_MsgKind kindof(void *ud, uint32_t seq) {
+/* The kind of the call with the number 'seq' whose reply is awaited. */
+static mp_MsgKind pending_call_kind(void *ud, uint32_t seq) {
   const Peers *P = ud;
   return mp_pending(P->node->state, seq);
 }
 
-static void took(Peers *P, mp_Addr from, const char *s, size_t n) {
+static void handle_datagram(Peers *P, mp_Addr from, const char *s, size_t n) {
   mp_Msg m;
   char out[MP_MAXDGRAM];
   size_t nout;
   mp_Event e = {0};
-  switch (rpc_decode(s, n, kindof, P, &m, out, sizeof out, &nout)) {
+  switch (rpc_decode(s, n, pending_call_kind, P, &m, out, sizeof out, &nout)) {
   case RPC_CALL:
   case RPC_REPLY:
     e.kind = MP_EV_MSG;
@@ -52,17 +54,17 @@
   }
 }
 
-static void onread(evutil_socket_t fd, short what, void *arg) {
+static void on_readable(evutil_socket_t fd, short what, void *arg) {
   Peers *P = arg;
   int i;
   (void)what;
   for (i = 0; i < READ_BURST; i++) {
-    char in[MP_MAXDGRAM + 1]; /* one more, so that too long ones show */
+    char in[MP_MAXDGRAM + 1]; /* 1 more, to detect datagrams that are longer */
     mp_Addr from;
     ssize_t n = datagram_receive(fd, in, sizeof in, &from);
     if (n < 0)
       break;
-    took(P, from, in, (size_t)n);
+    handle_datagram(P, from, in, (size_t)n);
   }
 }
 
@@ -74,7 +76,7 @@
   P = g_new0(Peers, 1);
   P->node = node;
   P->fd = fd;
-  P->ev = event_new(node->base, fd, EV_READ | EV_PERSIST, onread, P);
+  P->ev = event_new(node->base, fd, EV_READ | EV_PERSIST, on_readable, P);
   event_add(P->ev, NULL);
   return P;
 }
--- a/io/platform.c
+++ b/io/platform.c
@@ -1,13 +1,14 @@
 /*
 ** platform.c
-** The platform's object API, by evhttp
+** Calls of the platform's object API, by evhttp
 **
-**   GET  /objects/KEY            200 and X-Resource-Version, or 404
-**   GET  /objects/KEY?watch=V    the same once the version is not V, or 304
-**   PUT  /objects/KEY?version=V  200 when V is the version (0: absent), or
-**                                409
-** 429 and 503 say that nothing was done. This is the one file to write
-** anew for another API.
+**   GET  /objects/KEY            200 with X-Resource-Version, or 404
+**   GET  /objects/KEY?watch=V    the same as soon as the version differs from
+**                                V, or 304
+**   PUT  /objects/KEY?version=V  200 when V was the current version (0 when
+**                                there was no object), otherwise 409
+** 429 and 503 mean that nothing was changed. A different object API needs a
+** replacement for this file alone.
 */
 
 #include <string.h>
@@ -18,25 +19,27 @@
 struct Platform {
   Node *node;
   mp_Addr at;
-  GHashTable *open; /* Storing, as a set */
+  GHashTable *open; /* calls in progress: set of StoreRequest */
 };
 
-typedef struct Storing {
+/* a call in progress */
+typedef struct StoreRequest {
   Platform *P;
   uint64_t op;
-  int write;
-  uint64_t version;
-  GString *value;
-  HttpCall *call;
-} Storing;
+  int write;        /* a PUT; otherwise a GET */
+  uint64_t version; /* X-Resource-Version of the response; 0: none */
+  GString *value;   /* body of the response */
+  HttpCall *call;   /* NULL once it has ended, or if it could not be made */
+} StoreRequest;
 
-static void freestoring(void *p) {
-  Storing *s = p;
+static void free_store_request(void *p) {
+  StoreRequest *s = p;
   g_string_free(s->value, TRUE);
   g_free(s);
 }
 
-static void feed(Storing *s, mp_StoreStatus status) {
+/* Feeds the outcome of a call to the core and frees the call. */
+static void feed_outcome(StoreRequest *s, mp_StoreStatus status) {
   mp_Event e = {0};
   Platform *P = s->P;
   e.kind = MP_EV_STORE;
@@ -49,20 +52,26 @@
   g_hash_table_remove(P->open, s);
 }
 
-static void head(void *ud, int status, struct evkeyvalq *headers) {
-  Storing *s = ud;
+static void on_head(void *ud, int status, struct evkeyvalq *headers) {
+  StoreRequest *s = ud;
   const char *v = evhttp_find_header(headers, "X-Resource-Version");
   (void)status;
   if (v != NULL)
     s->version = g_ascii_strtoull(v, NULL, 10);
 }
 
-static void data(void *ud, const char *b, size_t n) {
-  Storing *s = ud;
+static void on_data(void *ud, const char *b, size_t n) {
+  StoreRequest *s = ud;
   g_string_append_len(s->value, b, (gssize)n);
 }
 
-static mp_StoreStatus status(const Storing *s, HttpEnd end, int code) {
+/*
+** The outcome of a call. A PUT whose response is missing or unexpected is
+** MP_STORE_UNKNOWN, because it may have taken effect. A GET in that case is
+** MP_STORE_DOWN, because it changes nothing.
+*/
+static mp_StoreStatus call_outcome(const StoreRequest *s, HttpEnd end,
+                                   int code) {
   if (end == HTTP_END_CONNECT || code == 429 || code == 503)
     return MP_STORE_DOWN;
   if (end == HTTP_END_OK && code == 200 && s->version > 0)
@@ -74,21 +83,22 @@
   return s->write ? MP_STORE_UNKNOWN : MP_STORE_DOWN;
 }
 
-static void done(void *ud, HttpEnd end, int code) {
-  Storing *s = ud;
+static void on_end(void *ud, HttpEnd end, int code) {
+  StoreRequest *s = ud;
   s->call = NULL;
-  feed(s, status(s, end, code));
+  feed_outcome(s, call_outcome(s, end, code));
 }
 
-static void failed(evutil_socket_t fd, short what, void *arg) {
+/* Reports a call that could not be made, from the event loop. */
+static void on_not_made(evutil_socket_t fd, short what, void *arg) {
   (void)fd;
   (void)what;
-  feed(arg, MP_STORE_DOWN);
+  feed_outcome(arg, MP_STORE_DOWN);
 }
 
 void platform_call(Platform *P, const mp_StoreCall *c) {
-  static const HttpHooks hooks = {head, data, done};
-  Storing *s = g_new0(Storing, 1);
+  static const HttpHooks hooks = {on_head, on_data, on_end};
+  StoreRequest *s = g_new0(StoreRequest, 1);
   struct timeval now = {0, 0};
   char uri[256];
   int n = g_snprintf(uri, sizeof uri, "/objects/%s", c->key);
@@ -104,14 +114,14 @@
                       s->write ? EVHTTP_REQ_PUT : EVHTTP_REQ_GET, uri, NULL,
                       c->value, c->len, &hooks, s);
   if (s->call == NULL)
-    event_base_once(P->node->base, -1, EV_TIMEOUT, failed, s, &now);
+    event_base_once(P->node->base, -1, EV_TIMEOUT, on_not_made, s, &now);
 }
 
 Platform *platform_new(Node *node, mp_Addr at) {
   Platform *P = g_new0(Platform, 1);
   P->node = node;
   P->at = at;
-  P->open = g_hash_table_new_full(NULL, NULL, freestoring, NULL);
+  P->open = g_hash_table_new_full(NULL, NULL, free_store_request, NULL);
   return P;
 }
 
@@ -120,7 +130,7 @@
   gpointer k;
   g_hash_table_iter_init(&it, P->open);
   while (g_hash_table_iter_next(&it, &k, NULL)) {
-    Storing *s = k;
+    StoreRequest *s = k;
     if (s->call != NULL)
       http_abort(s->call);
   }
--- a/io/sockets.c
+++ b/io/sockets.c
@@ -1,6 +1,6 @@
 /*
 ** sockets.c
-** Socket addresses, and outgoing TCP connections as bufferevents
+** Socket addresses, and TCP connections as bufferevents
 */
 
 #include <netinet/tcp.h>
--- a/io/sockets.h
+++ b/io/sockets.h
@@ -1,6 +1,6 @@
 /*
 ** sockets.h
-** Socket addresses, and outgoing TCP connections as bufferevents
+** Socket addresses, and TCP connections as bufferevents
 */
 
 #ifndef IO_SOCKETS_H
@@ -12,15 +12,21 @@
 
 #include "madderpier.h"
 
-/* an address as socket calls take it */
+/* Converts an IPv4 address and port to the form that socket calls take. */
 struct sockaddr_in socket_address(mp_Addr address);
 
-/* begin to connect; FALSE: that failed at once. Otherwise an event tells */
+/*
+** Begins to connect. Returns FALSE when that fails at once; otherwise the
+** event callback of the bufferevent reports the outcome.
+*/
 gboolean socket_connect(struct bufferevent *events, mp_Addr address);
 
-/* a connection that stands: no delay for small writes, and it ends when the
-** peer's kernel has not taken data for so long, milliseconds (a cut path says
-** nothing) */
+/*
+** Sets the options of an established connection: small writes are sent
+** without delay (TCP_NODELAY), and the connection fails when data that was
+** sent has not been acknowledged for 'unacked_ms' milliseconds
+** (TCP_USER_TIMEOUT), because a broken network path reports no error.
+*/
 void socket_set_options(struct bufferevent *events, int unacked_ms);
 
 #endif
--- a/test/test_links.cc
+++ b/test/test_links.cc
@@ -55,7 +55,7 @@
 
   static void on_outcome(void *data, const Outcome *outcome) {
     auto *self = static_cast<Links *>(data);
-    const auto *answer = static_cast<const EndpointAnswer *>(outcome->payload);
+    const auto *answer = static_cast<const EndpointResponse *>(outcome->payload);
     Told one = {outcome->kind, outcome->status, "", ""};
     if (answer != nullptr && answer->bytes != nullptr)
       one.bytes.assign(answer->bytes, answer->size);
@@ -255,7 +255,7 @@
   ended(first);
   endpoint.peers[0]->send_text(answer("stray"));
   settle();
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
   guint64 second = dispatch();
   asked(1)->send_text(answer("two"));
   EXPECT_EQ(ended(second).bytes, "two");
@@ -270,7 +270,7 @@
   EXPECT_TRUE(told[first].empty());
   peer->send_text(answer("mine"));
   EXPECT_EQ(ended(first).bytes, "mine");
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
 }
 
 TEST_F(Links, WithoutALengthAGoodEndIsTheEnd) {
@@ -342,14 +342,14 @@
   Told end = ended(first);
   EXPECT_EQ(end.kind, OUTCOME_ANSWER);
   EXPECT_EQ(end.status, 413);
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
 }
 
 TEST_F(Links, ALeavingEndpointsConnectionIsNotKept) {
   guint64 first = dispatch();
   asked(0)->send_text(answer("one", "Connection: close\r\n"));
   ended(first);
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
 }
 
 TEST_F(Links, ARefusedConnectionWasCertainlyNotRun) {
