--- a/daemon/madderpierd.c
+++ b/daemon/madderpierd.c
@@ -122,7 +122,7 @@
   event_free(intr);
   event_free(hup);
   if (gateway != NULL)
-    return gateway_drained(gateway) ? 0 : EXIT_CUT;
+    return gateway_is_drained(gateway) ? 0 : EXIT_CUT;
   return node->drained ? 0 : EXIT_CUT;
 }
 
--- a/io/directory.c
+++ b/io/directory.c
@@ -1,6 +1,6 @@
 /*
 ** directory.c
-** Keeps the router in step with the store
+** Keeps the router in step with the store, and registers this instance there
 */
 
 #include <string.h>
@@ -10,29 +10,35 @@
 #include "io/clock.h"
 #include "io/store_link.h"
 
-/* a call that enters this instance is given up after this */
-#define CALL_PATIENCE (1000 * MP_MS)
-/* the first such call, on which the start waits; it takes some milliseconds */
-#define FIRST_CALL_PATIENCE (400 * MP_MS)
-/* the wait before an instance tries again to enter its own object */
-#define REGISTER_RETRY (2 * MP_SEC)
-/* its own object was removed or spoilt by another writer: it stands again
-** after this, and two instances under one name do not write without a pause */
-#define ENTER_AGAIN (300 * MP_MS)
-/* a restored store may have lost the entries of all instances: they write them
-** again within this, one after the other by chance */
-#define ENTER_SPREAD (700 * MP_MS)
-/* a new instance gives those that start beside it this time to enter
-** themselves, before it lists all: they start within 300 ms of each other */
-#define SETTLE (500 * MP_MS)
-/* pauses after news of a kind, so that more news cost no call each */
+/* how long the store may stay silent in a call that registers this instance */
+#define CALL_TIMEOUT (1000 * MP_MS)
+/* the same for the first such call, which delays the start; it usually takes
+** some milliseconds */
+#define FIRST_CALL_TIMEOUT (400 * MP_MS)
+/* wait before a failed registration is tried again */
+#define REGISTER_RETRY_DELAY (2 * MP_SEC)
+/* wait before this instance registers again, after another writer has removed
+** or changed its object; it keeps two instances of the same name from writing
+** without a pause */
+#define REREGISTER_DELAY (300 * MP_MS)
+/* upper limit of a random addition to that wait: a store that was restored
+ *from
+ ** a copy may have lost the objects of all instances, which then write them at
+ ** different times */
+#define REREGISTER_JITTER (700 * MP_MS)
+/* wait between the registration of a new instance and its first list of all
+** instances, so that those that start with it can register as well: they start
+** within 300 ms of each other */
+#define FIRST_LIST_DELAY (500 * MP_MS)
+/* pauses after news of a kind, so that each further change does not cost a
+** call */
 #define CONFIGURATION_PAUSE (300 * MP_MS)
 #define ENDPOINTS_PAUSE (400 * MP_MS)
 #define INSTANCES_PAUSE (2 * MP_SEC)
-/* longest wait of a watch of the instances: they change rarely */
+/* longest wait of a watch of the instances, which change rarely */
 #define INSTANCES_WAIT (12 * MP_SEC)
-/* the same of requests that end endpoints: instances tell each other of these
-** at once, the store holds what must outlast them */
+/* the same for quarantine records: instances send them to each other at once,
+** and the store keeps them in case that the instances are lost */
 #define QUARANTINE_WAIT INSTANCES_WAIT
 #define QUARANTINE_PAUSE (300 * MP_MS)
 
@@ -43,21 +49,21 @@
   RelayGroup *group;
   Log *log;
   DirectoryHooks hooks;
-  char *instance;
-  InstanceRecord own; /* as it is entered */
-  mp_Addr callers;    /* where callers reach this instance */
+  char *instance;     /* name of this instance */
+  InstanceRecord own; /* the record of this instance to be registered */
+  mp_Addr callers;    /* DirectoryOptions.callers */
   mp_Addr *seeds;
   Following *following[MP_RELAY_KINDS]; /* by StoreKind */
   GHashTable *instances;                /* name -> InstanceRecord */
-  gboolean instances_listed;
-  /* by StoreKind and by the field that is wrong */
+  gboolean instances_listed; /* the instances have been listed once */
+  /* as directory_bad_objects, without those that have no name */
   guint64 bad_objects[MP_RELAY_KINDS][RECORD_FIELD_COUNT];
   StoreLink *registration;
-  gboolean registering;  /* a call is out */
-  gboolean entry_failed; /* the store did not take the last one */
+  gboolean registering;         /* a call to register is open */
+  gboolean registration_failed; /* the last such call failed */
   struct event *register_timer;
   gboolean is_started; /* the instances are followed */
-  struct event *settle_timer;
+  struct event *first_list_timer;
 };
 
 static void start_timer(struct event *timer, gint64 wait) {
@@ -71,9 +77,13 @@
 ** ===================================================================
 */
 
-/* told once for each revision: a follower hands an object on when it is new */
-static void bad_record(Directory *directory, StoreKind kind, const char *name,
-                       GError *error) {
+/*
+** Counts and logs an object that cannot be read, and frees 'error'. That
+** happens once for each revision, because a follower reports an object only
+** when it has changed.
+*/
+static void report_bad_record(Directory *directory, StoreKind kind,
+                              const char *name, GError *error) {
   directory->bad_objects[kind][record_fault_field(error)]++;
   log_numbered(directory->log, MP_LOG_STORE_RECORD_BAD,
                " kind=%d name=%s error=\"%s\"", (int)kind, name,
@@ -81,13 +91,13 @@
   g_clear_error(&error);
 }
 
-static void take_configuration(Directory *directory, const char *name,
-                               const char *text) {
+static void update_configuration(Directory *directory, const char *name,
+                                 const char *text) {
   GError *error = NULL;
   RouteTable *table = directory->dialect->read_configuration(
       text, router_routes(directory->router), &error);
   if (table == NULL) {
-    bad_record(directory, STORE_CONFIGURATION, name, error);
+    report_bad_record(directory, STORE_CONFIGURATION, name, error);
     return;
   }
   if (router_set_routes(directory->router, table, clock_now()))
@@ -95,13 +105,13 @@
   route_table_unref(table);
 }
 
-static void drop_endpoint(Directory *directory, const char *name) {
+static void remove_endpoint(Directory *directory, const char *name) {
   EndpointRecord record = {0};
   record.id = (char *)name;
   router_set_endpoint(directory->router, &record, TRUE, clock_now());
 }
 
-/* a request that is sent there would come back */
+/* Is it an address of this instance, so that requests sent there return? */
 static gboolean is_own(const Directory *directory, mp_Addr address) {
   return address == directory->callers || address == directory->own.control ||
          address == directory->own.exchange;
@@ -117,26 +127,35 @@
     return TRUE;
   endpoint_record_clear(out);
   g_set_error_literal(error, RECORD_FAULT, RECORD_ADDRESS,
-                      "the address is this instance's own; correct the entry");
+                      "the endpoint's address is an address of this instance; "
+                      "correct the endpoint's entry");
   return FALSE;
 }
 
-/* an entry that can't be read names nobody to use, whatever it said before;
-** runs that are under way there go on */
-static void take_endpoint(Directory *directory, const StoreObject *object) {
+/*
+** Handles a new or changed endpoint. One whose record cannot be read is
+*removed
+** from the router, whatever its record was before; requests that already run
+** there go on.
+*/
+static void update_endpoint(Directory *directory, const StoreObject *object) {
   EndpointRecord record;
   GError *error = NULL;
   if (!read_endpoint(directory, object, &record, &error)) {
-    bad_record(directory, STORE_ENDPOINTS, object->name, error);
-    drop_endpoint(directory, object->name);
+    report_bad_record(directory, STORE_ENDPOINTS, object->name, error);
+    remove_endpoint(directory, object->name);
     return;
   }
   router_set_endpoint(directory->router, &record, FALSE, clock_now());
   endpoint_record_clear(&record);
 }
 
-/* an operator lifts a hold by removing the object */
-static void take_quarantine(Directory *directory, const StoreObject *object) {
+/*
+** Handles a new, changed or removed quarantine record. An operator removes a
+** record to have its request sent to endpoints again.
+*/
+static void update_quarantine(Directory *directory,
+                              const StoreObject *object) {
   QuarantineRecord record = {0};
   GError *error = NULL;
   guint64 content;
@@ -149,32 +168,32 @@
     router_take_quarantine(directory->router, &record, object->position,
                            clock_now());
   else
-    bad_record(directory, STORE_QUARANTINE, object->name, error);
+    report_bad_record(directory, STORE_QUARANTINE, object->name, error);
 }
 
-static gboolean is_entered(const Directory *directory);
-static void take_instance(Directory *directory, const StoreObject *object);
-static void tell_instances(Directory *directory);
-static void enter(Directory *directory);
+static gboolean is_registered(const Directory *directory);
+static void update_instance(Directory *directory, const StoreObject *object);
+static void report_instances(Directory *directory);
+static void register_instance(Directory *directory);
 
 static void on_object(void *data, StoreKind kind, const StoreObject *object) {
   Directory *directory = data;
   switch (kind) {
   case STORE_INSTANCES:
-    take_instance(directory, object);
+    update_instance(directory, object);
     break;
   case STORE_CONFIGURATION:
-    if (!object->gone) /* without one, the last one stays in force */
-      take_configuration(directory, object->name, object->text);
+    if (!object->gone) /* after a removal, the last one stays in force */
+      update_configuration(directory, object->name, object->text);
     break;
   case STORE_QUARANTINE:
-    take_quarantine(directory, object);
+    update_quarantine(directory, object);
     break;
   default:
     if (object->gone)
-      drop_endpoint(directory, object->name);
+      remove_endpoint(directory, object->name);
     else
-      take_endpoint(directory, object);
+      update_endpoint(directory, object);
   }
 }
 
@@ -190,8 +209,8 @@
   if (kind == STORE_INSTANCES) {
     directory->instances_listed = TRUE;
     g_hash_table_foreach_remove(directory->instances, is_unlisted, names);
-    tell_instances(directory);
-    enter(directory);
+    report_instances(directory);
+    register_instance(directory);
   }
   if (kind == STORE_ENDPOINTS)
     router_keep_endpoints(directory->router, names, clock_now());
@@ -211,7 +230,7 @@
 
 /*
 ** {==================================================================
-** Instances: each keeps one object under its own name
+** Instances: each has one object in the store, under its own name
 ** ===================================================================
 */
 
@@ -220,18 +239,19 @@
   g_free(p);
 }
 
+/* Is the instance in this data centre, and do both answer for the store? */
 static gboolean is_near(const Directory *directory,
                         const InstanceRecord *instance) {
   return instance->control != 0 && directory->own.control != 0 &&
          strcmp(instance->zone, directory->own.zone) == 0;
 }
 
-/* the other instances: everywhere, here, and elsewhere */
+/* the instances other than this one */
 typedef struct Others {
-  GArray *all;     /* mp_Addr */
-  GArray *near;    /* mp_Addr */
-  GArray *members; /* RelayMember, of this data centre */
-  GArray *far;     /* RelayMember */
+  GArray *all;     /* mp_Addr: those of all data centres */
+  GArray *near;    /* mp_Addr: those of this data centre (is_near) */
+  GArray *members; /* RelayMember: the same */
+  GArray *far;     /* RelayMember: those of other data centres */
 } Others;
 
 static void others_add(const Directory *directory, Others *others,
@@ -268,7 +288,7 @@
   g_array_free(others->far, TRUE);
 }
 
-static void tell_instances(Directory *directory) {
+static void report_instances(Directory *directory) {
   unsigned count = g_hash_table_size(directory->instances);
   Others others;
   others_collect(directory, &others);
@@ -280,7 +300,7 @@
   others_clear(&others);
 }
 
-static void take_instance(Directory *directory, const StoreObject *object) {
+static void update_instance(Directory *directory, const StoreObject *object) {
   InstanceRecord read = {0};
   GError *error = NULL;
   if (object->gone)
@@ -289,15 +309,16 @@
     g_hash_table_replace(directory->instances, g_strdup(object->name),
                          g_memdup2(&read, sizeof read));
   } else {
-    /* whose it is writes it again, once it reads its own (is_entered) */
+    /* its owner writes it again when it sees the object (is_registered) */
     instance_record_clear(&read);
-    bad_record(directory, STORE_INSTANCES, object->name, error);
+    report_bad_record(directory, STORE_INSTANCES, object->name, error);
     g_hash_table_remove(directory->instances, object->name);
   }
   if (directory->instances_listed)
-    tell_instances(directory);
-  if (strcmp(object->name, directory->instance) == 0 && !is_entered(directory))
-    start_timer(directory->register_timer, ENTER_AGAIN);
+    report_instances(directory);
+  if (strcmp(object->name, directory->instance) == 0 &&
+      !is_registered(directory))
+    start_timer(directory->register_timer, REREGISTER_DELAY);
 }
 
 static mp_Addr control_of(void *data, mp_Addr exchange) {
@@ -313,7 +334,8 @@
   return 0;
 }
 
-/* this instance's own object, if the store has it in its present era */
+/* The object of this instance; NULL if it is not in the store's present era.
+ */
 static const FollowedObject *own_object(const Directory *directory) {
   const Follower *follower =
       following_follower(directory->following[STORE_INSTANCES]);
@@ -325,7 +347,8 @@
   return object;
 }
 
-static gboolean is_entered(const Directory *directory) {
+/* Does the store have this instance's object, with the right record? */
+static gboolean is_registered(const Directory *directory) {
   const InstanceRecord *entered =
       g_hash_table_lookup(directory->instances, directory->instance);
   return own_object(directory) != NULL && entered != NULL &&
@@ -335,74 +358,82 @@
          strcmp(entered->zone, directory->own.zone) == 0;
 }
 
-/* the object's position when one stands there that says something else */
-static StorePosition entered_position(const Directory *directory) {
+/* The position of the object to be replaced, or none when there is none. */
+static StorePosition registered_position(const Directory *directory) {
   const FollowedObject *object = own_object(directory);
   return object != NULL ? object->position : store_position_none();
 }
 
-/* have this instance's own object stand in the store */
-static void enter(Directory *directory) {
+/* Registers this instance, unless it is registered or a call is open. */
+static void register_instance(Directory *directory) {
   StoreCall call = {0};
-  if (directory->registering || is_entered(directory))
+  if (directory->registering || is_registered(directory))
     return;
   directory->registering = TRUE;
   call.kind = STORE_INSTANCES;
-  call.position = entered_position(directory);
+  call.position = registered_position(directory);
   call.operation =
       store_position_is_none(call.position) ? STORE_CREATE : STORE_REPLACE;
   call.name = directory->instance;
   call.instance = &directory->own;
   store_link_call(directory->registration, &call,
-                  directory->is_started ? CALL_PATIENCE : FIRST_CALL_PATIENCE);
+                  directory->is_started ? CALL_TIMEOUT : FIRST_CALL_TIMEOUT);
 }
 
 static void on_register_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  enter(data);
+  register_instance(data);
 }
 
-static void begin_following(Directory *directory) {
+static void follow_instances(Directory *directory) {
   directory->is_started = TRUE;
-  following_look(directory->following[STORE_INSTANCES]);
+  following_poll(directory->following[STORE_INSTANCES]);
 }
 
-static void on_settle_timer(evutil_socket_t fd, short what, void *data) {
+static void on_first_list_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  begin_following(data);
+  follow_instances(data);
 }
 
-/* one that has been there before finds the others at once */
-static void begin_after(Directory *directory, StoreStatus status) {
+/*
+** Begins to follow the instances after the first attempt to register: after a
+** wait when this instance is new, and at once when its object existed already
+** or the store has failed.
+*/
+static void follow_after_registration(Directory *directory,
+                                      StoreStatus status) {
   if (directory->is_started)
     return;
   if (status == STORE_FAILED)
     relay_group_begin_alone(directory->group);
   if (status == STORE_OK)
-    start_timer(directory->settle_timer, SETTLE);
+    start_timer(directory->first_list_timer, FIRST_LIST_DELAY);
   else
-    begin_following(directory);
+    follow_instances(directory);
 }
 
-/* whether it took effect is seen in the instances that are followed */
+/*
+** Handles the reply to a registration. Whether it took effect is seen in the
+** objects that are followed.
+*/
 static void on_register_reply(void *data, const StoreReply *reply,
                               const GError *error) {
   Directory *directory = data;
   directory->registering = FALSE;
   relay_group_hear_era(directory->group, reply->at.era);
-  directory->entry_failed = reply->status == STORE_FAILED;
+  directory->registration_failed = reply->status == STORE_FAILED;
   event_del(directory->register_timer);
-  if (directory->entry_failed) {
+  if (directory->registration_failed) {
     log_numbered(directory->log, MP_LOG_NOT_ENTERED, " error=\"%s\"",
                  error->message);
-    start_timer(directory->register_timer, REGISTER_RETRY);
-  } else if (!is_entered(directory) && reply->status != STORE_OK)
-    /* another object stands there, and its revision was not known: the list
-    ** that tells it may have been taken while this call was out */
-    start_timer(directory->register_timer, ENTER_AGAIN);
-  begin_after(directory, reply->status);
+    start_timer(directory->register_timer, REGISTER_RETRY_DELAY);
+  } else if (!is_registered(directory) && reply->status != STORE_OK)
+    /* another object exists, whose revision was not known here; the list that
+    ** contains it may have been read while this call was open */
+    start_timer(directory->register_timer, REREGISTER_DELAY);
+  follow_after_registration(directory, reply->status);
 }
 
 /* }================================================================== */
@@ -414,14 +445,14 @@
 */
 
 /*
-** The store answers: an entry that failed is made up for at once. Until it is
-** there nobody counts this instance, and limits, budgets and relays miss it
-** (the retry timer alone would let 2 s pass).
+** The store has answered a call. A failed registration is repeated at once
+** rather than after the retry delay of 2 s, because until it is registered
+** this instance is not counted in limits, retry budgets and relays.
 */
-static void on_answered(void *data) {
+static void on_store_answer(void *data) {
   Directory *directory = data;
-  if (directory->entry_failed)
-    enter(directory);
+  if (directory->registration_failed)
+    register_instance(directory);
   directory->hooks.news(directory->hooks.data);
 }
 
@@ -430,7 +461,7 @@
   FollowingHost host = {
       {directory, on_object, on_listed, on_lost, on_regained},
       control_of,
-      on_answered};
+      on_store_answer};
   FollowingOptions follow = {0};
   follow.kind = kind;
   follow.watch_wait = watch_wait;
@@ -481,10 +512,11 @@
   directory->registration = store_link_new(
       base, options->store, &dialect->store, on_register_reply, directory);
   directory->register_timer = evtimer_new(base, on_register_timer, directory);
-  directory->settle_timer = evtimer_new(base, on_settle_timer, directory);
+  directory->first_list_timer =
+      evtimer_new(base, on_first_list_timer, directory);
   follow_all(directory, options);
-  enter(directory);
-  directory_look(directory);
+  register_instance(directory);
+  directory_poll(directory);
   return directory;
 }
 
@@ -494,7 +526,7 @@
     following_free(directory->following[kind]);
   store_link_free(directory->registration);
   event_free(directory->register_timer);
-  event_free(directory->settle_timer);
+  event_free(directory->first_list_timer);
   g_hash_table_destroy(directory->instances);
   instance_record_clear(&directory->own);
   g_free(directory->instance);
@@ -502,59 +534,64 @@
   g_free(directory);
 }
 
-/* a restored store may have lost this instance's entry */
-static void look_at_entry(Directory *directory) {
+/*
+** Starts the timer to register again, if the store has lost this instance's
+** object, which happens when it is restored from a copy.
+*/
+static void check_registration(Directory *directory) {
   gint64 wait;
   if (!directory->instances_listed || directory->registering ||
-      is_entered(directory) ||
+      is_registered(directory) ||
       event_pending(directory->register_timer, EV_TIMEOUT, NULL))
     return;
-  wait = ENTER_AGAIN + g_random_int_range(0, ENTER_SPREAD / MP_MS) * MP_MS;
+  wait = REREGISTER_DELAY +
+         g_random_int_range(0, REREGISTER_JITTER / MP_MS) * MP_MS;
   start_timer(directory->register_timer, wait);
 }
 
-void directory_look(Directory *directory) {
+void directory_poll(Directory *directory) {
   int kind;
   router_hear_era(directory->router, relay_group_era(directory->group),
                   clock_now());
-  look_at_entry(directory);
+  check_registration(directory);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     if (kind != STORE_INSTANCES || directory->is_started)
-      following_look(directory->following[kind]);
+      following_poll(directory->following[kind]);
   }
 }
 
-void directory_answer(const Directory *directory, const NewsQuery *query,
-                      StoreReply *out) {
+void directory_answer_query(const Directory *directory, const NewsQuery *query,
+                            StoreReply *out) {
   follower_answer(following_follower(directory->following[query->kind]),
                   &query->asked, out);
 }
 
-void directory_changed(const Directory *directory,
-                       StorePosition changed[MP_RELAY_KINDS]) {
+void directory_newest_changes(const Directory *directory,
+                              StorePosition changed[MP_RELAY_KINDS]) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     changed[kind] = following_follower(directory->following[kind])->changed;
 }
 
-static gboolean knows(const Directory *directory, StoreKind kind) {
+static gboolean is_known(const Directory *directory, StoreKind kind) {
   return follower_knows(following_follower(directory->following[kind]));
 }
 
-gboolean directory_knows(const Directory *directory) {
-  return knows(directory, STORE_CONFIGURATION) &&
-         knows(directory, STORE_ENDPOINTS);
+gboolean directory_is_loaded(const Directory *directory) {
+  return is_known(directory, STORE_CONFIGURATION) &&
+         is_known(directory, STORE_ENDPOINTS);
 }
 
 gboolean directory_has_endpoints(const Directory *directory) {
-  return knows(directory, STORE_ENDPOINTS);
+  return is_known(directory, STORE_ENDPOINTS);
 }
 
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
                               RecordField field) {
-  guint64 nameless = field == RECORD_NAME
-                         ? following_nameless(directory->following[kind])
-                         : 0;
+  guint64 nameless =
+      field == RECORD_NAME
+          ? following_nameless_objects(directory->following[kind])
+          : 0;
   return directory->bad_objects[kind][field] + nameless;
 }
 
@@ -566,10 +603,10 @@
   return calls;
 }
 
-guint64 directory_store_calls_left(const Directory *directory) {
+guint64 directory_abandoned_store_calls(const Directory *directory) {
   guint64 calls = 0;
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
-    calls += following_calls_left(directory->following[kind]);
+    calls += following_abandoned_calls(directory->following[kind]);
   return calls;
 }
--- a/io/following.c
+++ b/io/following.c
@@ -1,6 +1,6 @@
 /*
 ** following.c
-** Follows one kind of the store's objects
+** Follows one kind of the store's objects: keeps a copy of them up to date
 */
 
 #include "io/following.h"
@@ -12,20 +12,20 @@
   Log *log;
   FollowingHost host;
   NewsSource source;
-  StoreLink *store;
-  StoreLink *instance; /* a relay, or a seed */
+  StoreLink *store;    /* calls to the store */
+  StoreLink *instance; /* calls to a relay or a seed */
   struct event *timer;
-  gint64 asked_at;    /* the open call's, or the last one's */
-  guint64 calls_left; /* as following_calls_left */
-  gboolean lag_told;  /* the log has a line that this instance lags */
-  gint64 lagged_from; /* lag_told: since then */
-  guint64 nameless;
-  gint64 nameless_told; /* when the log had a line about them */
+  gint64 called_at;          /* when the newest call was made */
+  guint64 abandoned_calls;   /* as following_abandoned_calls */
+  gboolean is_lag_logged;    /* the last line about a lag says that it began */
+  gint64 lagged_from;        /* when that lag began */
+  guint64 nameless;          /* as following_nameless_objects */
+  gint64 nameless_logged_at; /* 0: never */
 };
 
-/* a list that holds objects without a name tells of them each time it is read
- */
-#define NAMELESS_PAUSE (60 * MP_SEC)
+/* minimum time between two log lines about objects without a name, because a
+** list that contains such objects reports them each time it is read */
+#define NAMELESS_LOG_INTERVAL (60 * MP_SEC)
 
 static void start_timer(Following *following, gint64 at) {
   gint64 wait = MAX(at - clock_now(), 0);
@@ -33,29 +33,33 @@
   event_add(following->timer, &time);
 }
 
-static const NewsState *news_of(const Following *following) {
+static const NewsState *news_state(const Following *following) {
   return relay_group_news(following->source.group,
                           following->source.follower.kind);
 }
 
-/* one line when this instance lags for long, and one when it does no more */
-static void note_lag(Following *following) {
-  const NewsState *news = news_of(following);
+/*
+** Logs one line when this instance has lagged behind the newest known change
+** for more than relay_group_lag_most(), and one when it has caught up.
+*/
+static void log_lag(Following *following) {
+  const NewsState *news = news_state(following);
   gint64 now = clock_now();
   int kind = (int)following->source.follower.kind;
   char held[STORE_POSITION_TEXT];
   char newest[STORE_POSITION_TEXT];
-  if (following->lag_told && news->lags_since == 0) {
-    following->lag_told = FALSE;
+  if (following->is_lag_logged && news->lags_since == 0) {
+    following->is_lag_logged = FALSE;
     log_numbered(following->log, MP_LOG_NEWS_LEVEL,
                  " kind=%d held=%s lagged_ms=%d", kind,
                  store_position_text(news->held, held),
                  (int)((now - following->lagged_from) / MP_MS));
   }
-  if (following->lag_told || news_state_lag(news, now) <=
-                                 relay_group_lag_most(following->source.group))
+  if (following->is_lag_logged ||
+      news_state_lag(news, now) <=
+          relay_group_lag_most(following->source.group))
     return;
-  following->lag_told = TRUE;
+  following->is_lag_logged = TRUE;
   following->lagged_from = news->lags_since;
   log_numbered(following->log, MP_LOG_NEWS_LAG,
                " kind=%d held=%s newest=%s lag_ms=%d asked=%s open_ms=%d"
@@ -64,37 +68,38 @@
                store_position_text(news->newest, newest),
                (int)(news_state_lag(news, now) / MP_MS),
                following->source.at_store ? "store" : "instance",
-               (int)((now - following->asked_at) / MP_MS),
-               store_link_received(following->source.at_store
-                                       ? following->store
-                                       : following->instance));
+               (int)((now - following->called_at) / MP_MS),
+               store_link_received_bytes(following->source.at_store
+                                             ? following->store
+                                             : following->instance));
 }
 
-static void leave_store(Following *following) {
-  const NewsState *news = news_of(following);
+/* Abandons the open call to the store; the timer makes the next call. */
+static void abandon_store_call(Following *following) {
+  const NewsState *news = news_state(following);
   char held[STORE_POSITION_TEXT];
   char newest[STORE_POSITION_TEXT];
-  following->calls_left++;
+  following->abandoned_calls++;
   log_numbered(following->log, MP_LOG_STORE_CALL_LEFT,
                " kind=%d held=%s newest=%s open_ms=%d bytes=%" G_GSIZE_FORMAT,
                (int)following->source.follower.kind,
                store_position_text(news->held, held),
                store_position_text(news->newest, newest),
-               (int)((clock_now() - following->asked_at) / MP_MS),
-               store_link_received(following->store));
+               (int)((clock_now() - following->called_at) / MP_MS),
+               store_link_received_bytes(following->store));
   store_link_abandon(following->store);
   start_timer(following, 0);
 }
 
-void following_look(Following *following) {
+void following_poll(Following *following) {
   NewsWanted wanted;
-  note_lag(following);
-  if (store_link_heard_at(following->store) != 0)
+  log_lag(following);
+  if (store_link_received_at(following->store) != 0)
     news_source_progress(&following->source,
-                         store_link_heard_at(following->store));
+                         store_link_received_at(following->store));
   news_source_next(&following->source, clock_now(), &wanted);
   if (wanted.step == NEWS_ASK_STORE || wanted.step == NEWS_ASK_INSTANCE)
-    following->asked_at = clock_now();
+    following->called_at = clock_now();
   switch (wanted.step) {
   case NEWS_WAIT:
     if (wanted.at != G_MAXINT64)
@@ -108,7 +113,7 @@
     store_link_call(following->instance, &wanted.call, wanted.patience);
     break;
   case NEWS_LEAVE_STORE:
-    leave_store(following);
+    abandon_store_call(following);
     break;
   }
 }
@@ -116,11 +121,12 @@
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  following_look(data);
+  following_poll(data);
 }
 
-static void note_overtaken(const Following *following,
-                           const StoreReply *reply) {
+/* Logs that a reply was older than what is known here. */
+static void log_overtaken(const Following *following,
+                          const StoreReply *reply) {
   const Follower *follower = &following->source.follower;
   char at[STORE_POSITION_TEXT];
   char known[STORE_POSITION_TEXT];
@@ -130,8 +136,8 @@
                store_position_text(follower->known, known));
 }
 
-/* one line when a kind is first known in a newer era */
-static void note_restored(const Following *following, StorePosition was) {
+/* Logs that the objects are known in a newer era than before the reply. */
+static void log_restored(const Following *following, StorePosition was) {
   const Follower *follower = &following->source.follower;
   char from[STORE_POSITION_TEXT];
   char to[STORE_POSITION_TEXT];
@@ -144,7 +150,7 @@
                following->source.at_store ? "store" : "instance");
 }
 
-static void take_reply(Following *following, const StoreReply *reply) {
+static void handle_reply(Following *following, const StoreReply *reply) {
   guint missed = following->source.missed;
   guint overtaken = following->source.follower.overtaken;
   StorePosition known = following->source.follower.known;
@@ -158,19 +164,20 @@
                  (int)following->source.follower.kind,
                  store_position_text(reply->at, at));
   if (following->source.follower.overtaken != overtaken)
-    note_overtaken(following, reply);
-  note_restored(following, known);
+    log_overtaken(following, reply);
+  log_restored(following, known);
 }
 
-static void note_nameless(Following *following, const StoreReply *reply) {
+/* Counts and logs the objects of a reply that have no readable name. */
+static void count_nameless(Following *following, const StoreReply *reply) {
   gint64 now = clock_now();
   if (reply->nameless == 0)
     return;
   following->nameless += reply->nameless;
-  if (following->nameless_told != 0 &&
-      now - following->nameless_told < NAMELESS_PAUSE)
+  if (following->nameless_logged_at != 0 &&
+      now - following->nameless_logged_at < NAMELESS_LOG_INTERVAL)
     return;
-  following->nameless_told = now;
+  following->nameless_logged_at = now;
   log_numbered(following->log, MP_LOG_STORE_NAMELESS, " kind=%d objects=%u",
                (int)following->source.follower.kind, reply->nameless);
 }
@@ -178,16 +185,16 @@
 static void on_store_reply(void *data, const StoreReply *reply,
                            const GError *error) {
   Following *following = data;
-  (void)error; /* the follower tells its host of the loss */
-  note_nameless(following, reply);
-  take_reply(following, reply);
+  (void)error; /* the follower reports the failure to its host */
+  count_nameless(following, reply);
+  handle_reply(following, reply);
   if (reply->status == STORE_OK)
     following->host.answered(following->host.objects.data);
   start_timer(following, 0);
 }
 
-static void log_instance(const Following *following, const StoreReply *reply,
-                         const GError *error) {
+static void log_instance_reply(const Following *following,
+                               const StoreReply *reply, const GError *error) {
   int kind = (int)following->source.follower.kind;
   char relay[24];
   if (reply->status == STORE_OK && following->source.asked == 0)
@@ -198,14 +205,15 @@
   mp_addr_text(following->source.asked, relay);
   log_numbered(following->log, MP_LOG_RELAY_FAILED,
                " kind=%d relay=%s error=\"%s\"", kind, relay,
-               error != NULL ? error->message : "it knows nothing");
+               error != NULL ? error->message
+                             : "the relay has no copy of the objects");
 }
 
 static void on_instance_reply(void *data, const StoreReply *reply,
                               const GError *error) {
   Following *following = data;
-  log_instance(following, reply, error);
-  take_reply(following, reply);
+  log_instance_reply(following, reply, error);
+  handle_reply(following, reply);
   start_timer(following, 0);
 }
 
@@ -241,12 +249,12 @@
   return &following->source.follower;
 }
 
-guint64 following_nameless(const Following *following) {
+guint64 following_nameless_objects(const Following *following) {
   return following->nameless;
 }
 
-guint64 following_calls_left(const Following *following) {
-  return following->calls_left;
+guint64 following_abandoned_calls(const Following *following) {
+  return following->abandoned_calls;
 }
 
 guint64 following_store_calls(const Following *following) {
--- a/io/following.h
+++ b/io/following.h
@@ -1,7 +1,11 @@
 /*
 ** following.h
-** Follows one kind of the store's objects: carries the calls that a
-** NewsSource asks for (router/news_source.h)
+** Follows one kind of the store's objects: keeps a copy of them up to date
+**
+** A NewsSource (router/news_source.h) decides which call to make next, to the
+** store or to another instance; this module makes the calls, and hands their
+** replies back. News are changes of the store's objects. directory.c has one
+** Following for each kind. Times are in microseconds.
 */
 
 #ifndef FOLLOWING_H
@@ -17,38 +21,52 @@
 
 typedef struct FollowingOptions {
   StoreKind kind;
-  gint64 watch_wait;   /* longest wait of one watch */
-  gint64 pause;        /* after news */
-  gint64 proof_within; /* as in NewsSource */
+  gint64 watch_wait;   /* longest wait of one watch of the store */
+  gint64 pause;        /* between news and the next call */
+  gint64 proof_within; /* NewsSource.proof_within */
   mp_Addr store;
-  const mp_Addr *seeds; /* asked when the store is away at a start; they
-                        ** outlive the Following */
+  const mp_Addr *seeds; /* instances to query when the store is not available
+                        ** at the start; they outlive the Following */
   unsigned seeds_count;
 } FollowingOptions;
 
 typedef struct FollowingHost {
-  FollowerHost objects;
-  /* the address where a relay answers news; 0: not known */
+  FollowerHost objects; /* its 'data' is passed to the callbacks below too */
+  /* The address at which a relay answers queries for news; 0: not known. */
   mp_Addr (*control_of)(void *data, mp_Addr relay);
-  /* the store has answered */
+  /* The store has answered a call. */
   void (*answered)(void *data);
 } FollowingHost;
 
-/* makes no call before following_look */
+/*
+** Makes no call before following_poll(). 'host' is copied; the other pointers
+** are borrowed.
+*/
 Following *following_new(struct event_base *base, const Dialect *dialect,
                          const FollowingOptions *options, RelayGroup *group,
                          const FollowingHost *host, Log *log);
 void following_free(Following *following);
 
-/* who may be asked has changed, or a relay has news */
-void following_look(Following *following);
+/*
+** Makes the next call if one is due. To be called when another instance may
+** answer from now on, or when a relay has news; following.c itself calls it
+** after each reply and timeout.
+*/
+void following_poll(Following *following);
 
+/* The copy of the objects, owned by 'following'. */
 const Follower *following_follower(const Following *following);
-/* objects without a name that can be read, in all answers of the store */
-guint64 following_nameless(const Following *following);
-/* calls to the store that were given up for news known elsewhere */
-guint64 following_calls_left(const Following *following);
-/* calls made to the store; those to instances are not counted */
+/*
+** The number of objects without a readable name in all replies of the store
+** since the start; an object counts each time that it is listed.
+*/
+guint64 following_nameless_objects(const Following *following);
+/*
+** The number of calls to the store that were abandoned, because other
+** instances had news that the call did not deliver.
+*/
+guint64 following_abandoned_calls(const Following *following);
+/* The number of calls to the store; calls to instances are not counted. */
 guint64 following_store_calls(const Following *following);
 
 #endif
--- a/io/front.c
+++ b/io/front.c
@@ -1,8 +1,10 @@
 /*
 ** front.c
-** Callers' connections, on bufferevents and http_parser
-** libevhtp cannot keep the platform's rules here (docs/design/style.md
-** says which), so this is its nearest kin.
+** The HTTP/1.1 server for callers, on bufferevents and http_parser
+**
+** libevhtp cannot satisfy the platform's rules for callers' connections
+** (docs/design/style.md names them), so this file uses the libraries closest
+** to it.
 */
 
 #include <netinet/in.h>
@@ -18,15 +20,17 @@
 #include "io/front.h"
 #include "io/sockets.h"
 
-/* a caller that leaves this much of its answer unread is given up, bytes */
+/* bytes of unsent response above which a connection is closed */
 #define MAX_UNREAD (4 << 20)
-/* bytes taken from a caller while its request is open */
+/* bytes read from a caller in advance, while its request is open */
 #define READ_AHEAD (64 << 10)
-/* how long the rest of refused input is read and dropped */
+/* how long input is read and discarded after an error response, so that
+** closing the socket with unread input does not reset the connection before
+** the caller has read that response */
 #define LINGER_SECONDS 1
 #define LISTEN_BACKLOG 512
 
-/* limits until a configuration tells them */
+/* limits that hold until a configuration sets them */
 #define DEFAULT_HEAD_BYTES (16 << 10)
 #define DEFAULT_BODY_BYTES (4 << 20)
 #define DEFAULT_HEAD_TIMEOUT (3 * MP_SEC)
@@ -40,16 +44,16 @@
   CallerLimits limits;
   guint64 last_number;
   gboolean draining;
-  GHashTable *connections; /* Connection, as a set */
-  GHashTable *open;        /* number -> Connection */
+  GHashTable *connections; /* set of Connection, which it owns */
+  GHashTable *open;        /* number of an open request -> Connection */
 };
 
 typedef enum ConnectionState {
-  CONNECTION_READING,   /* waiting for a request, or for the rest of one */
-  CONNECTION_OPEN,      /* a request is open; nothing was answered */
-  CONNECTION_ANSWERING, /* an answer in pieces has begun */
-  CONNECTION_FLUSHING,  /* closes once all is written */
-  CONNECTION_LINGERING  /* closes once the peer closes, or soon */
+  CONNECTION_READING,   /* waits for a request, or for the rest of one */
+  CONNECTION_OPEN,      /* a request is open; no response has begun */
+  CONNECTION_ANSWERING, /* a chunked response has begun */
+  CONNECTION_FLUSHING,  /* closes when all output is written */
+  CONNECTION_LINGERING  /* closes with the peer, or after LINGER_SECONDS */
 } ConnectionState;
 
 typedef struct Connection {
@@ -57,15 +61,15 @@
   struct bufferevent *events;
   HttpReader *reader;
   ConnectionState state;
-  guint64 number; /* of the open request, or 0 */
-  HttpHead *head;
-  GByteArray *body;
-  gboolean linger; /* input was refused: drop what still comes */
+  guint64 number;   /* of the open request; 0: none */
+  HttpHead *head;   /* of the request; NULL until it is received */
+  GByteArray *body; /* of the request */
+  gboolean lingers; /* input was rejected: discard what still arrives */
 } Connection;
 
 /*
 ** {==================================================================
-** Life of a connection
+** Lifetime of a connection
 ** ===================================================================
 */
 
@@ -78,6 +82,7 @@
   g_free(connection);
 }
 
+/* Closes a connection, and reports the hangup if a request is open on it. */
 static void close_connection(Connection *connection) {
   Front *front = connection->front;
   guint64 number = connection->number;
@@ -88,7 +93,10 @@
     front->hooks.hangup(front->hooks.data, number);
 }
 
-/* reading waits so long; 0: for ever */
+/*
+** Sets how long reading waits, in microseconds; 0: without a limit. Writing
+** always waits for 10 s at most.
+*/
 static void set_read_timeout(Connection *connection, gint64 wait) {
   struct timeval time = {wait / MP_SEC, wait % MP_SEC};
   struct timeval write_time = {10, 0};
@@ -114,8 +122,8 @@
     close_connection(connection);
 }
 
-/* the answer is whole: close, or take the next request */
-static void answer_ended(Connection *connection, gboolean close) {
+/* Ends a request whose response is complete: closes, or reads the next one. */
+static void end_response(Connection *connection, gboolean close) {
   forget_request(connection);
   if (close) {
     close_when_flushed(connection);
@@ -144,8 +152,8 @@
   g_string_free(text, TRUE);
 }
 
-/* our own fields beside those of the answer */
-static HttpHead *answer_head(const HttpHead *from, gboolean close) {
+/* The head to send: the end-to-end fields of 'from', and those set here. */
+static HttpHead *response_head(const HttpHead *from, gboolean close) {
   HttpHead *head = http_head_answer(from->status);
   http_head_copy_end_to_end(head, from);
   if (close)
@@ -153,20 +161,22 @@
   return head;
 }
 
-static gboolean closes(const Connection *connection) {
-  return connection->front->draining || connection->linger ||
+/* Is the connection closed after the response? */
+static gboolean is_closed_after_response(const Connection *connection) {
+  return connection->front->draining || connection->lingers ||
          !http_reader_keep_alive(connection->reader);
 }
 
+/* Does HTTP define the response of this status and method to have no body? */
 static gboolean has_no_body(const Connection *connection, int status) {
   return status == 204 || status == 304 || status < 200 ||
          (connection->head != NULL &&
           g_ascii_strcasecmp(connection->head->method, "HEAD") == 0);
 }
 
-static void write_answer(Connection *connection, const HttpHead *from,
-                         const char *body, gsize size, gboolean close) {
-  HttpHead *head = answer_head(from, close);
+static void write_response(Connection *connection, const HttpHead *from,
+                           const char *body, gsize size, gboolean close) {
+  HttpHead *head = response_head(from, close);
   gboolean bare = has_no_body(connection, from->status);
   if (!bare)
     http_head_add_number(head, "Content-Length", (gint64)size);
@@ -176,15 +186,15 @@
   http_head_free(head);
 }
 
-/* malformed input: say so, and take nothing more */
-static void refuse_input(Connection *connection, int status,
+/* Answers invalid input with an error, and closes the connection. */
+static void reject_input(Connection *connection, int status,
                          const char *detail) {
   Front *front = connection->front;
   char *body = NULL;
   HttpHead *head = front->dialect->write_bad_input(status, detail, &body);
   front->hooks.bad_input(front->hooks.data, status, detail);
-  connection->linger = TRUE;
-  write_answer(connection, head, body, strlen(body), TRUE);
+  connection->lingers = TRUE;
+  write_response(connection, head, body, strlen(body), TRUE);
   http_head_free(head);
   g_free(body);
   close_when_flushed(connection);
@@ -209,7 +219,8 @@
   g_byte_array_append(connection->body, (const guint8 *)bytes, (guint)size);
 }
 
-static void request_is_whole(Connection *connection) {
+/* Hands on a request that was received completely. */
+static void submit_request(Connection *connection) {
   Front *front = connection->front;
   connection->state = CONNECTION_OPEN;
   connection->number = ++front->last_number;
@@ -219,16 +230,16 @@
                        connection->head);
 }
 
-static void refuse_fault(Connection *connection) {
+static void reject_fault(Connection *connection) {
   switch (http_reader_fault(connection->reader)) {
   case HTTP_FAULT_HEAD_SIZE:
-    refuse_input(connection, 431, "the head is larger than the limit");
+    reject_input(connection, 431, "the head is larger than the limit");
     break;
   case HTTP_FAULT_BODY_SIZE:
-    refuse_input(connection, 413, "the body is larger than the limit");
+    reject_input(connection, 413, "the body is larger than the limit");
     break;
   default:
-    refuse_input(connection, 400, "not an HTTP/1.1 request");
+    reject_input(connection, 400, "not an HTTP/1.1 request");
   }
 }
 
@@ -242,11 +253,11 @@
     size_t used = http_reader_feed(reader, bytes, size);
     evbuffer_drain(in, used);
     if (http_reader_state(reader) == HTTP_READER_BAD) {
-      refuse_fault(connection);
+      reject_fault(connection);
       return;
     }
     if (http_reader_state(reader) == HTTP_READER_DONE) {
-      request_is_whole(connection);
+      submit_request(connection);
       return;
     }
   }
@@ -262,6 +273,7 @@
     evbuffer_drain(bufferevent_get_input(events), READ_AHEAD);
 }
 
+/* Half-closes a connection, and discards its input for LINGER_SECONDS. */
 static void linger(Connection *connection) {
   connection->state = CONNECTION_LINGERING;
   shutdown(bufferevent_getfd(connection->events), SHUT_WR);
@@ -271,11 +283,11 @@
 
 static void on_write(struct bufferevent *events, void *data) {
   Connection *connection = data;
-  /* libevent also calls this for a write that came before the last one */
+  /* libevent also calls this for a write before the last one */
   if (connection->state != CONNECTION_FLUSHING ||
       evbuffer_get_length(bufferevent_get_output(events)) > 0)
     return;
-  if (connection->linger)
+  if (connection->lingers)
     linger(connection);
   else
     close_connection(connection);
@@ -287,7 +299,7 @@
   (void)events;
   if (timeout && connection->state == CONNECTION_READING &&
       http_reader_state(connection->reader) == HTTP_READER_PARTIAL) {
-    refuse_input(connection, 408, "the request did not arrive in time");
+    reject_input(connection, 408, "the request did not arrive in time");
     return;
   }
   close_connection(connection);
@@ -324,49 +336,50 @@
 
 /*
 ** {==================================================================
-** Answers
+** Responses
 ** ===================================================================
 */
 
-static Connection *find(const Front *front, guint64 number) {
+static Connection *find_connection(const Front *front, guint64 number) {
   return g_hash_table_lookup(front->open, &number);
 }
 
 const HttpHead *front_request_head(const Front *front, guint64 number) {
-  const Connection *connection = find(front, number);
+  const Connection *connection = find_connection(front, number);
   return connection != NULL ? connection->head : NULL;
 }
 
 const GByteArray *front_request_body(const Front *front, guint64 number) {
-  const Connection *connection = find(front, number);
+  const Connection *connection = find_connection(front, number);
   return connection != NULL ? connection->body : NULL;
 }
 
-void front_answer(Front *front, guint64 number, const HttpHead *head,
-                  const char *body, gsize size) {
-  Connection *connection = find(front, number);
+void front_send_response(Front *front, guint64 number, const HttpHead *head,
+                         const char *body, gsize size) {
+  Connection *connection = find_connection(front, number);
   gboolean close;
   if (connection == NULL)
     return;
-  close = closes(connection);
-  write_answer(connection, head, body, size, close);
-  answer_ended(connection, close);
+  close = is_closed_after_response(connection);
+  write_response(connection, head, body, size, close);
+  end_response(connection, close);
 }
 
-void front_begin(Front *front, guint64 number, const HttpHead *from) {
-  Connection *connection = find(front, number);
+void front_begin_response(Front *front, guint64 number, const HttpHead *from) {
+  Connection *connection = find_connection(front, number);
   HttpHead *head;
   if (connection == NULL)
     return;
-  head = answer_head(from, closes(connection));
+  head = response_head(from, is_closed_after_response(connection));
   http_head_add(head, "Transfer-Encoding", "chunked");
   write_head(connection, head);
   http_head_free(head);
   connection->state = CONNECTION_ANSWERING;
 }
 
-void front_piece(Front *front, guint64 number, const char *bytes, gsize size) {
-  Connection *connection = find(front, number);
+void front_send_piece(Front *front, guint64 number, const char *bytes,
+                      gsize size) {
+  Connection *connection = find_connection(front, number);
   struct evbuffer *out;
   if (connection == NULL || size == 0)
     return;
@@ -378,25 +391,25 @@
     shutdown(bufferevent_getfd(connection->events), SHUT_RDWR);
 }
 
-void front_end(Front *front, guint64 number) {
-  Connection *connection = find(front, number);
+void front_end_response(Front *front, guint64 number) {
+  Connection *connection = find_connection(front, number);
   if (connection == NULL)
     return;
   bufferevent_write(connection->events, "0\r\n\r\n", 5);
-  answer_ended(connection, closes(connection));
+  end_response(connection, is_closed_after_response(connection));
 }
 
-void front_break_off(Front *front, guint64 number) {
-  Connection *connection = find(front, number);
+void front_abort_response(Front *front, guint64 number) {
+  Connection *connection = find_connection(front, number);
   if (connection == NULL)
     return;
   forget_request(connection);
-  close_when_flushed(connection); /* without the last chunk */
+  close_when_flushed(connection); /* the last chunk is not sent */
 }
 
 /* }================================================================== */
 
-static void bind_failed(mp_Addr address, GError **error) {
+static void set_bind_error(mp_Addr address, GError **error) {
   char text[24];
   mp_addr_text(address, text);
   g_set_error(error, MP_ERROR, MP_ERR_SETTINGS,
@@ -424,7 +437,7 @@
       base, on_accept, front, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
       LISTEN_BACKLOG, (struct sockaddr *)&at, sizeof at);
   if (front->listener == NULL) {
-    bind_failed(address, error);
+    set_bind_error(address, error);
     front_free(front);
     return NULL;
   }
@@ -439,7 +452,7 @@
   g_free(front);
 }
 
-void front_limits(Front *front, const CallerLimits *limits) {
+void front_set_limits(Front *front, const CallerLimits *limits) {
   if (limits->max_head_bytes > 0)
     front->limits.max_head_bytes = limits->max_head_bytes;
   if (limits->max_body_bytes > 0)
--- a/io/front.h
+++ b/io/front.h
@@ -1,12 +1,14 @@
 /*
 ** front.h
-** Callers' connections: HTTP/1.1 in, one answer to one request
+** The frontend: the HTTP/1.1 server for callers
 **
-** Carries heads and bodies; what they mean is the dialect's and the
-** router's. One request at a time is taken from a connection, whole,
-** before it is handed on. Invariant: bytes of an answer go only to the
-** connection whose request they answer, and a connection whose answer was
-** broken off is closed.
+** It transports heads and bodies; the dialect and the router interpret them.
+** A connection carries one request at a time, which is received completely
+** before it is handed on. A request is named by a number, which is valid until
+** its response has ended or its caller has disconnected; functions that get a
+** number that is not valid do nothing. Invariants. Bytes of a response are
+** written only to the connection of their request, and a connection whose
+** response was aborted is closed. Used by gateway.c.
 */
 
 #ifndef FRONT_H
@@ -20,40 +22,63 @@
 
 typedef struct FrontHooks {
   void *data;
-  /* a whole request; head and body live until its answer has ended */
+  /* A request was received completely. Its head and body are valid until its
+  ** response has ended. */
   void (*request)(void *data, guint64 number, const HttpHead *head);
-  /* the caller is gone before its answer ended; the number is void */
+  /* The caller has disconnected before its response ended. The number is not
+  ** valid any more. */
   void (*hangup)(void *data, guint64 number);
-  /* malformed input was answered with this status */
+  /* Invalid input was answered with this HTTP status. */
   void (*bad_input)(void *data, int status, const char *detail);
 } FrontHooks;
 
-/* NULL and an error when the address cannot be bound */
+/*
+** Listens on 'address'. Returns NULL and sets an error when it cannot be
+*bound.
+** 'base' and 'dialect' are borrowed; 'hooks' is copied.
+*/
 Front *front_new(struct event_base *base, mp_Addr address,
                  const Dialect *dialect, const FrontHooks *hooks,
                  GError **error);
+/* Closes all connections, without calling 'hangup'. */
 void front_free(Front *front);
 
-void front_limits(Front *front, const CallerLimits *limits);
+/*
+** Sets the limits that are above 0 in 'limits', and leaves the others. Limits
+** of sizes hold for connections that are accepted from then on.
+*/
+void front_set_limits(Front *front, const CallerLimits *limits);
 
-/* the request of this number, or NULL when the caller is gone */
+/* The head or body of a request; NULL when the number is not valid. */
 const HttpHead *front_request_head(const Front *front, guint64 number);
 const GByteArray *front_request_body(const Front *front, guint64 number);
 
-/* a whole answer; ends the request */
-void front_answer(Front *front, guint64 number, const HttpHead *head,
-                  const char *body, gsize size);
-/* an answer in pieces */
-void front_begin(Front *front, guint64 number, const HttpHead *head);
-void front_piece(Front *front, guint64 number, const char *bytes, gsize size);
-void front_end(Front *front, guint64 number);
-/* end an answer so that it cannot look whole */
-void front_break_off(Front *front, guint64 number);
-
-/* from now on say with each answer that the connection closes */
+/* Sends a whole response, which ends the request. */
+void front_send_response(Front *front, guint64 number, const HttpHead *head,
+                         const char *body, gsize size);
+/*
+** Sends a chunked response: its head, any number of pieces, and its end, which
+** ends the request. A caller that leaves more than 4 MB of it unread is
+** disconnected.
+*/
+void front_begin_response(Front *front, guint64 number, const HttpHead *head);
+void front_send_piece(Front *front, guint64 number, const char *bytes,
+                      gsize size);
+void front_end_response(Front *front, guint64 number);
+/*
+** Ends a request and closes its connection without the last chunk, so that the
+** caller cannot take the response as complete.
+*/
+void front_abort_response(Front *front, guint64 number);
+
+/*
+** Begins a planned stop: from now on each response has "Connection: close",
+** and its connection is closed after it. New connections are still accepted.
+*/
 void front_drain(Front *front);
-/* close connections on which no request is open */
+/* Closes the connections on which no part of a request has been received. */
 void front_close_idle(Front *front);
+/* The number of requests whose responses have not ended. */
 unsigned front_open_requests(const Front *front);
 
 #endif
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -1,6 +1,6 @@
 /*
 ** gateway.c
-** One instance that routes requests in a dialect
+** One instance that speaks a dialect: connects the router to its adapters
 */
 
 #include <string.h>
@@ -18,23 +18,25 @@
 #include "io/relays.h"
 #include "io/store_link.h"
 
-/* how often a drain looks whether it is over */
-#define DRAIN_LOOK (50 * MP_MS)
-/* patience with the store when it is asked for a lease */
-#define LEASE_CALL_PATIENCE (800 * MP_MS)
-/* a key that was taken away is refused so long before its time is over: a
-** watch of the store may hear nothing for a second before the store forgets
-** its history, and 0.1 s is for the way to the endpoint */
+/* how often a drain checks whether it has ended */
+#define DRAIN_POLL_INTERVAL (50 * MP_MS)
+/* how long the store may stay silent in a call about the lease */
+#define LEASE_CALL_TIMEOUT (800 * MP_MS)
+/* The bound of the configuration's age is this much below revoke_within: 1 s,
+** because a watch of the store may receive nothing for a second before the
+** store forgets its history, and 0.1 s for the way to the endpoint. */
 #define REVOKE_MARGIN (1100 * MP_MS)
-#define REVOKE_LEAST (500 * MP_MS)
-/* watches of the configuration within that time: an instance that is cut off
-** must serve for 0.6 of it, and its last proof is up to one watch old */
-#define PROOFS_WITHIN 6
-/* between two looks for resting connections that others need: digests come
-** more often than that */
-#define TRIM_PAUSE (100 * MP_MS)
-/* the longest time between two looks at the router's clock */
-#define TICK_MOST (1 * MP_SEC)
+/* lower limit of that bound */
+#define REVOKE_BOUND_MIN (500 * MP_MS)
+/* The number of watches of the configuration within revoke_within. An instance
+** that is cut off from the store must serve for 0.6 of that time, and its last
+** proof that its configuration is current is up to one watch old. */
+#define WATCHES_PER_REVOKE 6
+/* minimum time between two trims of idle connections, which other instances
+** may need; digests arrive more often */
+#define TRIM_INTERVAL_MIN (100 * MP_MS)
+/* longest time between two calls of router_tick() */
+#define MAX_TICK_WAIT (1 * MP_SEC)
 
 struct Gateway {
   struct event_base *base;
@@ -45,26 +47,31 @@
   EndpointLinks *links;
   Directory *directory;
   LoadExchange *exchange;
-  RelayGroup *group; /* who follows the store for whom */
+  RelayGroup *group; /* which instances watch the store for others */
   Relays *relays;
-  StoreLink *leases;
+  StoreLink *leases; /* calls of the store about the lease */
   QuarantineWriter *quarantine;
   StatusServer *status_server;
   struct event *tick;
   struct event *drain_timer;
-  gint64 trim_at; /* resting connections are looked at again then */
+  gint64 trim_at; /* earliest time of the next trim of idle connections */
   gint64 drain_least, drain_most;
-  gint64 drain_began; /* 0: not draining */
-  gboolean drained;
-  gboolean was_ready;
+  gint64 drain_began;  /* 0: not draining */
+  gboolean is_drained; /* a drain has ended with no request open */
+  gboolean was_ready;  /* the last answer to a readiness check */
 };
 
-static void set_tick(Gateway *gateway) {
+/*
+** Has the load exchange and the quarantine writer send what has changed, and
+** starts the timer for the router's next tick. It runs after every event that
+** may have changed the router.
+*/
+static void schedule_tick(Gateway *gateway) {
   gint64 wait = router_next_tick(gateway->router) - clock_now();
   struct timeval time;
-  load_exchange_notice(gateway->exchange);
-  quarantine_writer_look(gateway->quarantine);
-  wait = CLAMP(wait, 0, TICK_MOST);
+  load_exchange_send_changes(gateway->exchange);
+  quarantine_writer_poll(gateway->quarantine);
+  wait = CLAMP(wait, 0, MAX_TICK_WAIT);
   time.tv_sec = wait / MP_SEC;
   time.tv_usec = wait % MP_SEC;
   event_add(gateway->tick, &time);
@@ -75,12 +82,12 @@
   (void)fd;
   (void)what;
   router_tick(gateway->router, clock_now());
-  set_tick(gateway);
+  schedule_tick(gateway);
 }
 
 /*
 ** {==================================================================
-** What the router asks for
+** Effects that the router requests (RouterHost)
 ** ===================================================================
 */
 
@@ -101,17 +108,17 @@
   const EndpointResponse *answer = outcome->payload;
   switch (outcome->kind) {
   case OUTCOME_STREAM_HEAD:
-    front_begin(gateway->front, request, answer->head);
+    front_begin_response(gateway->front, request, answer->head);
     break;
   case OUTCOME_STREAM_PIECE:
-    front_piece(gateway->front, request, answer->bytes, answer->size);
+    front_send_piece(gateway->front, request, answer->bytes, answer->size);
     break;
   case OUTCOME_STREAM_END:
-    front_end(gateway->front, request);
+    front_end_response(gateway->front, request);
     break;
   default:
-    front_answer(gateway->front, request, answer->head, answer->bytes,
-                 answer->size);
+    front_send_response(gateway->front, request, answer->head, answer->bytes,
+                        answer->size);
   }
 }
 
@@ -126,7 +133,7 @@
   if (!gateway->dialect->read_caller(caller, &read, NULL))
     return;
   head = gateway->dialect->write_refusal(refusal, read.request.id, &body);
-  front_answer(gateway->front, request, head, body, strlen(body));
+  front_send_response(gateway->front, request, head, body, strlen(body));
   caller_head_clear(&read);
   http_head_free(head);
   g_free(body);
@@ -134,7 +141,7 @@
 
 static void host_break_off(void *data, guint64 request) {
   Gateway *gateway = data;
-  front_break_off(gateway->front, request);
+  front_abort_response(gateway->front, request);
 }
 
 static void host_log(void *data, mp_EventNo number, const char *fields) {
@@ -144,19 +151,19 @@
 
 static void host_note(void *data, guint32 endpoint, guint32 tokens) {
   Gateway *gateway = data;
-  load_exchange_note(gateway->exchange, endpoint, tokens);
+  load_exchange_send_note(gateway->exchange, endpoint, tokens);
 }
 
 static void host_lease_call(void *data, const StoreCall *call) {
   Gateway *gateway = data;
-  store_link_call(gateway->leases, call, LEASE_CALL_PATIENCE);
+  store_link_call(gateway->leases, call, LEASE_CALL_TIMEOUT);
 }
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** What the carriers tell
+** Events of the adapters
 ** ===================================================================
 */
 
@@ -170,7 +177,7 @@
         gateway->dialect->write_bad_input(400, error->message, &body);
     log_numbered(gateway->log, MP_LOG_CALLER_BAD, " status=400 detail=\"%s\"",
                  error->message);
-    front_answer(gateway->front, number, refused, body, strlen(body));
+    front_send_response(gateway->front, number, refused, body, strlen(body));
     http_head_free(refused);
     g_free(body);
     g_error_free(error);
@@ -179,7 +186,7 @@
     read.request.content =
         content_digest(head, front_request_body(gateway->front, number));
     router_request(gateway->router, &read.request, clock_now());
-    set_tick(gateway);
+    schedule_tick(gateway);
   }
   caller_head_clear(&read);
 }
@@ -187,7 +194,7 @@
 static void on_hangup(void *data, guint64 number) {
   Gateway *gateway = data;
   router_hangup(gateway->router, number, clock_now());
-  set_tick(gateway);
+  schedule_tick(gateway);
 }
 
 static void on_bad_input(void *data, int status, const char *detail) {
@@ -199,7 +206,7 @@
 static void on_outcome(void *data, const Outcome *outcome) {
   Gateway *gateway = data;
   router_outcome(gateway->router, outcome, clock_now());
-  set_tick(gateway);
+  schedule_tick(gateway);
 }
 
 static void on_signals(void *data, const char *endpoint, guint32 life,
@@ -220,8 +227,12 @@
   return router_keeps_connection(gateway->router, endpoint);
 }
 
-/* a lease that can't be read is left alone like another holder's, and taken
-** once it has certainly lapsed: as no answer it would stop all orders */
+/*
+** Reads the store's response about the lease. A record that cannot be read is
+** treated like another instance's lease, which is acquired when it has
+** certainly expired. If it were treated as a failed call, there would be no
+** orders at all.
+*/
 static void read_lease(const Gateway *gateway, const StoreReply *reply,
                        LeaseReply *out) {
   const StoreObject *object;
@@ -252,12 +263,13 @@
   read_lease(gateway, reply, &read);
   router_lease_reply(gateway->router, &read, clock_now());
   lease_record_clear(&read.record);
-  set_tick(gateway);
+  schedule_tick(gateway);
 }
 
 /*
-** Few instances tell each other their loads; of many, each tells those of its
-** data centre, and relays tell the data centres of each other.
+** The set of instances has changed. When there are few, each sends its loads
+** to all others. When there are many (relay_group_sums), each sends them
+** within its data centre, and relays send sums to the other data centres.
 */
 static void on_instances(void *data, const GArray *all, const GArray *near) {
   Gateway *gateway = data;
@@ -271,30 +283,30 @@
 static void on_relay_message(void *data, mp_Addr from, const mp_Msg *message) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_take(gateway->relays, from, message);
+    relays_receive(gateway->relays, from, message);
 }
 
 static void on_crashes(void *data) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_crashes(gateway->relays);
+    relays_on_crashes(gateway->relays);
 }
 
-static void on_rate_news(void *data) {
+static void on_rates(void *data) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_rates(gateway->relays);
+    relays_on_rates(gateway->relays);
 }
 
 static void on_digest(void *data) {
   Gateway *gateway = data;
   gint64 now = clock_now();
   if (now >= gateway->trim_at) {
-    gateway->trim_at = now + TRIM_PAUSE;
+    gateway->trim_at = now + TRIM_INTERVAL_MIN;
     endpoint_links_trim(gateway->links);
   }
   if (gateway->relays != NULL)
-    relays_loads(gateway->relays);
+    relays_on_loads(gateway->relays);
 }
 
 static void on_store_answer(void *data) {
@@ -304,19 +316,19 @@
   router_news_heard(gateway->router,
                     clock_now() -
                         relay_group_news_age(gateway->group, clock_now()));
-  relays_news(gateway->relays);
+  relays_on_news(gateway->relays);
 }
 
 static void on_configuration(void *data, RouteTable *table) {
   Gateway *gateway = data;
-  front_limits(gateway->front, &table->limits);
+  front_set_limits(gateway->front, &table->limits);
 }
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** What operators, the platform and other instances may ask
+** Queries of operators, the platform and other instances
 ** ===================================================================
 */
 
@@ -326,7 +338,7 @@
          directory_has_endpoints(gateway->directory);
 }
 
-static gboolean ask_ready(void *data) {
+static gboolean on_ready_query(void *data) {
   Gateway *gateway = data;
   gboolean ready = is_ready(gateway);
   if (ready && !gateway->was_ready)
@@ -335,15 +347,16 @@
   return ready;
 }
 
-static CarrierCounts carrier_counts(const Gateway *gateway) {
-  CarrierCounts counts;
+static AdapterCounts adapter_counts(const Gateway *gateway) {
+  AdapterCounts counts;
   int kind;
   int field;
   counts.endpoint_connections = endpoint_links_opened_count(gateway->links);
   counts.store_calls = directory_store_calls(gateway->directory) +
                        store_link_calls(gateway->leases) +
-                       quarantine_writer_calls(gateway->quarantine);
-  counts.store_calls_left = directory_store_calls_left(gateway->directory);
+                       quarantine_writer_store_calls(gateway->quarantine);
+  counts.store_calls_left =
+      directory_abandoned_store_calls(gateway->directory);
   counts.log_lines_left_out = log_left_out(gateway->log);
   counts.log_lines_lost = log_lost(gateway->log);
   counts.idle_endpoint_connections = endpoint_links_idle_count(gateway->links);
@@ -372,21 +385,23 @@
   return counts;
 }
 
-static GString *ask_metrics(void *data) {
+static GString *on_metrics_query(void *data) {
   const Gateway *gateway = data;
-  CarrierCounts counts = carrier_counts(gateway);
+  AdapterCounts counts = adapter_counts(gateway);
   return metrics_text(gateway->router, &counts);
 }
 
-static void ask_news(void *data, const NewsQuery *query, StoreReply *out) {
+static void on_news_query(void *data, const NewsQuery *query,
+                          StoreReply *out) {
   const Gateway *gateway = data;
-  directory_answer(gateway->directory, query, out);
+  directory_answer_query(gateway->directory, query, out);
 }
 
 static gboolean make_status_server(Gateway *gateway,
                                    const GatewayOptions *options,
                                    GError **error) {
-  StatusServerHooks hooks = {gateway, ask_ready, ask_metrics, ask_news};
+  StatusServerHooks hooks = {gateway, on_ready_query, on_metrics_query,
+                             on_news_query};
   StatusServerOptions where = {options->ready, options->control,
                                options->metrics};
   gateway->status_server =
@@ -402,8 +417,8 @@
 ** ===================================================================
 */
 
-static void look_again(Gateway *gateway) {
-  struct timeval time = {0, DRAIN_LOOK};
+static void start_drain_timer(Gateway *gateway) {
+  struct timeval time = {0, DRAIN_POLL_INTERVAL};
   event_add(gateway->drain_timer, &time);
 }
 
@@ -417,11 +432,11 @@
     front_close_idle(gateway->front);
   }
   if (age >= gateway->drain_least && front_open_requests(gateway->front) == 0)
-    gateway->drained = TRUE;
-  if (gateway->drained || age >= gateway->drain_most)
+    gateway->is_drained = TRUE;
+  if (gateway->is_drained || age >= gateway->drain_most)
     event_base_loopbreak(gateway->base);
   else
-    look_again(gateway);
+    start_drain_timer(gateway);
 }
 
 void gateway_drain(Gateway *gateway) {
@@ -430,20 +445,23 @@
   gateway->drain_began = clock_now();
   log_numbered(gateway->log, MP_LOG_DRAIN, "%s", "");
   front_drain(gateway->front);
-  look_again(gateway);
+  start_drain_timer(gateway);
 }
 
-gboolean gateway_drained(const Gateway *gateway) {
-  return gateway->drained;
+gboolean gateway_is_drained(const Gateway *gateway) {
+  return gateway->is_drained;
 }
 
 /* }================================================================== */
 
-/* how old the configuration may be for a request with a key */
+/*
+** How old the configuration may be for a request with a key, in microseconds;
+** 0: without a limit.
+*/
 static gint64 revoke_bound(const GatewayOptions *options) {
   if (options->revoke_within == 0)
     return 0;
-  return MAX(options->revoke_within - REVOKE_MARGIN, REVOKE_LEAST);
+  return MAX(options->revoke_within - REVOKE_MARGIN, REVOKE_BOUND_MIN);
 }
 
 static RelayTimes relay_times(const GatewayOptions *options) {
@@ -488,7 +506,7 @@
   settings.seeds = options->peers;
   settings.seeds_count = options->peers_count;
   settings.watch_wait = options->watch_wait;
-  settings.proof_within = options->revoke_within / PROOFS_WITHIN;
+  settings.proof_within = options->revoke_within / WATCHES_PER_REVOKE;
   gateway->directory =
       directory_new(gateway->base, gateway->dialect, &settings,
                     gateway->router, gateway->group, gateway->log, &hooks);
@@ -499,8 +517,8 @@
 
 static gboolean make_exchange(Gateway *gateway, const GatewayOptions *options,
                               GError **error) {
-  LoadExchangeHooks hooks = {gateway, on_crashes, on_rate_news,
-                             on_relay_message, on_digest};
+  LoadExchangeHooks hooks = {gateway, on_crashes, on_rates, on_relay_message,
+                             on_digest};
   gateway->exchange = load_exchange_new(gateway->base, options->exchange,
                                         gateway->router, &hooks, error);
   return gateway->exchange != NULL;
@@ -538,7 +556,7 @@
   }
   make_directory(gateway, options);
   log_numbered(gateway->log, MP_LOG_START, "%s", "");
-  set_tick(gateway);
+  schedule_tick(gateway);
   return gateway;
 }
 
@@ -547,7 +565,7 @@
 }
 
 void gateway_free(Gateway *gateway) {
-  log_numbered(gateway->log, MP_LOG_STOP, " drained=%d", gateway->drained);
+  log_numbered(gateway->log, MP_LOG_STOP, " drained=%d", gateway->is_drained);
   if (gateway->status_server != NULL)
     status_server_free(gateway->status_server);
   if (gateway->relays != NULL)
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -1,6 +1,6 @@
 /*
 ** load_exchange.c
-** Tells the other instances what is open here, and hears it from them
+** Sends the loads of this instance to other instances, and receives theirs
 */
 
 #include <string.h>
@@ -11,16 +11,16 @@
 #include "io/clock.h"
 #include "wire/rpc.h"
 
-/* datagrams read in one go, before others get their turn */
+/* limit of datagrams read before other events of the loop are handled */
 #define READ_BURST 64
-/* least time between two digests, for each instance that hears them; us */
+/* minimum interval between two digests, in us for each receiver */
 #define INTERVAL_PER_PEER (700LL)
-/* the same where only what is open at plain endpoints has changed: a request
-** there takes some tens of milliseconds, and each digest costs all instances a
-** datagram */
-#define INTERVAL_PLAIN (25 * MP_MS)
-/* a digest goes out this often even when nothing changed */
-#define REFRESH (500 * MP_MS)
+/* minimum interval when only the loads of plain endpoints have changed: a
+** request there takes some tens of milliseconds, and each digest costs every
+** receiver a datagram */
+#define PLAIN_INTERVAL_MIN (25 * MP_MS)
+/* interval of digests when nothing changes */
+#define REFRESH_INTERVAL (500 * MP_MS)
 
 struct LoadExchange {
   Router *router;
@@ -28,18 +28,19 @@
   evutil_socket_t fd;
   struct event *readable;
   struct event *timer;
-  GArray *peers; /* mp_Addr */
-  gboolean only; /* digests of others are not taken */
-  guint32 sequence;
-  guint64 told; /* the versions that were sent last */
-  guint64 plain_told;
-  guint64 crashes_told; /* router_crash_version that was sent last */
-  guint64 rates_told;   /* router_rates_version that was sent last */
-  gint64 rates_at;      /* when that was */
-  gint64 sent_at;
+  GArray *peers;              /* mp_Addr: receivers of digests */
+  gboolean only;              /* loads of other instances are ignored */
+  guint32 sequence;           /* number of the newest digest */
+  guint64 sent_load_version;  /* router_load_version in that digest */
+  guint64 sent_plain_version; /* router_plain_version in that digest */
+  guint64 sent_crash_version; /* router_crash_version when last sent */
+  guint64 sent_rates_version; /* router_rates_version when last sent */
+  gint64 rates_sent_at;
+  gint64 sent_at; /* when the newest digest was sent */
 };
 
-static gint64 least_interval(const LoadExchange *exchange) {
+/* The minimum interval between two digests. */
+static gint64 min_interval(const LoadExchange *exchange) {
   return INTERVAL_PER_PEER * (gint64)exchange->peers->len;
 }
 
@@ -60,8 +61,8 @@
   datagram_send(exchange->fd, to, bytes, size);
 }
 
-void load_exchange_note(LoadExchange *exchange, guint32 endpoint,
-                        guint32 tokens) {
+void load_exchange_send_note(LoadExchange *exchange, guint32 endpoint,
+                             guint32 tokens) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_LOAD_NOTE;
@@ -79,20 +80,21 @@
   message.seq = ++exchange->sequence;
   router_load_digest(exchange->router, &message.u.digest, clock_now());
   send_to_all(exchange, &message);
-  exchange->told = router_load_version(exchange->router);
-  exchange->plain_told = router_plain_version(exchange->router);
+  exchange->sent_load_version = router_load_version(exchange->router);
+  exchange->sent_plain_version = router_plain_version(exchange->router);
   exchange->sent_at = clock_now();
 }
 
 /*
-** Requests that end endpoints are told at once, and again with each refresh
-** for some seconds: a datagram may be lost. There are none to tell mostly.
+** Sends the crash reports. A new one is sent at once, and again with each
+** refresh for some seconds, because a datagram may be lost. Mostly there are
+** none.
 */
 static void send_crashes(LoadExchange *exchange) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
-  exchange->crashes_told = router_crash_version(exchange->router);
+  exchange->sent_crash_version = router_crash_version(exchange->router);
   router_tell_crashes(exchange->router, FALSE, &message.u.crashes,
                       clock_now());
   if (message.u.crashes.n > 0 || message.u.crashes.suspected_n > 0)
@@ -100,15 +102,16 @@
 }
 
 /*
-** What is sent to an endpoint that names a rate is told as soon as a digest
-** would be: the others count it against that rate. There is none mostly.
+** Sends the rates at which this instance sends to endpoints that limit them,
+** because the other instances count them against those limits. They follow a
+** change as soon as a digest would. Mostly there are none.
 */
 static void send_rates(LoadExchange *exchange) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RATES;
-  exchange->rates_told = router_rates_version(exchange->router);
-  exchange->rates_at = clock_now();
+  exchange->sent_rates_version = router_rates_version(exchange->router);
+  exchange->rates_sent_at = clock_now();
   router_tell_rates(exchange->router, FALSE, &message.u.rates, clock_now());
   if (message.u.rates.n > 0)
     send_to_all(exchange, &message);
@@ -126,45 +129,49 @@
   send_digest(exchange);
   send_crashes(exchange);
   send_rates(exchange);
-  start_timer(exchange, REFRESH);
+  start_timer(exchange, REFRESH_INTERVAL);
 }
 
-/* send what is new, or be back when it may be sent: the time until then */
-static gint64 notice_rates(LoadExchange *exchange) {
-  gint64 due = exchange->rates_at + least_interval(exchange) - clock_now();
-  if (router_rates_version(exchange->router) == exchange->rates_told)
-    return REFRESH;
+/*
+** Sends the rates if they have changed and may be sent. Returns the time in
+** microseconds until the next check.
+*/
+static gint64 update_rates(LoadExchange *exchange) {
+  gint64 due = exchange->rates_sent_at + min_interval(exchange) - clock_now();
+  if (router_rates_version(exchange->router) == exchange->sent_rates_version)
+    return REFRESH_INTERVAL;
   if (due > 0)
     return due;
   send_rates(exchange);
   exchange->hooks.rates(exchange->hooks.data);
-  return REFRESH;
+  return REFRESH_INTERVAL;
 }
 
-static gint64 notice_loads(LoadExchange *exchange) {
+/* The same for digests. */
+static gint64 update_loads(LoadExchange *exchange) {
   const Router *router = exchange->router;
-  gint64 interval = least_interval(exchange);
+  gint64 interval = min_interval(exchange);
   gint64 due;
-  if (router_load_version(router) == exchange->told) {
-    if (router_plain_version(router) == exchange->plain_told)
-      return REFRESH;
-    interval = MAX(interval, INTERVAL_PLAIN);
+  if (router_load_version(router) == exchange->sent_load_version) {
+    if (router_plain_version(router) == exchange->sent_plain_version)
+      return REFRESH_INTERVAL;
+    interval = MAX(interval, PLAIN_INTERVAL_MIN);
   }
   due = exchange->sent_at + interval - clock_now();
   if (due > 0)
     return due;
   send_digest(exchange);
-  return REFRESH;
+  return REFRESH_INTERVAL;
 }
 
-void load_exchange_notice(LoadExchange *exchange) {
+void load_exchange_send_changes(LoadExchange *exchange) {
   gint64 sent_at = exchange->sent_at;
   gint64 wait;
-  if (router_crash_version(exchange->router) != exchange->crashes_told)
+  if (router_crash_version(exchange->router) != exchange->sent_crash_version)
     send_crashes(exchange);
-  wait = notice_rates(exchange);
-  wait = MIN(wait, notice_loads(exchange));
-  if (wait < REFRESH || exchange->sent_at != sent_at)
+  wait = update_rates(exchange);
+  wait = MIN(wait, update_loads(exchange));
+  if (wait < REFRESH_INTERVAL || exchange->sent_at != sent_at)
     start_timer(exchange, wait);
 }
 
@@ -174,7 +181,8 @@
   return (mp_MsgKind)0;
 }
 
-static gboolean is_heard(const LoadExchange *exchange, mp_Addr peer) {
+/* Are the loads of this instance taken? */
+static gboolean accepts_loads_of(const LoadExchange *exchange, mp_Addr peer) {
   guint i;
   if (!exchange->only)
     return TRUE;
@@ -185,9 +193,9 @@
   return FALSE;
 }
 
-static void take_load(LoadExchange *exchange, mp_Addr peer,
-                      const mp_Msg *message) {
-  if (!is_heard(exchange, peer))
+static void handle_load(LoadExchange *exchange, mp_Addr peer,
+                        const mp_Msg *message) {
+  if (!accepts_loads_of(exchange, peer))
     return;
   if (message->kind == MP_MSG_LOAD_NOTE) {
     router_peer_note(exchange->router, peer, &message->u.note);
@@ -198,21 +206,21 @@
   exchange->hooks.digest(exchange->hooks.data);
 }
 
-static void take_crashes(LoadExchange *exchange, const mp_CrashNews *news) {
+static void handle_crashes(LoadExchange *exchange, const mp_CrashNews *news) {
   if (router_hear_crashes(exchange->router, news, clock_now()))
     exchange->hooks.crashes(exchange->hooks.data);
 }
 
-static void take_rates(LoadExchange *exchange, mp_Addr peer,
-                       const mp_RateNews *news) {
-  if (!is_heard(exchange, peer))
+static void handle_rates(LoadExchange *exchange, mp_Addr peer,
+                         const mp_RateNews *news) {
+  if (!accepts_loads_of(exchange, peer))
     return;
   router_hear_rates(exchange->router, peer, news, clock_now());
   exchange->hooks.rates(exchange->hooks.data);
 }
 
-static void take(LoadExchange *exchange, mp_Addr peer, const char *bytes,
-                 size_t size) {
+static void handle_datagram(LoadExchange *exchange, mp_Addr peer,
+                            const char *bytes, size_t size) {
   mp_Msg message;
   char answer[MP_MAXDGRAM];
   size_t answer_size;
@@ -220,11 +228,11 @@
                  sizeof answer, &answer_size) != RPC_CALL)
     return;
   if (message.kind == MP_MSG_LOAD_DIGEST || message.kind == MP_MSG_LOAD_NOTE)
-    take_load(exchange, peer, &message);
+    handle_load(exchange, peer, &message);
   else if (message.kind == MP_MSG_CRASHES)
-    take_crashes(exchange, &message.u.crashes);
+    handle_crashes(exchange, &message.u.crashes);
   else if (message.kind == MP_MSG_RATES && message.u.rates.zone == 0)
-    take_rates(exchange, peer, &message.u.rates);
+    handle_rates(exchange, peer, &message.u.rates);
   else
     exchange->hooks.relay(exchange->hooks.data, peer, &message);
 }
@@ -234,14 +242,14 @@
   int i;
   (void)what;
   for (i = 0; i < READ_BURST; i++) {
-    char bytes[MP_MAXDGRAM + 1]; /* one more, so that too long ones show */
+    char bytes[MP_MAXDGRAM + 1]; /* 1 more, to detect ones that are longer */
     mp_Addr from;
     ssize_t size = datagram_receive(fd, bytes, sizeof bytes, &from);
     if (size < 0)
       break;
-    take(exchange, from, bytes, (size_t)size);
+    handle_datagram(exchange, from, bytes, (size_t)size);
   }
-  load_exchange_notice(exchange); /* waiting requests may have started */
+  load_exchange_send_changes(exchange); /* queued requests may have started */
 }
 
 LoadExchange *load_exchange_new(struct event_base *base, mp_Addr address,
@@ -256,12 +264,13 @@
   exchange->hooks = *hooks;
   exchange->fd = fd;
   exchange->peers = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
-  exchange->sequence = g_random_int(); /* another life starts elsewhere */
+  /* a restarted instance continues with other numbers */
+  exchange->sequence = g_random_int();
   exchange->readable =
       event_new(base, fd, EV_READ | EV_PERSIST, on_readable, exchange);
   exchange->timer = evtimer_new(base, on_timer, exchange);
   event_add(exchange->readable, NULL);
-  start_timer(exchange, REFRESH);
+  start_timer(exchange, REFRESH_INTERVAL);
   return exchange;
 }
 
--- a/io/load_exchange.h
+++ b/io/load_exchange.h
@@ -1,10 +1,16 @@
 /*
 ** load_exchange.h
-** Tells the other instances what is open here, and hears it from them
-** Datagrams, ONC RPC calls without a reply. A digest goes out soon after
-** a change, at most once in a time that grows with the number of
-** instances that hear it, so that what each receives stays bounded; and now
-** and then without a change, since datagrams get lost.
+** Sends the loads of this instance to other instances, and receives theirs
+**
+** A load is what an instance has open at endpoints. Messages are ONC RPC calls
+** without a reply, each in one UDP datagram. A digest contains all loads of
+** an instance. It is sent soon after a change, but at most once in an interval
+** that grows with the number of receivers, so that the traffic that each
+** receives stays bounded. It is also sent every 0.5 s without a change,
+*because
+** datagrams get lost. A note reports one reservation between two digests. The
+** same datagrams carry crash reports (router/quarantine.h) and the rates sent
+** to endpoints that limit them. Used by gateway.c and relays.c.
 */
 
 #ifndef LOAD_EXCHANGE_H
@@ -16,34 +22,49 @@
 
 typedef struct LoadExchange LoadExchange;
 
-/* what came beside notes: a message of another kind, or a digest */
 typedef struct LoadExchangeHooks {
   void *data;
-  void (*crashes)(void *data); /* news of requests that end endpoints came */
-  void (*rates)(void *data);   /* of endpoints that name rates: sent or came */
+  /* A crash report brought something new. */
+  void (*crashes)(void *data);
+  /* Rates at endpoints that limit them were sent or received. */
+  void (*rates)(void *data);
+  /* A message for relays was received, valid during the callback. */
   void (*relay)(void *data, mp_Addr from, const mp_Msg *message);
-  void (*digest)(void *data); /* a digest was taken */
+  /* A digest was received and handed to the router. */
+  void (*digest)(void *data);
 } LoadExchangeHooks;
 
-/* NULL and an error when the address cannot be bound */
+/*
+** Sends and receives on 'address'. Returns NULL and sets an error when it
+** cannot be bound. 'hooks' is copied.
+*/
 LoadExchange *load_exchange_new(struct event_base *base, mp_Addr address,
                                 Router *router, const LoadExchangeHooks *hooks,
                                 GError **error);
 void load_exchange_free(LoadExchange *exchange);
 
-/* the addresses of the instances that hear the digests; copied. 'only':
-** digests of others are not taken, since summaries hold them already */
+/*
+** Sets the instances that receive the digests: an array of mp_Addr, which is
+** copied. With 'only', digests, notes and rates of other instances are
+** ignored, because summaries contain them already.
+*/
 void load_exchange_set_peers(LoadExchange *exchange, const GArray *addresses,
                              gboolean only);
 
-/* a message of another kind, to one instance */
+/* Sends a message of any kind to one instance. */
 void load_exchange_send(LoadExchange *exchange, mp_Addr to,
                         const mp_Msg *message);
 
-/* what is open here may have changed */
-void load_exchange_notice(LoadExchange *exchange);
-/* room was reserved: told to the others without waiting for a digest */
-void load_exchange_note(LoadExchange *exchange, guint32 endpoint,
-                        guint32 tokens);
+/*
+** Sends what has changed since it was last sent, or starts the timer for when
+** it may be sent. To be called when the router may have changed.
+*/
+void load_exchange_send_changes(LoadExchange *exchange);
+/*
+** Sends a note: 'tokens' were reserved at an endpoint, named by its number in
+** digests. It does not wait for the next digest.
+*/
+void load_exchange_send_note(LoadExchange *exchange, guint32 endpoint,
+                             guint32 tokens);
 
 #endif
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -1,6 +1,6 @@
 /*
 ** metrics.c
-** Counters and histograms of one instance as text
+** The metrics of one instance as text
 */
 
 #include "io/metrics.h"
@@ -38,7 +38,7 @@
                          router_instances(router));
 }
 
-static void write_carriers(GString *text, const CarrierCounts *carriers) {
+static void write_adapters(GString *text, const AdapterCounts *counts) {
   g_string_append_printf(
       text,
       "madderpier_endpoint_connections_total %" G_GUINT64_FORMAT "\n"
@@ -58,42 +58,45 @@
       "madderpier_resting_endpoints %u\n"
       "madderpier_waiting_requests %u\n"
       "madderpier_waiting_requests_in_time %u\n",
-      carriers->endpoint_connections, carriers->store_calls,
-      carriers->store_calls_left, carriers->log_lines_left_out,
-      carriers->log_lines_lost, carriers->idle_endpoint_connections,
-      carriers->news_role, (double)carriers->news_age / MP_SEC,
-      carriers->ready, carriers->suspects, carriers->held,
-      carriers->rate_skips, carriers->limited_endpoints,
-      carriers->leaving_endpoints, carriers->resting_endpoints,
-      carriers->waiting, carriers->waiting_in_time);
+      counts->endpoint_connections, counts->store_calls,
+      counts->store_calls_left, counts->log_lines_left_out,
+      counts->log_lines_lost, counts->idle_endpoint_connections,
+      counts->news_role, (double)counts->news_age / MP_SEC, counts->ready,
+      counts->suspects, counts->held, counts->rate_skips,
+      counts->limited_endpoints, counts->leaving_endpoints,
+      counts->resting_endpoints, counts->waiting, counts->waiting_in_time);
 }
 
 static const char *const kind_names[MP_RELAY_KINDS] = {
     "configuration", "endpoints", "instances", "quarantine"};
 
-static void write_lags(GString *text, const CarrierCounts *carriers) {
+static void write_lags(GString *text, const AdapterCounts *counts) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     g_string_append_printf(
         text, "madderpier_news_lag_seconds{kind=\"%s\"} %.3f\n",
-        kind_names[kind], (double)carriers->news_lag[kind] / MP_SEC);
+        kind_names[kind], (double)counts->news_lag[kind] / MP_SEC);
 }
 
-/* one whose era is lower than the store's has not heard of its return */
-static void write_positions(GString *text, const CarrierCounts *carriers) {
+/*
+** The positions up to which the kinds are known. A kind whose era is lower
+*than
+** the store's has not been read since the store was restored from a copy.
+*/
+static void write_positions(GString *text, const AdapterCounts *counts) {
   int kind;
   g_string_append_printf(text, "madderpier_store_era %" G_GUINT64_FORMAT "\n",
-                         carriers->store_era);
+                         counts->store_era);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     g_string_append_printf(
         text,
         "madderpier_news_era{kind=\"%s\"} %" G_GUINT64_FORMAT "\n"
         "madderpier_news_revision{kind=\"%s\"} %" G_GINT64_FORMAT "\n",
-        kind_names[kind], carriers->held_at[kind].era, kind_names[kind],
-        carriers->held_at[kind].revision);
+        kind_names[kind], counts->held_at[kind].era, kind_names[kind],
+        counts->held_at[kind].revision);
 }
 
-/* a line for each field that was ever wrong, and for each kind their sum */
+/* One line for each field that was ever wrong, and one with their sum. */
 static void write_bad_kind(GString *text, const char *kind,
                            const guint64 fields[RECORD_FIELD_COUNT]) {
   guint64 sum = 0;
@@ -113,20 +116,20 @@
                          kind, sum);
 }
 
-static void write_bad_objects(GString *text, const CarrierCounts *carriers) {
+static void write_bad_objects(GString *text, const AdapterCounts *counts) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
-    write_bad_kind(text, kind_names[kind], carriers->bad_objects[kind]);
+    write_bad_kind(text, kind_names[kind], counts->bad_objects[kind]);
 }
 
-GString *metrics_text(const Router *router, const CarrierCounts *carriers) {
+GString *metrics_text(const Router *router, const AdapterCounts *counts) {
   GString *text = g_string_new(NULL);
   int which;
   write_router(text, router);
-  write_carriers(text, carriers);
-  write_lags(text, carriers);
-  write_positions(text, carriers);
-  write_bad_objects(text, carriers);
+  write_adapters(text, counts);
+  write_lags(text, counts);
+  write_positions(text, counts);
+  write_bad_objects(text, counts);
   for (which = 0; which < DURATION_COUNT; which++)
     write_duration(text, router, (RouterDuration)which);
   return text;
--- a/io/metrics.h
+++ b/io/metrics.h
@@ -1,7 +1,10 @@
 /*
 ** metrics.h
-** Counters and histograms of one instance as text, in the Prometheus
-** format (version 0.0.4). Durations are in seconds.
+** The metrics of one instance as text, in the Prometheus format
+** (version 0.0.4), with durations in seconds
+**
+** gateway.c collects the numbers; docs for operators use the metrics' names in
+** metrics.c.
 */
 
 #ifndef METRICS_H
@@ -10,33 +13,41 @@
 #include "dialect/dialect.h"
 #include "router/router.h"
 
-/* what the carriers count; totals since the start unless said otherwise */
-typedef struct CarrierCounts {
+/*
+** The numbers that do not come from the router's own counters. A guint64 is a
+** total since the start, and any other number the present value, unless its
+** comment says otherwise.
+*/
+typedef struct AdapterCounts {
   guint64 endpoint_connections;
   guint64 store_calls;
-  guint64 store_calls_left;        /* given up for news known elsewhere */
-  gint64 news_lag[MP_RELAY_KINDS]; /* by StoreKind; us */
-  guint64 log_lines_left_out;
-  guint64 log_lines_lost;
-  unsigned idle_endpoint_connections; /* now */
-  const char *news_role;   /* who follows the store for it: relay_role_name */
-  gint64 news_age;         /* since the store answered it or a relay; us */
-  gboolean ready;          /* now */
-  guint suspects;          /* requests under which endpoints ended lately */
-  guint held;              /* of them, those that are not sent any more */
-  guint64 rate_skips;      /* choices that left one of these out */
-  guint limited_endpoints; /* that name the rate they take */
-  guint leaving_endpoints; /* whose answers said that they leave */
-  guint resting_endpoints; /* that want no request from this instance now */
-  guint waiting;           /* requests that wait for room now */
-  guint waiting_in_time;   /* of them, that can still be answered in time */
-  /* of the store, by StoreKind and by the field that is wrong */
+  guint64 store_calls_left; /* calls abandoned for newer news elsewhere */
+  gint64 news_lag[MP_RELAY_KINDS]; /* by StoreKind: how long this instance has
+                                   ** lagged behind a known change, us */
+  guint64 log_lines_left_out;      /* log_left_out */
+  guint64 log_lines_lost;          /* log_lost */
+  unsigned idle_endpoint_connections;
+  const char *news_role;   /* relay_role_name of this instance */
+  gint64 news_age;         /* us since the store has answered this instance or
+                           ** a relay that it hears */
+  gboolean ready;          /* readiness checks succeed */
+  guint suspects;          /* requests that endpoints crashed under lately */
+  guint held;              /* those of them that are not sent any more */
+  guint64 rate_skips;      /* choices that excluded an endpoint by its rate */
+  guint limited_endpoints; /* endpoints that limit the rate of requests */
+  guint leaving_endpoints; /* endpoints whose responses said that they leave */
+  guint resting_endpoints; /* endpoints that want no request from here now */
+  guint waiting;           /* queued requests */
+  guint waiting_in_time; /* those of them that can still be answered in time */
+  /* objects of the store that could not be read, by StoreKind and by the field
+  ** that is wrong */
   guint64 bad_objects[MP_RELAY_KINDS][RECORD_FIELD_COUNT];
-  StorePosition held_at[MP_RELAY_KINDS]; /* by StoreKind: known up to there */
-  guint64 store_era;                     /* the latest heard of; 0: none */
-} CarrierCounts;
+  StorePosition held_at[MP_RELAY_KINDS]; /* by StoreKind: position up to which
+                                         ** changes are known */
+  guint64 store_era; /* latest era of the store that is known; 0: none */
+} AdapterCounts;
 
-/* the caller frees it: g_string_free */
-GString *metrics_text(const Router *router, const CarrierCounts *carriers);
+/* Returns the text, which the caller frees by g_string_free. */
+GString *metrics_text(const Router *router, const AdapterCounts *carriers);
 
 #endif
--- a/io/news_codec.c
+++ b/io/news_codec.c
@@ -1,6 +1,6 @@
 /*
 ** news_codec.c
-** What instances ask each other about the store's objects
+** Encoding of the queries for the store's objects between instances
 */
 
 #include <stdlib.h>
@@ -13,8 +13,9 @@
 #include "io/news_codec.h"
 #include "router/text_patch.h"
 
-#define STATUS_KNOWS_NOTHING 503
-/* shorter answers are not compressed, bytes: they fit into a packet */
+#define STATUS_NO_COPY 503
+/* bytes up to which a response is not compressed, because it fits into one
+** packet */
 #define SHORT_ANSWER 1400
 
 static HttpHead *write_call(const StoreCall *call, char **body) {
@@ -36,7 +37,10 @@
   return head;
 }
 
-/* 0: it names none. The store counts from 1, so a negative one is none */
+/*
+** A member that is a count; 0 when it is missing. The store counts from 1, so
+** that a negative number counts as missing.
+*/
 static gint64 read_count(const json_t *json, const char *key) {
   return MAX(json_integer_value(json_object_get(json, key)), 0);
 }
@@ -46,7 +50,7 @@
   return store_position(era, read_count(json, key));
 }
 
-/* of an object: its own era, where it is not the answer's */
+/* The era of an object, which is 'era', that of the response, by default. */
 static guint64 read_era(const json_t *json, guint64 era) {
   return json_is_integer(json_object_get(json, "era"))
              ? (guint64)read_count(json, "era")
@@ -68,7 +72,7 @@
   return TRUE;
 }
 
-/* NULL: there are none that can be read */
+/* Returns NULL when there are no changes, or one cannot be read. */
 static GArray *read_changes(const json_t *json, guint64 era) {
   const json_t *list = json_object_get(json, "changes");
   GArray *changes;
@@ -119,8 +123,8 @@
   return TRUE;
 }
 
-/* NULL: it is no JSON */
-static json_t *load(const char *body, gsize size) {
+/* Parses a body that may be compressed. Returns NULL when it is not JSON. */
+static json_t *parse_body(const char *body, gsize size) {
   char *text;
   json_t *json;
   if (!text_patch_is(body, size))
@@ -142,7 +146,7 @@
   out->status = STORE_FAILED;
   if (status != 200)
     return TRUE;
-  json = load(body, size);
+  json = parse_body(body, size);
   out->objects = store_objects_new();
   good = read_objects(json, out);
   json_decref(json);
@@ -151,7 +155,8 @@
     store_reply_clear(out);
     out->status = STORE_FAILED;
     g_set_error_literal(error, MP_ERROR, MP_ERR_STORE,
-                        "an instance's news cannot be read; look at its log");
+                        "the response of another instance cannot be read; see "
+                        "that instance's log");
   }
   return good;
 }
@@ -223,7 +228,8 @@
   return json;
 }
 
-static GBytes *pack(const char *text) {
+/* Compresses a text if it is long. */
+static GBytes *compress_if_long(const char *text) {
   gsize size = strlen(text);
   return size > SHORT_ANSWER ? text_patch_new("", text)
                              : g_bytes_new(text, size);
@@ -245,12 +251,12 @@
   if (reply->by_stale)
     json_object_set_new(json, "by_old_list", json_true());
   dumped = json_dumps(json, JSON_COMPACT);
-  out = pack(dumped);
+  out = compress_if_long(dumped);
   free(dumped);
   json_decref(json);
   return out;
 }
 
-int news_status(const StoreReply *reply) {
-  return reply->status == STORE_OK ? 200 : STATUS_KNOWS_NOTHING;
+int news_reply_status(const StoreReply *reply) {
+  return reply->status == STORE_OK ? 200 : STATUS_NO_COPY;
 }
--- a/io/news_codec.h
+++ b/io/news_codec.h
@@ -1,14 +1,19 @@
 /*
 ** news_codec.h
-** What instances ask each other about the store's objects, over HTTP
+** Encoding of the queries for the store's objects that instances send to each
+** other, over HTTP
 **
-** A call is GET /news?kind=K for everything of a kind, with &since=R&era=E for
-** what has changed after revision R of the store's era E. The answer is JSON:
-** era and revision up to which it is whole, and the objects with the texts
-** that the store has for them, long ones as changes of the text that stood at
-** that position, unless &full=1 is added. With &digest=D, of what the asker
-** knows, objects are named alone where that is all there is. Long answers are
-** compressed. 503 stands for an instance that does not know the store itself.
+** GET /news?kind=K requests all objects of a kind (StoreKind); with
+** &since=R&era=E, those that have changed after revision R of the store's era
+** E (router/store_position.h). The response is JSON: the era and the revision
+** up to which it is complete, and the objects with their texts in the store.
+** Long texts are sent as changes of the text at the position that was asked
+** for, unless &full=1 is added. &digest=D is a digest of what the requester
+** knows; objects of which the responder would tell it nothing else are then
+** only named. Long responses are compressed. The status 503 means that the
+** instance has no copy of the objects. Used by following.c as the client and
+*by
+** status_server.c as the server.
 */
 
 #ifndef NEWS_CODEC_H
@@ -17,20 +22,26 @@
 #include "dialect/dialect.h"
 
 #define NEWS_PATH "/news"
-/* calls to another instance: LIST and WATCH alone; a watch does not wait */
+/*
+** The codec for calls to another instance (store_link.h). It supports the
+** operations STORE_LIST and STORE_WATCH only, and a watch does not wait.
+*/
 extern const StoreCodec news_codec;
 
-/* what a call asks for */
+/* a parsed query */
 typedef struct NewsQuery {
   StoreKind kind;
   FollowerQuery asked;
 } NewsQuery;
 
-/* read the query of a call; FALSE when it is none */
+/*
+** Parses the query of a URI, which may be NULL. Returns FALSE when it is not
+** valid; '*out' must not be used then.
+*/
 gboolean news_read_query(const char *query, NewsQuery *out);
-/* the answer's body; g_bytes_unref it */
+/* The body of the response; the caller frees it by g_bytes_unref. */
 GBytes *news_write_reply(const StoreReply *reply);
-/* the answer's status */
-int news_status(const StoreReply *reply);
+/* The HTTP status of the response. */
+int news_reply_status(const StoreReply *reply);
 
 #endif
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -1,18 +1,20 @@
 /*
 ** quarantine_writer.c
-** Keeps in the store what this instance saw of requests that end endpoints
+** Writes the quarantine records of this instance to the store
 **
-** One write at a time. A conditional write that meets another instance's gets
-** what stands there, which is merged before the next try.
+** One write is made at a time. A conditional write that conflicts with another
+** instance's write returns the object that is stored, which is merged before
+** the next attempt.
 */
 
 #include "io/clock.h"
 #include "io/quarantine_writer.h"
 #include "io/store_link.h"
 
-/* the store answers within some milliseconds, a slow one within 0.2 s */
-#define CALL_PATIENCE (1000 * MP_MS)
-/* digits of an object's name */
+/* how long the store may stay silent: it answers within some milliseconds, a
+** slow one within 0.2 s */
+#define CALL_TIMEOUT (1000 * MP_MS)
+/* size of an object's name: 16 hexadecimal digits and the final NUL */
 #define NAME_SIZE 17
 
 struct QuarantineWriter {
@@ -21,8 +23,9 @@
   Log *log;
   StoreLink *link;
   struct event *timer;
-  guint64 content;        /* of the call that is out */
-  StorePosition position; /* at which it replaces or removes the object */
+  /* of the newest call: */
+  guint64 content;        /* QuarantineRecord.content */
+  StorePosition position; /* of the object that it replaces or removes */
   gboolean removing;      /* it removes the object */
 };
 
@@ -41,10 +44,10 @@
   call.operation = save->remove                             ? STORE_REMOVE
                    : store_position_is_none(save->position) ? STORE_CREATE
                                                             : STORE_REPLACE;
-  store_link_call(writer->link, &call, CALL_PATIENCE);
+  store_link_call(writer->link, &call, CALL_TIMEOUT);
 }
 
-void quarantine_writer_look(QuarantineWriter *writer) {
+void quarantine_writer_poll(QuarantineWriter *writer) {
   QuarantineSave save;
   if (!store_link_is_open(writer->link) &&
       router_next_quarantine_save(writer->router, &save, clock_now()))
@@ -54,11 +57,11 @@
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  quarantine_writer_look(data);
+  quarantine_writer_poll(data);
 }
 
-/* what stands in the store, as a write was answered */
-static void take_object(QuarantineWriter *writer, const StoreObject *object) {
+/* Merges an object of the store, which a write has returned. */
+static void merge_object(QuarantineWriter *writer, const StoreObject *object) {
   QuarantineRecord record = {0};
   GError *error = NULL;
   if (object->gone) {
@@ -76,7 +79,10 @@
   g_error_free(error);
 }
 
-/* what a restored store lacks nobody removed */
+/*
+** Has an operator removed the object that the store reports as absent? In
+** another era, the store was restored from a copy without it.
+*/
 static gboolean was_removed(const QuarantineWriter *writer,
                             const StoreReply *reply) {
   return reply->at.era == writer->position.era;
@@ -89,7 +95,7 @@
   guint i;
   router_hear_era(writer->router, reply->at.era, clock_now());
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++)
-    take_object(writer, &g_array_index(reply->objects, StoreObject, i));
+    merge_object(writer, &g_array_index(reply->objects, StoreObject, i));
   if ((reply->status == STORE_ABSENT && was_removed(writer, reply)) ||
       (reply->status == STORE_OK && writer->removing))
     router_lift_quarantine(writer->router, writer->content, clock_now());
@@ -99,9 +105,10 @@
     log_numbered(writer->log, MP_LOG_NOT_KEPT,
                  " content=%016" G_GINT64_MODIFIER "x error=\"%s\"",
                  writer->content,
-                 error != NULL ? error->message : "written meanwhile");
+                 error != NULL ? error->message
+                               : "the object has changed in the store");
   }
-  event_add(writer->timer, &soon); /* not from within the reply */
+  event_add(writer->timer, &soon); /* the next write follows the reply */
 }
 
 QuarantineWriter *quarantine_writer_new(struct event_base *base,
@@ -123,6 +130,6 @@
   g_free(writer);
 }
 
-guint64 quarantine_writer_calls(const QuarantineWriter *writer) {
+guint64 quarantine_writer_store_calls(const QuarantineWriter *writer) {
   return store_link_calls(writer->link);
 }
--- a/io/quarantine_writer.h
+++ b/io/quarantine_writer.h
@@ -1,8 +1,10 @@
 /*
 ** quarantine_writer.h
-** Keeps in the store what this instance saw of requests that end endpoints
-** (router/quarantine.h): what instances alone know is lost when most of them
-** are killed at once.
+** Writes the quarantine records of this instance to the store
+**
+** A record (router/quarantine.h) lists the endpoints that crashed while they
+** ran a request. Instances send them to each other as well, but what they
+** alone know is lost when most of them are killed at once. Used by gateway.c.
 */
 
 #ifndef QUARANTINE_WRITER_H
@@ -15,14 +17,16 @@
 
 typedef struct QuarantineWriter QuarantineWriter;
 
+/* The pointers are borrowed, and have to outlive the writer. */
 QuarantineWriter *quarantine_writer_new(struct event_base *base,
                                         const Dialect *dialect, mp_Addr store,
                                         Router *router, Log *log);
 void quarantine_writer_free(QuarantineWriter *writer);
 
-/* there may be something to write */
-void quarantine_writer_look(QuarantineWriter *writer);
+/* Begins the next write, if there is one and no other is in progress. */
+void quarantine_writer_poll(QuarantineWriter *writer);
 
-guint64 quarantine_writer_calls(const QuarantineWriter *writer);
+/* The number of calls to the store since the start. */
+guint64 quarantine_writer_store_calls(const QuarantineWriter *writer);
 
 #endif
--- a/io/relays.c
+++ b/io/relays.c
@@ -1,6 +1,6 @@
 /*
 ** relays.c
-** Heartbeats of the relays of a data centre
+** The messages of the relays of a data centre
 */
 
 #include <string.h>
@@ -8,25 +8,27 @@
 #include "io/clock.h"
 #include "io/relays.h"
 
-/* members that are asked for a heartbeat: the relays there should be, and as
-** many that take their place when they are lost */
-#define ASKED 4
-/* relays whose clocks are asked for at once: all of a few data centres */
+/* number of members that are asked for a heartbeat: the relays there should
+** be, and as many that replace them when they are lost */
+#define ASKED_MEMBERS 4
+/* limit of relays whose clocks are asked for in one message round: all relays
+** of a few data centres */
 #define CLOCKS_AT_ONCE 8
-/* least time between two summaries: an engine that turns all away looks idle,
-** and in the 0.2 s between heartbeats 61 prompts of other data centres were
-** sent to one of them in vain (58 instances, a burst with a quarter of the
-** engines lost) */
-#define SUMMARY_LEAST (30 * MP_MS)
+/* Minimum interval between two summaries. Waiting for the next heartbeat is
+** too long: an engine that rejects all requests looks idle, and in the 0.2 s
+** between heartbeats, 61 prompts of other data centres were sent to one such
+** engine in vain (58 instances, a burst with a quarter of the engines lost).
+*/
+#define SUMMARY_INTERVAL_MIN (30 * MP_MS)
 
-/* a part of an account's burst that the other data centres learn about with
-** the next summary, 0.2 s later at the most; more is told at once */
-#define UNTOLD_MOST 0.1
+/* The part of an account's burst whose use may wait for the next regular
+** summary, 0.2 s later at most. A larger use is sent by an extra summary. */
+#define UNREPORTED_BURST_MAX 0.1
 
 struct Relays {
   mp_Addr self;
-  guint32 zone; /* hash of the data centre's name */
-  gboolean proving;
+  guint32 zone;     /* hash of the data centre's name */
+  gboolean proving; /* RelaysOptions.proving */
   RelayGroup *group;
   Router *router;
   Directory *directory;
@@ -34,12 +36,12 @@
   Log *log;
   struct event *timer;
   RelayRole role;
-  StorePosition told[MP_RELAY_KINDS]; /* in the last heartbeat */
-  gboolean summing;                   /* loads are told in summaries */
-  guint32 sequence;                   /* of the last summary */
-  gint64 summary_at;                  /* when it was sent */
-  guint64 urgent;                     /* router_urgent_set in it */
-  gint64 rates_at;                    /* when sums of rates were sent */
+  StorePosition sent_changes[MP_RELAY_KINDS]; /* in the last heartbeat */
+  gboolean summing;  /* data centres exchange loads as summaries */
+  guint32 sequence;  /* number of the last summary */
+  gint64 summary_at; /* when it was sent */
+  guint64 urgent;    /* router_urgent_set when it was sent */
+  gint64 rates_at;   /* when sums of rates were last sent */
 };
 
 static void start_timer(Relays *relays) {
@@ -50,7 +52,8 @@
   event_add(relays->timer, &time);
 }
 
-static mp_Msg beat(const Relays *relays, gint64 now) {
+/* The heartbeat of this instance. */
+static mp_Msg make_heartbeat(const Relays *relays, gint64 now) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RELAY_BEAT;
@@ -59,13 +62,14 @@
   message.u.beat.sent_us = (guint64)now;
   message.u.beat.proof_ms =
       config_proof_age_ms(relay_group_proof(relays->group), now);
-  directory_changed(relays->directory, message.u.beat.changed);
+  directory_newest_changes(relays->directory, message.u.beat.changed);
   return message;
 }
 
-static gboolean may_beat(const Relays *relays) {
+/* Does this instance send heartbeats? Only relays that have news do. */
+static gboolean may_send_heartbeats(const Relays *relays) {
   return relays->role == RELAY_ROLE_RELAY &&
-         directory_knows(relays->directory);
+         directory_is_loaded(relays->directory);
 }
 
 static void send_to_all(Relays *relays, const GArray *addresses,
@@ -76,32 +80,33 @@
                        message);
 }
 
-/* to the relays of the other data centres */
+/* Sends a message to the relays of the other data centres. */
 static void send_far(Relays *relays, const mp_Msg *message, gint64 now) {
   GArray *far = relay_group_far(relays->group, now);
   send_to_all(relays, far, message);
   g_array_free(far, TRUE);
 }
 
-/* does this instance tell others what its data centre does? */
-static gboolean is_teller(const Relays *relays, gint64 now) {
+/* Does this instance send the summaries of its data centre? */
+static gboolean sends_summaries(const Relays *relays, gint64 now) {
   return relays->summing && relay_group_is_first(relays->group, now);
 }
 
-static void send_beats(Relays *relays, gint64 now) {
+static void send_heartbeats(Relays *relays, gint64 now) {
   mp_Msg message;
-  if (!may_beat(relays))
+  if (!may_send_heartbeats(relays))
     return;
-  message = beat(relays, now);
-  memcpy(relays->told, message.u.beat.changed, sizeof relays->told);
+  message = make_heartbeat(relays, now);
+  memcpy(relays->sent_changes, message.u.beat.changed,
+         sizeof relays->sent_changes);
   send_to_all(relays, relay_group_members(relays->group), &message);
   send_far(relays, &message, now);
 }
 
-/* what this data centre has open, for the relays of the others */
+/* Sends the loads of this data centre to the relays of the others. */
 static void send_summary(Relays *relays, gint64 now) {
   mp_Msg message;
-  if (!is_teller(relays, now))
+  if (!sends_summaries(relays, now))
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_LOAD_SUMMARY;
@@ -115,13 +120,14 @@
 }
 
 /*
-** With many instances each tells its own data centre alone. The first relay
-** hands on to the others, and from them to its members, what it has learned
-** lately, and again with each heartbeat for some seconds.
+** Sends the crash reports known here to the other data centres, and those of
+** them to the members. It is needed when there are many instances, because
+** each then sends its reports within its own data centre only. A report is
+** repeated with each heartbeat for some seconds.
 */
 static void send_crashes(Relays *relays, gint64 now) {
   mp_Msg message;
-  if (!is_teller(relays, now))
+  if (!sends_summaries(relays, now))
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
@@ -132,14 +138,17 @@
   send_to_all(relays, relay_group_members(relays->group), &message);
 }
 
-void relays_crashes(Relays *relays) {
+void relays_on_crashes(Relays *relays) {
   send_crashes(relays, clock_now());
 }
 
-/* what this data centre sends to endpoints that name rates */
+/*
+** Sends the sums of the rates at which this data centre sends to endpoints
+** that limit them.
+*/
 static void send_rates(Relays *relays, gint64 now) {
   mp_Msg message;
-  if (!is_teller(relays, now))
+  if (!sends_summaries(relays, now))
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RATES;
@@ -152,13 +161,14 @@
   send_far(relays, &message, now);
 }
 
-void relays_rates(Relays *relays) {
+void relays_on_rates(Relays *relays) {
   gint64 now = clock_now();
-  if (now - relays->rates_at >= SUMMARY_LEAST)
+  if (now - relays->rates_at >= SUMMARY_INTERVAL_MIN)
     send_rates(relays, now);
 }
 
-static void ask_all(Relays *relays, const mp_Addr *asked, unsigned count) {
+static void send_requests(Relays *relays, const mp_Addr *asked,
+                          unsigned count) {
   mp_Msg message;
   unsigned i;
   memset(&message, 0, sizeof message);
@@ -168,22 +178,24 @@
     load_exchange_send(relays->exchange, asked[i], &message);
 }
 
-/* an instance that knows nothing yet does not wait to be found */
-static void ask(Relays *relays) {
-  mp_Addr asked[ASKED];
-  unsigned count = relay_group_ask(relays->group, asked, ASKED);
-  ask_all(relays, asked, count);
+/* Asks for heartbeats, in an instance that has no copy of the store yet. */
+static void ask_members(Relays *relays) {
+  mp_Addr asked[ASKED_MEMBERS];
+  unsigned count = relay_group_ask(relays->group, asked, ASKED_MEMBERS);
+  send_requests(relays, asked, count);
 }
 
-/* whose clocks are not known, or were looked at too long ago */
+/* Asks the relays whose clocks are not known, or were compared too long ago.
+ */
 static void ask_clocks(Relays *relays, gint64 now) {
   mp_Addr asked[CLOCKS_AT_ONCE];
   unsigned count =
       relay_group_unbounded(relays->group, now, asked, CLOCKS_AT_ONCE);
-  ask_all(relays, asked, count);
+  send_requests(relays, asked, count);
 }
 
-static void take_role(Relays *relays, gint64 now) {
+/* Takes over the present role of this instance, and logs a change. */
+static void update_role(Relays *relays, gint64 now) {
   RelayRole role = relay_group_role(relays->group, now);
   RelaysBefore before;
   if (role == relays->role)
@@ -197,74 +209,79 @@
                (int)(relay_group_news_age(relays->group, now) / MP_MS));
 }
 
-static void look(Relays *relays) {
+/* Sends all messages that are due, and starts the timer. */
+static void send_due_messages(Relays *relays) {
   gint64 now = clock_now();
-  take_role(relays, now);
-  send_beats(relays, now);
+  update_role(relays, now);
+  send_heartbeats(relays, now);
   send_summary(relays, now);
   send_crashes(relays, now);
   send_rates(relays, now);
-  if (relays->role == RELAY_ROLE_MEMBER && !directory_knows(relays->directory))
-    ask(relays);
+  if (relays->role == RELAY_ROLE_MEMBER &&
+      !directory_is_loaded(relays->directory))
+    ask_members(relays);
   if (relays->proving)
     ask_clocks(relays, now);
-  directory_look(relays->directory);
+  directory_poll(relays->directory);
   start_timer(relays);
 }
 
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  look(data);
+  send_due_messages(data);
 }
 
 void relays_set_members(Relays *relays, gboolean summing) {
   relays->summing = summing;
-  look(relays);
+  send_due_messages(relays);
 }
 
-void relays_loads(Relays *relays) {
+void relays_on_loads(Relays *relays) {
   gint64 now = clock_now();
-  if (!relays->summing || now - relays->summary_at < SUMMARY_LEAST ||
+  if (!relays->summing || now - relays->summary_at < SUMMARY_INTERVAL_MIN ||
       !relay_group_is_first(relays->group, now))
     return;
   if (router_urgent_set(relays->router, now) != relays->urgent ||
-      router_limits_untold(relays->router) > UNTOLD_MOST)
+      router_limits_untold(relays->router) > UNREPORTED_BURST_MAX)
     send_summary(relays, now);
 }
 
-void relays_news(Relays *relays) {
+void relays_on_news(Relays *relays) {
   StorePosition changed[MP_RELAY_KINDS];
   gint64 now = clock_now();
-  directory_changed(relays->directory, changed);
-  if (memcmp(changed, relays->told, sizeof changed) != 0)
-    send_beats(relays, now);
+  directory_newest_changes(relays->directory, changed);
+  if (memcmp(changed, relays->sent_changes, sizeof changed) != 0)
+    send_heartbeats(relays, now);
 }
 
-static void take_beat(Relays *relays, mp_Addr from, const mp_Msg *message,
-                      gint64 now) {
+static void handle_heartbeat(Relays *relays, mp_Addr from,
+                             const mp_Msg *message, gint64 now) {
   relay_group_hear(relays->group, from, &message->u.beat, now);
   router_configuration_proved(relays->router,
                               relay_group_proof(relays->group)->at);
   router_news_heard(relays->router,
                     now - relay_group_news_age(relays->group, now));
-  take_role(relays, now);
-  directory_look(relays->directory);
+  update_role(relays, now);
+  directory_poll(relays->directory);
 }
 
-static void take_wish(Relays *relays, mp_Addr from, const mp_Msg *message,
-                      gint64 now) {
+static void handle_heartbeat_request(Relays *relays, mp_Addr from,
+                                     const mp_Msg *message, gint64 now) {
   mp_Msg answer;
-  if (!may_beat(relays))
+  if (!may_send_heartbeats(relays))
     return;
-  answer = beat(relays, now);
+  answer = make_heartbeat(relays, now);
   answer.u.beat.asked_us = message->u.ask.asked_us;
   load_exchange_send(relays->exchange, from, &answer);
 }
 
-/* of another data centre; who hears it from there hands it on here */
-static void take_summary(Relays *relays, mp_Addr from, const mp_Msg *message,
-                         gint64 now) {
+/*
+** Handles a summary of another data centre. The first relay, which receives it
+** from there, forwards it to the members here.
+*/
+static void handle_summary(Relays *relays, mp_Addr from, const mp_Msg *message,
+                           gint64 now) {
   if (message->u.summary.zone == relays->zone)
     return;
   router_zone_load(relays->router, message->seq, &message->u.summary, now);
@@ -273,9 +290,9 @@
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
-/* the same of rates */
-static void take_rates(Relays *relays, mp_Addr from, const mp_Msg *message,
-                       gint64 now) {
+/* The same for rates. */
+static void handle_rates(Relays *relays, mp_Addr from, const mp_Msg *message,
+                         gint64 now) {
   const mp_RateNews *news = &message->u.rates;
   if (news->zone == relays->zone)
     return;
@@ -284,20 +301,20 @@
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
-void relays_take(Relays *relays, mp_Addr from, const mp_Msg *message) {
+void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message) {
   gint64 now = clock_now();
   switch (message->kind) {
   case MP_MSG_RELAY_BEAT:
-    take_beat(relays, from, message, now);
+    handle_heartbeat(relays, from, message, now);
     break;
   case MP_MSG_RELAY_ASK:
-    take_wish(relays, from, message, now);
+    handle_heartbeat_request(relays, from, message, now);
     break;
   case MP_MSG_LOAD_SUMMARY:
-    take_summary(relays, from, message, now);
+    handle_summary(relays, from, message, now);
     break;
   case MP_MSG_RATES:
-    take_rates(relays, from, message, now);
+    handle_rates(relays, from, message, now);
     break;
   default:
     break; /* not for relays */
@@ -312,7 +329,8 @@
   relays->zone = g_str_hash(options->zone);
   relays->proving = options->proving;
   relays->router = router;
-  relays->sequence = g_random_int(); /* another life starts elsewhere */
+  /* a restarted instance continues with other numbers */
+  relays->sequence = g_random_int();
   relays->group = group;
   relays->directory = directory;
   relays->exchange = exchange;
--- a/io/relays.h
+++ b/io/relays.h
@@ -1,12 +1,15 @@
 /*
 ** relays.h
-** What the relays of a data centre tell (router/relay_group.h)
+** The messages of the relays of a data centre (router/relay_group.h)
 **
-** Heartbeats: sends this instance's own, hears the others', and has the
-** directory look for news when its source may have changed. Summaries of
-** loads: with many instances, each hears the digests of its own data centre
-** alone; the first relay sums these up for the relays of the other data
-** centres with each heartbeat, and hands theirs on.
+** A relay is an instance that watches the store for others of its data centre.
+** Heartbeats: this module sends those of this instance, receives the others',
+** and has the directory poll for news when their source may have changed.
+** Summaries: when there are many instances, each receives the load digests
+** (load_exchange.h) of its own data centre only. With each heartbeat, the
+** first relay sends their sums to the relays of the other data centres, and it
+** forwards the sums that it receives from there to its own data centre. Used
+** by gateway.c.
 */
 
 #ifndef RELAYS_H
@@ -20,30 +23,42 @@
 typedef struct Relays Relays;
 
 typedef struct RelaysOptions {
-  mp_Addr self;     /* where datagrams reach this instance */
+  mp_Addr self;     /* address of this instance's load exchange */
   const char *zone; /* its data centre */
-  gboolean proving; /* the age of the configuration matters */
+  gboolean proving; /* the age of the configuration is bounded, so that the
+                    ** clocks of relays have to be compared */
 } RelaysOptions;
 
+/* The pointers are borrowed, except for 'options', which is copied. */
 Relays *relays_new(struct event_base *base, const RelaysOptions *options,
                    RelayGroup *group, Router *router, Directory *directory,
                    LoadExchange *exchange, Log *log);
 void relays_free(Relays *relays);
 
-/* a heartbeat, the wish for one, or a summary */
-void relays_take(Relays *relays, mp_Addr from, const mp_Msg *message);
-/* the members are known, or have changed; 'summing': loads are told between
-** data centres in summaries */
+/*
+** Handles a message: a heartbeat, a request for one, or a summary of loads or
+** rates. Messages of other kinds are ignored.
+*/
+void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message);
+/*
+** The relay group has got its members, or they have changed. With 'summing',
+** data centres exchange loads as summaries.
+*/
 void relays_set_members(Relays *relays, gboolean summing);
-/* loads were heard: endpoints that begin to fail are told to the other data
-** centres at once */
-void relays_loads(Relays *relays);
-/* requests that end endpoints were heard of: told to the other data centres,
-** and here, at once */
-void relays_crashes(Relays *relays);
-/* the same of endpoints that name rates */
-void relays_rates(Relays *relays);
-/* the store has answered; news are told to the others at once */
-void relays_news(Relays *relays);
+/*
+** Loads were received. Endpoints that begin to fail, and large use of limits,
+** are sent to the other data centres at once, by an extra summary.
+*/
+void relays_on_loads(Relays *relays);
+/*
+** Crash reports were received. They are sent to the other data centres, and
+** to this one, at once.
+*/
+void relays_on_crashes(Relays *relays);
+/* Rates were sent or received. Their sums are sent to the other data centres,
+** but at most once in SUMMARY_INTERVAL_MIN (relays.c). */
+void relays_on_rates(Relays *relays);
+/* The store has answered. If there are news, a heartbeat is sent at once. */
+void relays_on_news(Relays *relays);
 
 #endif
--- a/io/status_server.c
+++ b/io/status_server.c
@@ -1,6 +1,6 @@
 /*
 ** status_server.c
-** What others may ask of an instance by HTTP, on evhttp
+** HTTP server for queries about an instance, by evhttp
 */
 
 #include <string.h>
@@ -33,6 +33,7 @@
   reply_bytes(request, status, type, text, strlen(text));
 }
 
+/* GET /readyz */
 static void on_ready(struct evhttp_request *request, void *data) {
   const StatusServer *server = data;
   gboolean ready = server->hooks.ready(server->hooks.data);
@@ -40,6 +41,7 @@
         ready ? "ready\n" : "not ready\n");
 }
 
+/* GET /metrics */
 static void on_metrics(struct evhttp_request *request, void *data) {
   const StatusServer *server = data;
   GString *text = server->hooks.metrics(server->hooks.data);
@@ -47,7 +49,7 @@
   g_string_free(text, TRUE);
 }
 
-/* what this instance knows of the store, for other instances */
+/* GET NEWS_PATH: the copy of the store's objects, for other instances. */
 static void on_news(struct evhttp_request *request, void *data) {
   const StatusServer *server = data;
   const struct evhttp_uri *uri = evhttp_request_get_evhttp_uri(request);
@@ -61,13 +63,16 @@
   }
   server->hooks.news(server->hooks.data, &query, &known);
   body = news_write_reply(&known);
-  reply_bytes(request, news_status(&known), "application/json",
+  reply_bytes(request, news_reply_status(&known), "application/json",
               g_bytes_get_data(body, NULL), g_bytes_get_size(body));
   store_reply_clear(&known);
   g_bytes_unref(body);
 }
 
-/* NULL without an error when there is no address */
+/*
+** Starts a server for one path. Returns NULL when the address is 0, and NULL
+** with an error when it cannot be bound.
+*/
 static struct evhttp *serve(StatusServer *server, mp_Addr address,
                             const char *path,
                             void (*handler)(struct evhttp_request *, void *),
@@ -89,7 +94,7 @@
   return NULL;
 }
 
-/* an instance without metrics is better than none */
+/* Serves metrics. A failure is logged, since the instance can run without. */
 static void serve_metrics(StatusServer *server, mp_Addr address) {
   GError *failed = NULL;
   server->metrics = serve(server, address, "/metrics", on_metrics, &failed);
--- a/io/status_server.h
+++ b/io/status_server.h
@@ -1,7 +1,10 @@
 /*
 ** status_server.h
-** What others may ask of an instance by HTTP: the platform whether it is
-** ready, operators its metrics, other instances what it knows of the store
+** HTTP server for queries about an instance: load balancers ask whether it is
+** ready (/readyz), operators for its metrics (/metrics), and other instances
+** for its copy of the store's objects (news_codec.h)
+**
+** Each of them has its own address. Used by gateway.c.
 */
 
 #ifndef STATUS_SERVER_H
@@ -16,20 +19,25 @@
 
 typedef struct StatusServerHooks {
   void *data;
+  /* Shall new requests be sent to this instance? */
   gboolean (*ready)(void *data);
-  /* the caller frees it: g_string_free */
+  /* Returns the text of the metrics, which the server frees. */
   GString *(*metrics)(void *data);
-  /* objects of a kind that have changed since that revision; 0: all */
+  /* Fills in '*out' with the objects that the query asks for; the server
+  ** clears it. */
   void (*news)(void *data, const NewsQuery *query, StoreReply *out);
 } StatusServerHooks;
 
-/* addresses; 0: this is not served */
+/* addresses to listen on; 0: this is not served */
 typedef struct StatusServerOptions {
   mp_Addr ready, control, metrics;
 } StatusServerOptions;
 
-/* NULL: an address can't be bound, as the error says. Without metrics alone
-** the others are served, and the log says so */
+/*
+** Returns NULL and sets an error when the address 'ready' or 'control' cannot
+** be bound. When 'metrics' cannot be bound, that is logged, and the others are
+** served. 'hooks' is copied; 'base' and 'log' are borrowed.
+*/
 StatusServer *status_server_new(struct event_base *base,
                                 const StatusServerOptions *options,
                                 const StatusServerHooks *hooks, Log *log,
--- a/io/store_link.c
+++ b/io/store_link.c
@@ -1,6 +1,6 @@
 /*
 ** store_link.c
-** One call at a time to the store
+** HTTP client for the store, which makes one call at a time
 */
 
 #include <string.h>
@@ -13,9 +13,9 @@
 #include "io/store_link.h"
 #include "io/sockets.h"
 
-/* largest answer that is read, bytes */
-#define MAX_ANSWER (16 << 20)
-/* data that the peer's kernel does not take: the path is cut */
+/* bytes of the largest response body that is accepted */
+#define MAX_BODY_BYTES (16 << 20)
+/* a connection fails when sent data stays unacknowledged this long */
 #define UNACKED_MS 1500
 
 struct StoreLink {
@@ -28,15 +28,16 @@
   HttpReader *reader;
   struct event *timer;
   gboolean open;
-  gint64 patience; /* of the open call */
-  gint64 heard_at; /* as store_link_heard_at */
-  StoreCall call;
-  GString *text; /* the request, until it is written */
+  gint64 timeout;     /* of the open call */
+  gint64 received_at; /* as store_link_received_at */
+  StoreCall call;     /* the newest call, without its texts */
+  GString *text;      /* the request, until it is written */
   HttpHead *head;
   GByteArray *body;
   guint64 calls;
 };
 
+/* Closes the connection, if there is one. */
 static void disconnect(StoreLink *link) {
   if (link->events != NULL)
     bufferevent_free(link->events);
@@ -45,6 +46,7 @@
   link->reader = NULL;
 }
 
+/* Resets the state of the open call. */
 static void close_call(StoreLink *link) {
   link->open = FALSE;
   event_del(link->timer);
@@ -59,7 +61,8 @@
   link->on_reply(link->data, reply, error);
 }
 
-static void fail(StoreLink *link, const char *why) {
+/* Closes the connection, and reports the open call as failed. */
+static void fail_call(StoreLink *link, const char *why) {
   StoreReply reply = {.status = STORE_FAILED};
   GError *error = g_error_new(MP_ERROR, MP_ERR_STORE, "%s", why);
   disconnect(link);
@@ -79,7 +82,8 @@
   g_byte_array_append(link->body, (const guint8 *)bytes, (guint)size);
 }
 
-static void finish(StoreLink *link) {
+/* Reports the reply of a call whose response is complete. */
+static void finish_call(StoreLink *link) {
   StoreReply reply = {0};
   GError *error = NULL;
   gboolean clean =
@@ -91,8 +95,8 @@
   if (link->codec->read_era != NULL)
     store_reply_set_era(&reply, link->codec->read_era(link->head));
   if (error == NULL && reply.status == STORE_FAILED)
-    g_set_error(&error, MP_ERROR, MP_ERR_STORE, "the store answered %d",
-                link->head->status);
+    g_set_error(&error, MP_ERROR, MP_ERR_STORE,
+                "the store responded with HTTP status %d", link->head->status);
   if (clean)
     http_reader_next(link->reader);
   else
@@ -102,30 +106,30 @@
   g_clear_error(&error);
 }
 
-static void start_patience(StoreLink *link) {
-  struct timeval time = {link->patience / MP_SEC, link->patience % MP_SEC};
+static void start_timer(StoreLink *link) {
+  struct timeval time = {link->timeout / MP_SEC, link->timeout % MP_SEC};
   event_add(link->timer, &time);
 }
 
 static void on_read(struct bufferevent *events, void *data) {
   StoreLink *link = data;
   struct evbuffer *in = bufferevent_get_input(events);
-  if (!link->open) { /* nobody asked */
+  if (!link->open) { /* bytes without a call */
     disconnect(link);
     return;
   }
-  link->heard_at = clock_now();
-  start_patience(link);
+  link->received_at = clock_now();
+  start_timer(link);
   while (evbuffer_get_length(in) > 0) {
     size_t size = evbuffer_get_contiguous_space(in);
     const char *bytes = (const char *)evbuffer_pullup(in, (ev_ssize_t)size);
     evbuffer_drain(in, http_reader_feed(link->reader, bytes, size));
     if (http_reader_state(link->reader) == HTTP_READER_BAD) {
-      fail(link, "the store's answer is no HTTP");
+      fail_call(link, "the store's response is not valid HTTP");
       return;
     }
     if (http_reader_state(link->reader) == HTTP_READER_DONE) {
-      finish(link);
+      finish_call(link);
       return;
     }
   }
@@ -145,25 +149,25 @@
       write_call(link);
     return;
   }
-  fail(link, "the connection to the store ended");
+  fail_call(link, "the connection to the store was closed");
 }
 
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  fail(data, "the store did not answer in time");
+  fail_call(data, "the store did not respond in time");
 }
 
 static const HttpReaderHooks reader_hooks = {on_head, on_body};
 
 static void connect_link(StoreLink *link) {
   link->reader = http_reader_new(HTTP_ANSWERS, &reader_hooks, link);
-  http_reader_limit(link->reader, 0, MAX_ANSWER);
+  http_reader_limit(link->reader, 0, MAX_BODY_BYTES);
   link->events = bufferevent_socket_new(
       link->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   bufferevent_setcb(link->events, on_read, NULL, on_event, link);
   bufferevent_enable(link->events, EV_READ | EV_WRITE);
-  /* a failure here is told by on_event or by the timer */
+  /* on_event or the timer reports a failure here */
   socket_connect(link->events, link->address);
 }
 
@@ -181,20 +185,20 @@
   return text;
 }
 
-void store_link_call(StoreLink *link, const StoreCall *call, gint64 patience) {
+void store_link_call(StoreLink *link, const StoreCall *call, gint64 timeout) {
   gboolean fresh = link->events == NULL;
   g_assert(!link->open);
   link->open = TRUE;
-  link->patience = patience;
-  link->heard_at = 0;
+  link->timeout = timeout;
+  link->received_at = 0;
   link->calls++;
   link->call = *call;
-  link->call.after = NULL; /* not needed to read the answer */
+  link->call.after = NULL; /* not needed to read the response */
   link->call.name = NULL;
   if (link->text != NULL)
     g_string_free(link->text, TRUE);
   link->text = request_text(link, call);
-  start_patience(link);
+  start_timer(link);
   if (fresh)
     connect_link(link);
   else
@@ -246,10 +250,10 @@
   return link->calls;
 }
 
-gint64 store_link_heard_at(const StoreLink *link) {
-  return link->heard_at;
+gint64 store_link_received_at(const StoreLink *link) {
+  return link->received_at;
 }
 
-gsize store_link_received(const StoreLink *link) {
+gsize store_link_received_bytes(const StoreLink *link) {
   return link->body->len;
 }
--- a/io/store_link.h
+++ b/io/store_link.h
@@ -1,9 +1,12 @@
 /*
 ** store_link.h
-** One call at a time to the store, or to an instance that answers for it,
-** over a kept connection
-** A call that gets no answer in time ends its connection, since a store
-** that lost an answer says nothing more there.
+** HTTP client for the store, or for an instance that answers in its place
+**
+** It makes one call at a time over a connection that is kept between calls. A
+** call whose response does not arrive in time closes the connection, because
+** a store that has lost a response sends nothing more on it. Used by
+** directory.c, following.c, gateway.c and quarantine_writer.c. Times are in
+** microseconds.
 */
 
 #ifndef STORE_LINK_H
@@ -15,31 +18,44 @@
 
 typedef struct StoreLink StoreLink;
 
-/* never called from within store_link_call; 'reply' is cleared after it */
+/*
+** Reports the end of a call. It is never called from within store_link_call(),
+** and may make the next call. 'reply' and 'error' are valid during the
+** callback. 'error' says why the status is STORE_FAILED, and may be NULL.
+*/
 typedef void (*StoreLinkReply)(void *data, const StoreReply *reply,
                                const GError *error);
 
+/* No connection is made before the first call. 'codec' is borrowed. */
 StoreLink *store_link_new(struct event_base *base, mp_Addr address,
                           const StoreCodec *codec, StoreLinkReply on_reply,
                           void *data);
+/* Closes the connection without reporting an open call. */
 void store_link_free(StoreLink *link);
 
-/* call there from now on; no call may be open */
+/* Sets the address of the calls from now on. No call may be open. */
 void store_link_set_address(StoreLink *link, mp_Addr address);
 
-/* no call may be open; 'patience' is how long an answer may be silent: each
-** piece of it that comes begins that time anew */
-void store_link_call(StoreLink *link, const StoreCall *call, gint64 patience);
+/*
+** Begins a call; none may be open. 'call' is not needed after the function
+** returns. 'timeout' is how long the other side may stay silent: it restarts
+** with each part of the response that arrives.
+*/
+void store_link_call(StoreLink *link, const StoreCall *call, gint64 timeout);
 
-/* a call is out */
+/* Is a call open? */
 gboolean store_link_is_open(const StoreLink *link);
-/* forget the open call; nothing is told of it */
+/* Aborts the open call, if there is one, and closes the connection. The end of
+** the call is not reported. */
 void store_link_abandon(StoreLink *link);
 
+/* The number of calls begun since the start. */
 guint64 store_link_calls(const StoreLink *link);
-/* when the last piece of the open call's answer came; 0: none has */
-gint64 store_link_heard_at(const StoreLink *link);
-/* bytes of the open call's answer so far; 0: none is open */
-gsize store_link_received(const StoreLink *link);
+/* When the last part of the response to the newest call arrived (clock_now);
+** 0: none has. */
+gint64 store_link_received_at(const StoreLink *link);
+/* Bytes of the response body received in the open call; 0 when none is open.
+ */
+gsize store_link_received_bytes(const StoreLink *link);
 
 #endif
--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -533,7 +533,7 @@
         follower_answer(&relay->source[kind].follower, &query, &known);
         /* as io/status_server.c writes it, and io/store_link.c reads it */
         GBytes *text = news_write_reply(&known);
-        int status = news_status(&known);
+        int status = news_reply_status(&known);
         gsize size = g_bytes_get_size(text);
         auto body = std::make_shared<std::string>(
             static_cast<const char *>(g_bytes_get_data(text, nullptr)), size);
--- a/test/test_links.cc
+++ b/test/test_links.cc
@@ -452,7 +452,7 @@
   }
   void whole(guint64 number, const char *text) {
     HttpHead *head = http_head_answer(200);
-    front_answer(front, number, head, text, strlen(text));
+    front_send_response(front, number, head, text, strlen(text));
     http_head_free(head);
   }
 };
@@ -487,7 +487,7 @@
 
 TEST_F(Fronted, ABodyOverTheLimitIsRefusedWithAnAnswer) {
   CallerLimits limits = {1000, 1000, MP_SEC, MP_SEC};
-  front_limits(front, &limits);
+  front_set_limits(front, &limits);
   caller = loopback::call(address);
   std::string body(32 << 10, 'x');
   caller->send_text("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: " +
@@ -498,7 +498,7 @@
 
 TEST_F(Fronted, AHeadOverTheLimitIsRefusedWithAnAnswer) {
   CallerLimits limits = {1000, 1000, MP_SEC, MP_SEC};
-  front_limits(front, &limits);
+  front_set_limits(front, &limits);
   caller = loopback::call(address);
   caller->send_text("GET /1 HTTP/1.1\r\nX: " + std::string(3000, 'x') +
                     "\r\n\r\n");
@@ -508,7 +508,7 @@
 
 TEST_F(Fronted, ARequestThatDoesNotArriveInTimeIsRefused) {
   CallerLimits limits = {1000, 1000, 100 * MP_MS, MP_SEC};
-  front_limits(front, &limits);
+  front_set_limits(front, &limits);
   caller = loopback::call(address);
   caller->send_text("GET /1 HTTP/1.1\r\nHo");
   EXPECT_TRUE(wait([&] { return caller->ended; }));
@@ -519,9 +519,9 @@
   HttpHead *head = http_head_answer(200);
   caller->send_text("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(wait([&] { return requests.size() == 1; }));
-  front_begin(front, requests[0], head);
-  front_piece(front, requests[0], "data: a\n\n", 9);
-  front_break_off(front, requests[0]);
+  front_begin_response(front, requests[0], head);
+  front_send_piece(front, requests[0], "data: a\n\n", 9);
+  front_abort_response(front, requests[0]);
   http_head_free(head);
   EXPECT_TRUE(wait([&] { return caller->ended; }));
   EXPECT_NE(caller->got.find("data: a"), std::string::npos);
@@ -533,9 +533,9 @@
   HttpHead *head = http_head_answer(200);
   caller->send_text("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(wait([&] { return requests.size() == 1; }));
-  front_begin(front, requests[0], head);
-  front_piece(front, requests[0], "data: a\n\n", 9);
-  front_end(front, requests[0]);
+  front_begin_response(front, requests[0], head);
+  front_send_piece(front, requests[0], "data: a\n\n", 9);
+  front_end_response(front, requests[0]);
   http_head_free(head);
   EXPECT_TRUE(wait(
       [&] { return caller->got.find("\r\n0\r\n\r\n") != std::string::npos; }));
