--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -243,8 +243,8 @@
   router/news_source.c 'MAX(source->behind_since, source->progress_at) +' \
   'source->behind_since +'
 m n-link "links: no call is given up while its answer arrives" \
-  io/store_link.c '  link->heard_at = clock_now();
-  start_patience(link);' '  link->heard_at = clock_now();'
+  io/store_link.c '  link->received_at = clock_now();
+  start_timer(link);' '  link->received_at = clock_now();'
 m n-lapsed "news: catching up reads the present" router/follower.c \
   'return follower->kind == STORE_CONFIGURATION;' \
   'return follower->kind == STORE_LEASES;'
@@ -492,7 +492,7 @@
   'shortage_note(router, request, now);' \
   ''
 m r-silent "rates: a failure without one ends none" io/endpoint_call.c \
-  'return status >= 200 && status < 300 && !call->facts.not_run &&' \
+  'return status >= 200 && status < 300 && !call->head_info.not_run &&' \
   'return'
 m r-number "rates: a plain number" platform/quantities.c \
   'if (whole + part == 0 || *end != '"'"'\0'"'"')' \
