--- a/io/directory.c
+++ b/io/directory.c
@@ -21,10 +21,9 @@
 ** or changed its object; it keeps two instances of the same name from writing
 ** without a pause */
 #define REREGISTER_DELAY (300 * MP_MS)
-/* upper limit of a random addition to that wait: a store that was restored
- *from
- ** a copy may have lost the objects of all instances, which then write them at
- ** different times */
+/* upper limit of a random addition to that wait when the store has lost this
+** instance's object: a store that was restored from a copy may have lost those
+** of all instances, which then write them at different times */
 #define REREGISTER_JITTER (700 * MP_MS)
 /* wait between the registration of a new instance and its first list of all
 ** instances, so that those that start with it can register as well: they start
@@ -117,6 +116,10 @@
          address == directory->own.exchange;
 }
 
+/*
+** Reads the record of an endpoint. Returns FALSE and sets an error when it is
+** invalid, or its address is one of this instance.
+*/
 static gboolean read_endpoint(const Directory *directory,
                               const StoreObject *object, EndpointRecord *out,
                               GError **error) {
@@ -134,9 +137,8 @@
 
 /*
 ** Handles a new or changed endpoint. One whose record cannot be read is
-*removed
-** from the router, whatever its record was before; requests that already run
-** there go on.
+** removed from the router, whatever its record was before; requests that
+** already run there go on.
 */
 static void update_endpoint(Directory *directory, const StoreObject *object) {
   EndpointRecord record;
@@ -239,7 +241,7 @@
   g_free(p);
 }
 
-/* Is the instance in this data centre, and do both answer for the store? */
+/* Is the instance in this data centre, and do both answer news queries? */
 static gboolean is_near(const Directory *directory,
                         const InstanceRecord *instance) {
   return instance->control != 0 && directory->own.control != 0 &&
@@ -249,9 +251,10 @@
 /* the instances other than this one */
 typedef struct Others {
   GArray *all;     /* mp_Addr: those of all data centres */
-  GArray *near;    /* mp_Addr: those of this data centre (is_near) */
+  GArray *near;    /* mp_Addr: those for which is_near() holds */
   GArray *members; /* RelayMember: the same */
-  GArray *far;     /* RelayMember: those of other data centres */
+  GArray *far;     /* RelayMember: those of other data centres that answer news
+                   ** queries, if this instance does too */
 } Others;
 
 static void others_add(const Directory *directory, Others *others,
@@ -288,6 +291,7 @@
   g_array_free(others->far, TRUE);
 }
 
+/* Hands the present set of instances to the relay group and the gateway. */
 static void report_instances(Directory *directory) {
   unsigned count = g_hash_table_size(directory->instances);
   Others others;
@@ -321,6 +325,7 @@
     start_timer(directory->register_timer, REREGISTER_DELAY);
 }
 
+/* FollowingHost.control_of: the address for news queries of an instance. */
 static mp_Addr control_of(void *data, mp_Addr exchange) {
   const Directory *directory = data;
   GHashTableIter iterator;
@@ -334,8 +339,7 @@
   return 0;
 }
 
-/* The object of this instance; NULL if it is not in the store's present era.
- */
+/* The object of this instance; NULL if the store's present era lacks it. */
 static const FollowedObject *own_object(const Directory *directory) {
   const Follower *follower =
       following_follower(directory->following[STORE_INSTANCES]);
@@ -349,13 +353,13 @@
 
 /* Does the store have this instance's object, with the right record? */
 static gboolean is_registered(const Directory *directory) {
-  const InstanceRecord *entered =
+  const InstanceRecord *registered =
       g_hash_table_lookup(directory->instances, directory->instance);
-  return own_object(directory) != NULL && entered != NULL &&
-         entered->exchange == directory->own.exchange &&
-         entered->control == directory->own.control &&
-         entered->capacity == directory->own.capacity &&
-         strcmp(entered->zone, directory->own.zone) == 0;
+  return own_object(directory) != NULL && registered != NULL &&
+         registered->exchange == directory->own.exchange &&
+         registered->control == directory->own.control &&
+         registered->capacity == directory->own.capacity &&
+         strcmp(registered->zone, directory->own.zone) == 0;
 }
 
 /* The position of the object to be replaced, or none when there is none. */
@@ -573,6 +577,7 @@
     changed[kind] = following_follower(directory->following[kind])->changed;
 }
 
+/* Has this kind been listed, by the store or by another instance? */
 static gboolean is_known(const Directory *directory, StoreKind kind) {
   return follower_knows(following_follower(directory->following[kind]));
 }
--- a/io/directory.h
+++ b/io/directory.h
@@ -41,10 +41,10 @@
   void *data;
   /* The router has taken over a new configuration, which is borrowed. */
   void (*configuration)(void *data, RouteTable *table);
-  /* The set of instances has changed, or may have. 'all' are the addresses
-  ** (mp_Addr, InstanceRecord.exchange) of the other instances, and 'near'
-  *those
-  ** of them in this data centre; both are valid during the callback. */
+  /* The set of instances may have changed. 'all' are the addresses (mp_Addr,
+  ** InstanceRecord.exchange) of the other instances, and 'near' those of them
+  ** in this data centre that answer news queries, if this instance does too.
+  ** Both are valid during the callback. */
   void (*instances)(void *data, const GArray *all, const GArray *near);
   /* The store has answered, with or without news. */
   void (*news)(void *data);
@@ -54,7 +54,6 @@
 ** Begins to register this instance and to follow the store. 'options' and
 ** 'hooks' are copied; the other pointers are borrowed.
 */
-
 Directory *directory_new(struct event_base *base, const Dialect *dialect,
                          const DirectoryOptions *options, Router *router,
                          RelayGroup *group, Log *log,
@@ -90,9 +89,8 @@
 guint64 directory_abandoned_store_calls(const Directory *directory);
 /*
 ** The number of objects of a kind that could not be read because of this
-*field.
-** An object counts once for each revision; one without a name, each time that
-** it is listed.
+** field. An object counts once for each revision; one without a name, each
+** time that it is listed.
 */
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
                               RecordField field);
--- a/io/following.c
+++ b/io/following.c
@@ -17,8 +17,8 @@
   struct event *timer;
   gint64 called_at;          /* when the newest call was made */
   guint64 abandoned_calls;   /* as following_abandoned_calls */
-  gboolean is_lag_logged;    /* the last line about a lag says that it began */
-  gint64 lagged_from;        /* when that lag began */
+  gboolean is_lag_logged;    /* the log says that this instance lags */
+  gint64 lagged_from;        /* since when it lags, according to the log */
   guint64 nameless;          /* as following_nameless_objects */
   gint64 nameless_logged_at; /* 0: never */
 };
--- a/io/front.c
+++ b/io/front.c
@@ -24,9 +24,10 @@
 #define MAX_UNREAD (4 << 20)
 /* bytes read from a caller in advance, while its request is open */
 #define READ_AHEAD (64 << 10)
-/* how long input is read and discarded after an error response, so that
-** closing the socket with unread input does not reset the connection before
-** the caller has read that response */
+/* After an error response, input is read and discarded until the caller closes
+** the connection or sends nothing for this long: closing the socket with
+** unread input could reset the connection before the caller has read that
+** response. */
 #define LINGER_SECONDS 1
 #define LISTEN_BACKLOG 512
 
@@ -42,8 +43,8 @@
   const Dialect *dialect;
   FrontHooks hooks;
   CallerLimits limits;
-  guint64 last_number;
-  gboolean draining;
+  guint64 last_number;     /* of the newest request */
+  gboolean draining;       /* a planned stop has begun: front_drain */
   GHashTable *connections; /* set of Connection, which it owns */
   GHashTable *open;        /* number of an open request -> Connection */
 };
@@ -53,7 +54,7 @@
   CONNECTION_OPEN,      /* a request is open; no response has begun */
   CONNECTION_ANSWERING, /* a chunked response has begun */
   CONNECTION_FLUSHING,  /* closes when all output is written */
-  CONNECTION_LINGERING  /* closes with the peer, or after LINGER_SECONDS */
+  CONNECTION_LINGERING  /* discards input; closes as LINGER_SECONDS says */
 } ConnectionState;
 
 typedef struct Connection {
@@ -94,8 +95,8 @@
 }
 
 /*
-** Sets how long reading waits, in microseconds; 0: without a limit. Writing
-** always waits for 10 s at most.
+** Sets how long, in microseconds, the connection may receive nothing; 0:
+** without a limit. Output may stay unsent for 10 s in any case.
 */
 static void set_read_timeout(Connection *connection, gint64 wait) {
   struct timeval time = {wait / MP_SEC, wait % MP_SEC};
@@ -273,7 +274,7 @@
     evbuffer_drain(bufferevent_get_input(events), READ_AHEAD);
 }
 
-/* Half-closes a connection, and discards its input for LINGER_SECONDS. */
+/* Half-closes a connection, and begins to discard its input. */
 static void linger(Connection *connection) {
   connection->state = CONNECTION_LINGERING;
   shutdown(bufferevent_getfd(connection->events), SHUT_WR);
--- a/io/front.h
+++ b/io/front.h
@@ -33,9 +33,8 @@
 } FrontHooks;
 
 /*
-** Listens on 'address'. Returns NULL and sets an error when it cannot be
-*bound.
-** 'base' and 'dialect' are borrowed; 'hooks' is copied.
+** Listens on 'address'. Returns NULL and sets an error when the address cannot
+** be bound. 'base' and 'dialect' are borrowed; 'hooks' is copied.
 */
 Front *front_new(struct event_base *base, mp_Addr address,
                  const Dialect *dialect, const FrontHooks *hooks,
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -355,7 +355,7 @@
   counts.store_calls = directory_store_calls(gateway->directory) +
                        store_link_calls(gateway->leases) +
                        quarantine_writer_store_calls(gateway->quarantine);
-  counts.store_calls_left =
+  counts.abandoned_store_calls =
       directory_abandoned_store_calls(gateway->directory);
   counts.log_lines_left_out = log_left_out(gateway->log);
   counts.log_lines_lost = log_lost(gateway->log);
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -30,7 +30,7 @@
   mp_Addr store;    /* the platform's store (HTTP) */
   const mp_Addr *peers; /* 'control' addresses of other instances */
   unsigned peers_count;
-  double retry_ratio; /* the settings of these names */
+  double retry_ratio; /* this and the next two: RouterOptions */
   unsigned retry_slack;
   gint64 retry_window;
   gint64 lease_length;   /* of the lease on giving orders to engines; 0: this
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -29,7 +29,7 @@
   struct event *readable;
   struct event *timer;
   GArray *peers;              /* mp_Addr: receivers of digests */
-  gboolean only;              /* loads of other instances are ignored */
+  gboolean only_peers;        /* loads of others than 'peers' are ignored */
   guint32 sequence;           /* number of the newest digest */
   guint64 sent_load_version;  /* router_load_version in that digest */
   guint64 sent_plain_version; /* router_plain_version in that digest */
@@ -181,10 +181,10 @@
   return (mp_MsgKind)0;
 }
 
-/* Are the loads of this instance taken? */
+/* Are loads of the instance at 'peer' handed to the router? */
 static gboolean accepts_loads_of(const LoadExchange *exchange, mp_Addr peer) {
   guint i;
-  if (!exchange->only)
+  if (!exchange->only_peers)
     return TRUE;
   for (i = 0; i < exchange->peers->len; i++) {
     if (g_array_index(exchange->peers, mp_Addr, i) == peer)
@@ -283,8 +283,8 @@
 }
 
 void load_exchange_set_peers(LoadExchange *exchange, const GArray *addresses,
-                             gboolean only) {
-  exchange->only = only;
+                             gboolean only_peers) {
+  exchange->only_peers = only_peers;
   g_array_set_size(exchange->peers, 0);
   g_array_append_vals(exchange->peers, addresses->data, addresses->len);
 }
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -59,7 +59,7 @@
       "madderpier_waiting_requests %u\n"
       "madderpier_waiting_requests_in_time %u\n",
       counts->endpoint_connections, counts->store_calls,
-      counts->store_calls_left, counts->log_lines_left_out,
+      counts->abandoned_store_calls, counts->log_lines_left_out,
       counts->log_lines_lost, counts->idle_endpoint_connections,
       counts->news_role, (double)counts->news_age / MP_SEC, counts->ready,
       counts->suspects, counts->held, counts->rate_skips,
--- a/io/metrics.h
+++ b/io/metrics.h
@@ -3,8 +3,8 @@
 ** The metrics of one instance as text, in the Prometheus format
 ** (version 0.0.4), with durations in seconds
 **
-** gateway.c collects the numbers; docs for operators use the metrics' names in
-** metrics.c.
+** gateway.c collects the numbers, and status_server.c serves the text. The
+** names of the metrics in metrics.c are an interface to operators' tools.
 */
 
 #ifndef METRICS_H
@@ -21,7 +21,7 @@
 typedef struct AdapterCounts {
   guint64 endpoint_connections;
   guint64 store_calls;
-  guint64 store_calls_left; /* calls abandoned for newer news elsewhere */
+  guint64 abandoned_store_calls; /* calls abandoned for newer news elsewhere */
   gint64 news_lag[MP_RELAY_KINDS]; /* by StoreKind: how long this instance has
                                    ** lagged behind a known change, us */
   guint64 log_lines_left_out;      /* log_left_out */
@@ -48,6 +48,6 @@
 } AdapterCounts;
 
 /* Returns the text, which the caller frees by g_string_free. */
-GString *metrics_text(const Router *router, const AdapterCounts *carriers);
+GString *metrics_text(const Router *router, const AdapterCounts *counts);
 
 #endif
--- a/io/news_codec.h
+++ b/io/news_codec.h
@@ -8,12 +8,12 @@
 ** E (router/store_position.h). The response is JSON: the era and the revision
 ** up to which it is complete, and the objects with their texts in the store.
 ** Long texts are sent as changes of the text at the position that was asked
-** for, unless &full=1 is added. &digest=D is a digest of what the requester
-** knows; objects of which the responder would tell it nothing else are then
-** only named. Long responses are compressed. The status 503 means that the
-** instance has no copy of the objects. Used by following.c as the client and
-*by
-** status_server.c as the server.
+** for, unless &full=1 is added. &digest=D is a digest of the objects that the
+** requester has. If it equals the responder's digest, or the changes since R
+** are not known any more, the response names all objects, without the texts of
+** those that have not changed. Long responses are compressed. The status 503
+** means that the instance has no copy of the objects. Used by following.c (the
+** client) and status_server.c (the server).
 */
 
 #ifndef NEWS_CODEC_H
--- a/io/relays.c
+++ b/io/relays.c
@@ -66,7 +66,7 @@
   return message;
 }
 
-/* Does this instance send heartbeats? Only relays that have news do. */
+/* Does this instance send heartbeats? Only relays that are loaded do. */
 static gboolean may_send_heartbeats(const Relays *relays) {
   return relays->role == RELAY_ROLE_RELAY &&
          directory_is_loaded(relays->directory);
@@ -120,10 +120,10 @@
 }
 
 /*
-** Sends the crash reports known here to the other data centres, and those of
-** them to the members. It is needed when there are many instances, because
-** each then sends its reports within its own data centre only. A report is
-** repeated with each heartbeat for some seconds.
+** Sends the crash reports that were learned lately to the relays of the other
+** data centres and to the members of this one. That is needed when there are
+** many instances, because each then sends its reports within its own data
+** centre only. A report is repeated with each heartbeat for some seconds.
 */
 static void send_crashes(Relays *relays, gint64 now) {
   mp_Msg message;
@@ -185,8 +185,7 @@
   send_requests(relays, asked, count);
 }
 
-/* Asks the relays whose clocks are not known, or were compared too long ago.
- */
+/* Asks relays for a heartbeat by which to compare their clocks again. */
 static void ask_clocks(Relays *relays, gint64 now) {
   mp_Addr asked[CLOCKS_AT_ONCE];
   unsigned count =
@@ -209,7 +208,7 @@
                (int)(relay_group_news_age(relays->group, now) / MP_MS));
 }
 
-/* Sends all messages that are due, and starts the timer. */
+/* Sends all messages that are due, polls for news, and starts the timer. */
 static void send_due_messages(Relays *relays) {
   gint64 now = clock_now();
   update_role(relays, now);
@@ -277,8 +276,9 @@
 }
 
 /*
-** Handles a summary of another data centre. The first relay, which receives it
-** from there, forwards it to the members here.
+** Handles a summary of another data centre. One that was received from its
+** sender, not from a relay here, is forwarded to the members by the first
+** relay.
 */
 static void handle_summary(Relays *relays, mp_Addr from, const mp_Msg *message,
                            gint64 now) {
--- a/io/relays.h
+++ b/io/relays.h
@@ -46,19 +46,25 @@
 */
 void relays_set_members(Relays *relays, gboolean summing);
 /*
-** Loads were received. Endpoints that begin to fail, and large use of limits,
-** are sent to the other data centres at once, by an extra summary.
+** Loads were received. If they change the set of endpoints that fail or leave,
+** or a large part of an account's burst was used, the first relay sends an
+** extra summary to the other data centres at once.
 */
 void relays_on_loads(Relays *relays);
 /*
-** Crash reports were received. They are sent to the other data centres, and
-** to this one, at once.
+** Crash reports were received. The first relay sends them to the other data
+** centres and to the members of this one at once.
 */
 void relays_on_crashes(Relays *relays);
-/* Rates were sent or received. Their sums are sent to the other data centres,
-** but at most once in SUMMARY_INTERVAL_MIN (relays.c). */
+/*
+** Rates were sent or received. The first relay sends their sums to the other
+** data centres, unless it did so within SUMMARY_INTERVAL_MIN (relays.c).
+*/
 void relays_on_rates(Relays *relays);
-/* The store has answered. If there are news, a heartbeat is sent at once. */
+/*
+** The store has answered. A relay that knows newer changes than it named in
+** its last heartbeat sends another one at once.
+*/
 void relays_on_news(Relays *relays);
 
 #endif
--- a/io/store_link.h
+++ b/io/store_link.h
@@ -45,17 +45,20 @@
 
 /* Is a call open? */
 gboolean store_link_is_open(const StoreLink *link);
-/* Aborts the open call, if there is one, and closes the connection. The end of
-** the call is not reported. */
+/*
+** Aborts the open call, if there is one, and closes the connection. The end of
+** the call is not reported.
+*/
 void store_link_abandon(StoreLink *link);
 
 /* The number of calls begun since the start. */
 guint64 store_link_calls(const StoreLink *link);
-/* When the last part of the response to the newest call arrived (clock_now);
-** 0: none has. */
+/*
+** When the last part of the response to the newest call was received
+** (clock_now); 0: none was.
+*/
 gint64 store_link_received_at(const StoreLink *link);
-/* Bytes of the response body received in the open call; 0 when none is open.
- */
+/* Bytes of the body received in the open call; 0 when none is open. */
 gsize store_link_received_bytes(const StoreLink *link);
 
 #endif
