--- a/io/adapters.h
+++ b/io/adapters.h
@@ -6,8 +6,7 @@
 ** hands what comes back to the core as events, by node_feed(). No adapter
 ** calls another, with one exception: the endpoints adapter reads the request
 ** bodies that the callers adapter keeps. Only node.c calls these functions,
-** except for callers_body(). An adapter is freed by its '..._free' function,
-** after which none of its callbacks runs.
+** except for callers_body().
 */
 
 #ifndef ADAPTERS_H
@@ -29,11 +28,12 @@
 ** adapter owns it and all that it points to.
 */
 typedef struct CallBody {
-  const char *method;       /* for plain services only */
-  const char *uri;          /* path and query, for plain services only */
-  struct evbuffer *raw;     /* the body as received */
-  json_t *json;             /* the parsed body, for engines only */
-  const char *content_type; /* as the caller sent it */
+  const char *method;
+  const char *uri;          /* path and query */
+  struct evbuffer *raw;     /* for plain services: the body as received */
+  json_t *json;             /* for engines: the parsed body */
+  const char *content_type; /* for plain services: as the caller sent it;
+                            ** NULL: it sent none */
 } CallBody;
 
 /*
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -128,8 +128,8 @@
 */
 
 /*
-** Reports an outcome. Returns FALSE when the link has been freed by that, or
-** its call cancelled.
+** Reports an outcome. Returns FALSE when the receiver has cancelled the call,
+** which frees the link.
 */
 static gboolean report_outcome(Link *link, Outcome *outcome) {
   EndpointLinks *links = link->links;
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -49,7 +49,7 @@
   LoadExchange *exchange;
   RelayGroup *group; /* which instances watch the store for others */
   Relays *relays;
-  StoreLink *leases; /* calls of the store about the lease */
+  StoreLink *leases; /* calls to the store about the lease */
   QuarantineWriter *quarantine;
   StatusServer *status_server;
   struct event *tick;
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -41,7 +41,7 @@
   LimitTolerance limits; /* of client accounts */
   gint64 revoke_within;  /* longest time for which a revoked key is accepted;
                          ** 0: until its removal is known here */
-  gint64 drain_least;    /* a planned stop accepts connections for this time */
+  gint64 drain_least;    /* a planned stop accepts requests for this time */
   gint64 drain_most;     /* a planned stop ends after this time, even if
                          ** requests are open */
 } GatewayOptions;
@@ -54,6 +54,7 @@
 */
 Gateway *gateway_new(struct event_base *base, const Dialect *dialect,
                      const GatewayOptions *options, Log *log, GError **error);
+/* Ends the instance, and closes all its connections. */
 void gateway_free(Gateway *gateway);
 
 /* Logs that the settings were reloaded. No setting can change in a process. */
--- a/io/load_exchange.h
+++ b/io/load_exchange.h
@@ -6,12 +6,10 @@
 ** without a reply, each in one UDP datagram. A digest contains all loads of
 ** an instance. It is sent soon after a change, but at most once in an interval
 ** that grows with the number of receivers, so that the traffic that each
-** receives stays bounded. Without a change it is sent 0.5 s after the last
-*one,
-** because datagrams get lost. A note reports one reservation between two
-** digests. Crash reports (router/quarantine.h) and the rates of requests sent
-** to endpoints that limit them are exchanged in the same way. Used by
-*gateway.c
+** receives stays bounded. Without a change it is sent every 0.5 s, because
+** datagrams get lost. A note reports one reservation between two digests.
+** Crash reports (router/quarantine.h) and the rates of requests sent to
+** endpoints that limit them are exchanged in the same way. Used by gateway.c
 ** and relays.c.
 */
 
@@ -47,9 +45,8 @@
 
 /*
 ** Sets the instances that receive the digests: an array of mp_Addr, which is
-** copied. With 'only_peers', digests, notes and rates of instances that are
-*not
-** in it are ignored, because summaries contain them already.
+** copied. With 'only_peers', digests, notes and rates of other instances are
+** ignored, because summaries contain them already.
 */
 void load_exchange_set_peers(LoadExchange *exchange, const GArray *addresses,
                              gboolean only_peers);
--- a/io/log.h
+++ b/io/log.h
@@ -2,13 +2,13 @@
 ** log.h
 ** The logger: one line for each event, "time level number text key=value ..."
 **
-** Writing never blocks. What a full pipe does not accept is buffered up to a
-** limit (MAX_PENDING in log.c); lines beyond it are dropped and counted as
-** lost. The volume is bounded as well: of the lines with one event number
-** and a level below "warn", at most LINES_PER_SECOND are written in each
-** second of the wall clock; the others are counted as left out, and one line
-** reports their number. Lines of the levels "warn" and "fault" have no such
-** limit.
+** Writing to a pipe or socket never blocks. What a full pipe does not accept
+** is buffered up to a limit (MAX_PENDING in log.c); lines beyond it are
+** dropped and counted as lost. The volume is bounded as well: of the lines
+** with one event number and a level below "warn", at most LINES_PER_SECOND
+** (100, log.c) are written in each second of the wall clock; the others are
+** counted as left out, and a later line reports their number. Lines of the
+** levels "warn" and "fault" have no such limit.
 */
 
 #ifndef LOG_H
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -80,8 +80,7 @@
 
 /*
 ** The positions up to which the kinds are known. A kind whose era is lower
-*than
-** the store's has not been read since the store was restored from a copy.
+** than the store's has not been read since the store was restored from a copy.
 */
 static void write_positions(GString *text, const AdapterCounts *counts) {
   int kind;
--- a/io/store_link.c
+++ b/io/store_link.c
@@ -96,7 +96,7 @@
     store_reply_set_era(&reply, link->codec->read_era(link->head));
   if (error == NULL && reply.status == STORE_FAILED)
     g_set_error(&error, MP_ERROR, MP_ERR_STORE,
-                "the store responded with HTTP status %d", link->head->status);
+                "the response has HTTP status %d", link->head->status);
   if (clean)
     http_reader_next(link->reader);
   else
@@ -125,7 +125,7 @@
     const char *bytes = (const char *)evbuffer_pullup(in, (ev_ssize_t)size);
     evbuffer_drain(in, http_reader_feed(link->reader, bytes, size));
     if (http_reader_state(link->reader) == HTTP_READER_BAD) {
-      fail_call(link, "the store's response is not valid HTTP");
+      fail_call(link, "the response is not valid HTTP");
       return;
     }
     if (http_reader_state(link->reader) == HTTP_READER_DONE) {
@@ -149,13 +149,13 @@
       write_call(link);
     return;
   }
-  fail_call(link, "the connection to the store was closed");
+  fail_call(link, "the connection was closed before a response arrived");
 }
 
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  fail_call(data, "the store did not respond in time");
+  fail_call(data, "no response arrived in time");
 }
 
 static const HttpReaderHooks reader_hooks = {on_head, on_body};
--- a/io/store_link.h
+++ b/io/store_link.h
@@ -21,7 +21,7 @@
 /*
 ** Reports the end of a call. It is never called from within store_link_call(),
 ** and may make the next call. 'reply' and 'error' are valid during the
-** callback. 'error' says why the status is STORE_FAILED, and may be NULL.
+** callback. 'error' is set when the status is STORE_FAILED.
 */
 typedef void (*StoreLinkReply)(void *data, const StoreReply *reply,
                                const GError *error);
