--- a/io/callers.c
+++ b/io/callers.c
@@ -47,11 +47,12 @@
   evhtp_request_t *req; /* NULL once libevhtp has freed it */
   CallBody body;
   char *uri;
-  int is_submitted;        /* the request was handed to the core */
-  int stream, chat, plain; /* streamed response; chat; plain service */
-  int started;             /* the header of the response was sent */
-  int ended;               /* the whole response was sent */
-  GString *text;           /* the response so far, when it is not streamed */
+  int is_submitted; /* the request was handed to the core */
+  int is_stream, is_chat,
+      is_plain;   /* streamed response; chat; plain service */
+  int is_started; /* the header of the response was sent */
+  int is_ended;   /* the whole response was sent */
+  GString *text;  /* the response so far, when it is not streamed */
 } Caller;
 
 /*
@@ -99,7 +100,7 @@
   struct timeval now = {0, 0};
   g_hash_table_remove(c->C->by_connection, r->conn);
   c->req = NULL;
-  if (c->is_submitted && !c->ended) {
+  if (c->is_submitted && !c->is_ended) {
     Hangup *g = g_new0(Hangup, 1);
     g->node = c->C->node;
     g->call = c->call;
@@ -198,22 +199,23 @@
   q->model = json_string_value(json_object_get(c->body.json, "model"));
   if (q->model == NULL || strlen(q->model) > MP_MAXNAME)
     return "'model' must be a string of at most 63 bytes";
-  prompt = json_object_get(c->body.json, c->chat ? "messages" : "prompt");
-  if (c->chat ? !json_is_array(prompt) : !json_is_string(prompt))
-    return c->chat ? "'messages' must be a list" : "'prompt' must be a string";
+  prompt = json_object_get(c->body.json, c->is_chat ? "messages" : "prompt");
+  if (c->is_chat ? !json_is_array(prompt) : !json_is_string(prompt))
+    return c->is_chat ? "'messages' must be a list"
+                      : "'prompt' must be a string";
   max = json_object_get(c->body.json, "max_tokens");
   if (max != NULL &&
       (json_integer_value(max) < 1 || json_integer_value(max) > 1 << 20))
     return "'max_tokens' must be a whole number from 1 to 1048576";
   q->max_tokens =
       max != NULL ? (uint32_t)json_integer_value(max) : DEFAULT_MAX_TOKENS;
-  c->stream = json_is_true(json_object_get(c->body.json, "stream"));
+  c->is_stream = json_is_true(json_object_get(c->body.json, "stream"));
   measure_prompt(prompt, q);
   return NULL;
 }
 
 static void take_plain_request(Caller *c) {
-  c->plain = 1;
+  c->is_plain = 1;
   c->body.raw = evbuffer_new();
   evbuffer_add_buffer(c->body.raw, c->req->buffer_in);
   c->body.content_type = g_strdup(request_header(c->req, "Content-Type"));
@@ -253,7 +255,7 @@
 }
 
 static void reject(Caller *c, mp_Error e, const char *detail) {
-  c->ended = 1;
+  c->is_ended = 1;
   caller_send_error(c->req, e, MP_RAN_NO, mp_error_retry(e), detail, NULL);
 }
 
@@ -269,8 +271,8 @@
     reject(c, MP_ERR_METHOD, NULL);
     return;
   }
-  c->chat = strcmp(path, "/v1/chat/completions") == 0;
-  if (c->chat || strcmp(path, "/v1/completions") == 0) {
+  c->is_chat = strcmp(path, "/v1/chat/completions") == 0;
+  if (c->is_chat || strcmp(path, "/v1/completions") == 0) {
     if (r->method != htp_method_POST) {
       reject(c, MP_ERR_METHOD, "use POST");
       return;
@@ -363,7 +365,7 @@
                                 void *arg) {
   Callers *C = arg;
   const Caller *c = g_hash_table_lookup(C->by_connection, conn);
-  if (c != NULL && (c->is_submitted || c->ended))
+  if (c != NULL && (c->is_submitted || c->is_ended))
     return; /* an error here would be mixed into the response */
   if ((events & BEV_EVENT_TIMEOUT) && (events & BEV_EVENT_READING))
     caller_send_before_close(conn, MP_ERR_TIMEOUT, NULL);
@@ -374,7 +376,7 @@
   Callers *C = arg;
   const Caller *c = g_hash_table_lookup(C->by_connection, conn);
   htpparse_error e = htparser_get_error(conn->parser);
-  if (c != NULL && (c->is_submitted || c->ended))
+  if (c != NULL && (c->is_submitted || c->is_ended))
     return EVHTP_RES_OK;
   if (e != htparse_error_none && e != htparse_error_user)
     caller_send_before_close(conn, MP_ERR_BAD_REQUEST, "not HTTP");
@@ -427,7 +429,7 @@
 }
 
 static void start_response(Caller *c, const mp_Reply *p) {
-  c->started = 1;
+  c->is_started = 1;
   if (p->head != NULL) {
     const struct evkeyvalq *q = p->head;
     struct evkeyval *kv;
@@ -442,7 +444,7 @@
 }
 
 static void reply_head(Caller *c, const mp_Reply *p) {
-  if (c->plain || c->stream)
+  if (c->is_plain || c->is_stream)
     start_response(c, p);
 }
 
@@ -467,7 +469,7 @@
   json_t *t = json_stringn(s, n);
   if (t == NULL)
     t = json_string("");
-  if (!c->chat)
+  if (!c->is_chat)
     return json_pack("{s:i, s:o}", "index", 0, "text", t);
   return json_pack("{s:i, s:{s:s, s:o}}", "index", 0,
                    whole ? "message" : "delta", "role", "assistant", "content",
@@ -481,13 +483,13 @@
 }
 
 static void reply_piece(Caller *c, const mp_Reply *p) {
-  if (c->plain)
+  if (c->is_plain)
     send_chunk(c, p->text, p->len);
-  else if (c->stream)
-    send_event(c,
-               json_pack("{s:s, s:[o]}", "object",
-                         c->chat ? "chat.completion.chunk" : "text_completion",
-                         "choices", choice_json(c, p->text, p->len, 0)));
+  else if (c->is_stream)
+    send_event(
+        c, json_pack("{s:s, s:[o]}", "object",
+                     c->is_chat ? "chat.completion.chunk" : "text_completion",
+                     "choices", choice_json(c, p->text, p->len, 0)));
   else
     g_string_append_len(c->text, p->text, (gssize)p->len);
   if (is_too_far_behind(c))
@@ -501,7 +503,7 @@
   mp_addr_text(p->prefill, prefill);
   mp_addr_text(p->decode, decode);
   j = json_pack("{s:s, s:s, s:{s:i}, s:{s:s, s:s}}", "id", p->id, "object",
-                c->chat ? "chat.completion" : "text_completion", "usage",
+                c->is_chat ? "chat.completion" : "text_completion", "usage",
                 "completion_tokens", (int)p->tokens, "madderpier", "prefill",
                 prefill, "decode", decode);
   json_object_set(j, "model", json_object_get(c->body.json, "model"));
@@ -510,13 +512,13 @@
 
 static void reply_end(Caller *c, const mp_Reply *p) {
   json_t *j;
-  c->ended = 1;
-  if (c->plain) {
+  c->is_ended = 1;
+  if (c->is_plain) {
     evhtp_send_reply_chunk_end(c->req);
     return;
   }
   j = summary_json(c, p);
-  if (c->stream) {
+  if (c->is_stream) {
     send_event(c, j);
     send_chunk(c, "data: [DONE]\n\n", 14);
     evhtp_send_reply_chunk_end(c->req);
@@ -531,7 +533,7 @@
 
 /* Ends a response that broke off so that it cannot be taken as complete. */
 static void abort_response(Caller *c, const mp_Reply *p) {
-  if (c->stream) {
+  if (c->is_stream) {
     send_event(c,
                caller_error_body(p->error, p->ran, p->retry_s, NULL, p->id));
     evhtp_send_reply_chunk_end(c->req);
@@ -541,8 +543,8 @@
 }
 
 static void reply_error(Caller *c, const mp_Reply *p) {
-  c->ended = 1;
-  if (c->started)
+  c->is_ended = 1;
+  if (c->is_started)
     abort_response(c, p);
   else
     caller_send_error(c->req, p->error, p->ran, p->retry_s, NULL, p->id);
--- a/io/directory.c
+++ b/io/directory.c
@@ -54,11 +54,11 @@
   mp_Addr *seeds;
   Following *following[MP_RELAY_KINDS]; /* by StoreKind */
   GHashTable *instances;                /* name -> InstanceRecord */
-  gboolean instances_listed; /* the instances have been listed once */
+  gboolean has_listed_instances; /* the instances have been listed once */
   /* as directory_bad_objects, without those that have no name */
   guint64 bad_objects[MP_RELAY_KINDS][RECORD_FIELD_COUNT];
   StoreLink *registration;
-  gboolean registering;         /* a call to register is open */
+  gboolean is_registering;      /* a call to register is open */
   gboolean registration_failed; /* the last such call failed */
   struct event *register_timer;
   gboolean is_started; /* the instances are followed */
@@ -209,7 +209,7 @@
   log_numbered(directory->log, MP_LOG_STORE_LIST, " kind=%d objects=%u",
                (int)kind, g_hash_table_size(names));
   if (kind == STORE_INSTANCES) {
-    directory->instances_listed = TRUE;
+    directory->has_listed_instances = TRUE;
     g_hash_table_foreach_remove(directory->instances, is_unlisted, names);
     report_instances(directory);
     register_instance(directory);
@@ -318,7 +318,7 @@
     report_bad_record(directory, STORE_INSTANCES, object->name, error);
     g_hash_table_remove(directory->instances, object->name);
   }
-  if (directory->instances_listed)
+  if (directory->has_listed_instances)
     report_instances(directory);
   if (strcmp(object->name, directory->instance) == 0 &&
       !is_registered(directory))
@@ -371,9 +371,9 @@
 /* Registers this instance, unless it is registered or a call is open. */
 static void register_instance(Directory *directory) {
   StoreCall call = {0};
-  if (directory->registering || is_registered(directory))
+  if (directory->is_registering || is_registered(directory))
     return;
-  directory->registering = TRUE;
+  directory->is_registering = TRUE;
   call.kind = STORE_INSTANCES;
   call.position = registered_position(directory);
   call.operation =
@@ -425,7 +425,7 @@
 static void on_register_reply(void *data, const StoreReply *reply,
                               const GError *error) {
   Directory *directory = data;
-  directory->registering = FALSE;
+  directory->is_registering = FALSE;
   relay_group_hear_era(directory->group, reply->at.era);
   directory->registration_failed = reply->status == STORE_FAILED;
   event_del(directory->register_timer);
@@ -544,7 +544,7 @@
 */
 static void check_registration(Directory *directory) {
   gint64 wait;
-  if (!directory->instances_listed || directory->registering ||
+  if (!directory->has_listed_instances || directory->is_registering ||
       is_registered(directory) ||
       event_pending(directory->register_timer, EV_TIMEOUT, NULL))
     return;
--- a/io/endpoints.c
+++ b/io/endpoints.c
@@ -31,7 +31,7 @@
   HttpCall *call;  /* NULL once it has ended, or if it could not be made */
   int status;      /* HTTP status; 0: no response was received */
   GString *buf;    /* the body, or the part of a stream's last line so far */
-  int done;        /* the stream contained its end mark */
+  int is_done;     /* the stream contained its end mark */
   uint32_t tokens; /* output tokens according to the stream's last event */
 } EndpointRequest;
 
@@ -143,7 +143,7 @@
   if (!g_str_has_prefix(line, "data: "))
     return 1; /* comments and other fields */
   if (strcmp(line + 6, "[DONE]") == 0) {
-    c->done = 1;
+    c->is_done = 1;
     return 1;
   }
   j = json_loads(line + 6, JSON_REJECT_DUPLICATES, NULL);
@@ -318,7 +318,7 @@
     fail_call(c, failure_of_status(status));
   else if (!is_streamed(c))
     finish_whole_response(c);
-  else if (c->done) {
+  else if (c->is_done) {
     x.what = MP_EP_DONE;
     x.tokens = c->tokens;
     finish_call(c, &x);
--- a/io/following.c
+++ b/io/following.c
@@ -150,6 +150,7 @@
                following->source.at_store ? "store" : "instance");
 }
 
+/* Hands a reply to the news source, and logs what it has brought about. */
 static void handle_reply(Following *following, const StoreReply *reply) {
   guint missed = following->source.missed;
   guint overtaken = following->source.follower.overtaken;
@@ -193,6 +194,7 @@
   start_timer(following, 0);
 }
 
+/* Logs a first copy obtained from a seed, and the failure of a relay. */
 static void log_instance_reply(const Following *following,
                                const StoreReply *reply, const GError *error) {
   int kind = (int)following->source.follower.kind;
--- a/io/front.c
+++ b/io/front.c
@@ -44,7 +44,7 @@
   FrontHooks hooks;
   CallerLimits limits;
   guint64 last_number;     /* of the newest request */
-  gboolean draining;       /* a planned stop has begun: front_drain */
+  gboolean is_draining;    /* a planned stop has begun: front_drain */
   GHashTable *connections; /* set of Connection, which it owns */
   GHashTable *open;        /* number of an open request -> Connection */
 };
@@ -164,7 +164,7 @@
 
 /* Is the connection closed after the response? */
 static gboolean is_closed_after_response(const Connection *connection) {
-  return connection->front->draining || connection->lingers ||
+  return connection->front->is_draining || connection->lingers ||
          !http_reader_keep_alive(connection->reader);
 }
 
@@ -465,7 +465,7 @@
 }
 
 void front_drain(Front *front) {
-  front->draining = TRUE;
+  front->is_draining = TRUE;
 }
 
 void front_close_idle(Front *front) {
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -273,11 +273,11 @@
 */
 static void on_instances(void *data, const GArray *all, const GArray *near) {
   Gateway *gateway = data;
-  gboolean summing = relay_group_sums(gateway->group);
-  const GArray *hearing = summing ? near : all;
-  load_exchange_set_peers(gateway->exchange, hearing, summing);
+  gboolean uses_summaries = relay_group_sums(gateway->group);
+  const GArray *hearing = uses_summaries ? near : all;
+  load_exchange_set_peers(gateway->exchange, hearing, uses_summaries);
   router_set_instances(gateway->router, all->len + 1, hearing->len + 1);
-  relays_set_members(gateway->relays, summing);
+  relays_set_members(gateway->relays, uses_summaries);
 }
 
 static void on_relay_message(void *data, mp_Addr from, const mp_Msg *message) {
@@ -332,6 +332,7 @@
 ** ===================================================================
 */
 
+/* Shall new requests be sent to this instance? */
 static gboolean is_ready(const Gateway *gateway) {
   return gateway->drain_began == 0 &&
          router_configured(gateway->router, clock_now()) &&
--- a/io/http.c
+++ b/io/http.c
@@ -20,9 +20,9 @@
   struct evhttp_request *req; /* NULL once evhttp has freed it */
   const HttpHooks *hooks;
   void *ud;
-  int has_head; /* the header of the response was received */
-  int errored;  /* evhttp reported an error on an established connection */
-  int is_ended; /* no callback is called any more */
+  int has_head;  /* the header of the response was received */
+  int has_error; /* evhttp reported an error on an established connection */
+  int is_ended;  /* no callback is called any more */
 };
 
 /* Frees a call from the event loop: evhttp forbids it in its callbacks. */
@@ -63,7 +63,7 @@
 static void on_error(enum evhttp_request_error e, void *arg) {
   HttpCall *c = arg;
   (void)e;
-  c->errored = 1;
+  c->has_error = 1;
 }
 
 static void on_done(struct evhttp_request *req, void *arg) {
@@ -73,7 +73,7 @@
   c->req = NULL; /* evhttp frees it after this */
   if (c->is_ended)
     return;
-  if (c->errored || (status == 0 && c->has_head))
+  if (c->has_error || (status == 0 && c->has_head))
     end = HTTP_END_BROKEN;
   else if (status == 0)
     end = HTTP_END_CONNECT;
--- a/io/load_exchange.h
+++ b/io/load_exchange.h
@@ -61,8 +61,8 @@
 */
 void load_exchange_send_changes(LoadExchange *exchange);
 /*
-** Sends a note: 'tokens' were reserved at an endpoint, named by its number in
-** digests. It does not wait for the next digest.
+** Sends a note at once: 'tokens' were reserved at 'endpoint', which is named
+** as in mp_LoadNote.
 */
 void load_exchange_send_note(LoadExchange *exchange, guint32 endpoint,
                              guint32 tokens);
--- a/io/log.c
+++ b/io/log.c
@@ -81,6 +81,7 @@
   return fd;
 }
 
+/* Writes as much of the buffered output as is possible without blocking. */
 static void write_pending(Log *l) {
   while (l->pending->len > 0) {
     ssize_t n = write(l->fd, l->pending->str, l->pending->len);
@@ -92,6 +93,7 @@
   }
 }
 
+/* Formats a line into the buffer. */
 static void append_line(Log *l, const struct timespec *now, int no,
                         mp_Level level, const char *text, const char *fields) {
   struct tm tm;
@@ -103,6 +105,7 @@
                          fields);
 }
 
+/* Writes a line, or drops it when too much output is buffered. */
 static void write_line(Log *l, const struct timespec *now, int no,
                        mp_Level level, const char *text, const char *fields) {
   char count[48];
@@ -154,6 +157,7 @@
   quota->left_out = 0;
 }
 
+/* Counts a line. Returns 1 when it may be written, 0 when it is left out. */
 static int count_against_quota(Log *l, int no, const struct timespec *now) {
   Quota *quota = find_or_add_quota(l, no);
   if (quota->second != now->tv_sec)
--- a/io/news_codec.c
+++ b/io/news_codec.c
@@ -89,6 +89,7 @@
   return changes;
 }
 
+/* Adds an object to the reply. Returns FALSE when it is invalid. */
 static gboolean read_object(const json_t *json, const StoreReply *reply) {
   guint64 era = read_era(json, reply->at.era);
   const char *name = json_string_value(json_object_get(json, "name"));
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -26,7 +26,7 @@
   /* of the newest call: */
   guint64 content;        /* QuarantineRecord.content */
   StorePosition position; /* of the object that it replaces or removes */
-  gboolean removing;      /* it removes the object */
+  gboolean is_removal;    /* it removes the object */
 };
 
 static void start_call(QuarantineWriter *writer, const QuarantineSave *save) {
@@ -35,7 +35,7 @@
   g_snprintf(name, sizeof name, "%016" G_GINT64_MODIFIER "x",
              save->record.content);
   writer->content = save->record.content;
-  writer->removing = save->remove;
+  writer->is_removal = save->remove;
   writer->position = save->position;
   call.kind = STORE_QUARANTINE;
   call.name = name;
@@ -97,7 +97,7 @@
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++)
     merge_object(writer, &g_array_index(reply->objects, StoreObject, i));
   if ((reply->status == STORE_ABSENT && was_removed(writer, reply)) ||
-      (reply->status == STORE_OK && writer->removing))
+      (reply->status == STORE_OK && writer->is_removal))
     router_lift_quarantine(writer->router, writer->content, clock_now());
   else if (reply->status != STORE_OK) {
     router_quarantine_save_failed(writer->router, writer->content,
--- a/io/relays.c
+++ b/io/relays.c
@@ -27,8 +27,8 @@
 
 struct Relays {
   mp_Addr self;
-  guint32 zone;     /* hash of the data centre's name */
-  gboolean proving; /* RelaysOptions.proving */
+  guint32 zone;               /* hash of the data centre's name */
+  gboolean bounds_config_age; /* RelaysOptions.bounds_config_age */
   RelayGroup *group;
   Router *router;
   Directory *directory;
@@ -37,11 +37,11 @@
   struct event *timer;
   RelayRole role;
   StorePosition sent_changes[MP_RELAY_KINDS]; /* in the last heartbeat */
-  gboolean summing;  /* data centres exchange loads as summaries */
-  guint32 sequence;  /* number of the last summary */
-  gint64 summary_at; /* when it was sent */
-  guint64 urgent;    /* router_urgent_set when it was sent */
-  gint64 rates_at;   /* when sums of rates were last sent */
+  gboolean uses_summaries; /* data centres exchange loads as summaries */
+  guint32 sequence;        /* number of the last summary */
+  gint64 summary_at;       /* when it was sent */
+  guint64 urgent;          /* router_urgent_set when it was sent */
+  gint64 rates_at;         /* when sums of rates were last sent */
 };
 
 static void start_timer(Relays *relays) {
@@ -89,7 +89,7 @@
 
 /* Does this instance send the summaries of its data centre? */
 static gboolean sends_summaries(const Relays *relays, gint64 now) {
-  return relays->summing && relay_group_is_first(relays->group, now);
+  return relays->uses_summaries && relay_group_is_first(relays->group, now);
 }
 
 static void send_heartbeats(Relays *relays, gint64 now) {
@@ -219,7 +219,7 @@
   if (relays->role == RELAY_ROLE_MEMBER &&
       !directory_is_loaded(relays->directory))
     ask_members(relays);
-  if (relays->proving)
+  if (relays->bounds_config_age)
     ask_clocks(relays, now);
   directory_poll(relays->directory);
   start_timer(relays);
@@ -231,14 +231,15 @@
   send_due_messages(data);
 }
 
-void relays_set_members(Relays *relays, gboolean summing) {
-  relays->summing = summing;
+void relays_set_members(Relays *relays, gboolean uses_summaries) {
+  relays->uses_summaries = uses_summaries;
   send_due_messages(relays);
 }
 
 void relays_on_loads(Relays *relays) {
   gint64 now = clock_now();
-  if (!relays->summing || now - relays->summary_at < SUMMARY_INTERVAL_MIN ||
+  if (!relays->uses_summaries ||
+      now - relays->summary_at < SUMMARY_INTERVAL_MIN ||
       !relay_group_is_first(relays->group, now))
     return;
   if (router_urgent_set(relays->router, now) != relays->urgent ||
@@ -327,7 +328,7 @@
   Relays *relays = g_new0(Relays, 1);
   relays->self = options->self;
   relays->zone = g_str_hash(options->zone);
-  relays->proving = options->proving;
+  relays->bounds_config_age = options->bounds_config_age;
   relays->router = router;
   /* a restarted instance continues with other numbers */
   relays->sequence = g_random_int();
--- a/io/relays.h
+++ b/io/relays.h
@@ -23,10 +23,11 @@
 typedef struct Relays Relays;
 
 typedef struct RelaysOptions {
-  mp_Addr self;     /* address of this instance's load exchange */
-  const char *zone; /* its data centre */
-  gboolean proving; /* the age of the configuration is bounded, so that the
-                    ** clocks of relays have to be compared */
+  mp_Addr self;               /* address of this instance's load exchange */
+  const char *zone;           /* its data centre */
+  gboolean bounds_config_age; /* the age of the configuration is bounded, so
+                               *that the
+                               ** clocks of relays have to be compared */
 } RelaysOptions;
 
 /* The pointers are borrowed, except for 'options', which is copied. */
@@ -41,10 +42,11 @@
 */
 void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message);
 /*
-** The relay group has got its members, or they have changed. With 'summing',
+** The relay group has got its members, or they have changed. With
+*'uses_summaries',
 ** data centres exchange loads as summaries.
 */
-void relays_set_members(Relays *relays, gboolean summing);
+void relays_set_members(Relays *relays, gboolean uses_summaries);
 /*
 ** Loads were received. If they change the set of endpoints that fail or leave,
 ** or a large part of an account's burst was used, the first relay sends an
