--- a/io/callers.c
+++ b/io/callers.c
@@ -48,11 +48,12 @@
   CallBody body;
   char *uri;
   int is_submitted; /* the request was handed to the core */
-  int is_stream, is_chat,
-      is_plain;   /* streamed response; chat; plain service */
-  int is_started; /* the header of the response was sent */
-  int is_ended;   /* the whole response was sent */
-  GString *text;  /* the response so far, when it is not streamed */
+  int is_stream;    /* the caller wants a streamed response */
+  int is_chat;      /* a chat completion, rather than a completion */
+  int is_plain;     /* for a plain service, rather than an engine */
+  int is_started;   /* the header of the response was sent */
+  int is_ended;     /* the whole response was sent */
+  GString *text;    /* the response so far, when it is not streamed */
 } Caller;
 
 /*
--- a/io/node.c
+++ b/io/node.c
@@ -56,12 +56,12 @@
 
 void node_feed(Node *node, const mp_Event *e) {
   mp_Effect fx;
-  g_assert(!node->is_performing);
+  g_assert(!node->performing);
   mp_feed(node->state, clock_now(), e);
-  node->is_performing = 1;
+  node->performing = 1;
   while (mp_take(node->state, &fx))
     perform(node, &fx);
-  node->is_performing = 0;
+  node->performing = 0;
   start_timer(node);
 }
 
--- a/io/node.h
+++ b/io/node.h
@@ -42,7 +42,7 @@
   mp_State *state;
   Log *log;
   struct event *timer; /* next time at which the core has something to do */
-  int is_performing;   /* effects are being performed */
+  int performing;      /* effects are being performed */
   int drained;         /* the core reported that its drain is complete */
   Callers *callers;
   Endpoints *endpoints;
--- a/io/store_link.c
+++ b/io/store_link.c
@@ -27,7 +27,7 @@
   struct bufferevent *events; /* NULL: not connected */
   HttpReader *reader;
   struct event *timer;
-  gboolean is_open;
+  gboolean open;
   gint64 timeout;     /* of the open call */
   gint64 received_at; /* as store_link_received_at */
   StoreCall call;     /* the newest call, without its texts */
@@ -48,7 +48,7 @@
 
 /* Resets the state of the open call. */
 static void close_call(StoreLink *link) {
-  link->is_open = FALSE;
+  link->open = FALSE;
   event_del(link->timer);
   http_head_free(link->head);
   link->head = NULL;
@@ -66,7 +66,7 @@
   StoreReply reply = {.status = STORE_FAILED};
   GError *error = g_error_new(MP_ERROR, MP_ERR_STORE, "%s", why);
   disconnect(link);
-  if (link->is_open)
+  if (link->open)
     end_call(link, &reply, error);
   g_error_free(error);
 }
@@ -114,7 +114,7 @@
 static void on_read(struct bufferevent *events, void *data) {
   StoreLink *link = data;
   struct evbuffer *in = bufferevent_get_input(events);
-  if (!link->is_open) { /* bytes without a call */
+  if (!link->open) { /* bytes without a call */
     disconnect(link);
     return;
   }
@@ -187,8 +187,8 @@
 
 void store_link_call(StoreLink *link, const StoreCall *call, gint64 timeout) {
   gboolean fresh = link->events == NULL;
-  g_assert(!link->is_open);
-  link->is_open = TRUE;
+  g_assert(!link->open);
+  link->open = TRUE;
   link->timeout = timeout;
   link->received_at = 0;
   link->calls++;
@@ -237,12 +237,12 @@
 }
 
 gboolean store_link_is_open(const StoreLink *link) {
-  return link->is_open;
+  return link->open;
 }
 
 void store_link_abandon(StoreLink *link) {
   disconnect(link);
-  if (link->is_open)
+  if (link->open)
     close_call(link);
 }
 
