--- a/test/test_links.cc
+++ b/test/test_links.cc
@@ -55,7 +55,8 @@
 
   static void on_outcome(void *data, const Outcome *outcome) {
     auto *self = static_cast<Links *>(data);
-    const auto *answer = static_cast<const EndpointResponse *>(outcome->payload);
+    const auto *answer =
+        static_cast<const EndpointResponse *>(outcome->payload);
     Told one = {outcome->kind, outcome->status, "", ""};
     if (answer != nullptr && answer->bytes != nullptr)
       one.bytes.assign(answer->bytes, answer->size);
