--- a/io/callers.c
+++ b/io/callers.c
@@ -196,7 +196,7 @@
   const json_t *max;
   c->body.json = n > 0 ? json_loadb(s, n, JSON_REJECT_DUPLICATES, NULL) : NULL;
   if (!json_is_object(c->body.json))
-    return "the body is no JSON object";
+    return "the body must be a JSON object";
   q->model = json_string_value(json_object_get(c->body.json, "model"));
   if (q->model == NULL || strlen(q->model) > MP_MAXNAME)
     return "'model' must be a string of at most 63 bytes";
@@ -332,8 +332,8 @@
       (s.length > 0 && s.encoding > 0)) {
     caller_send_before_close(
         r->conn, MP_ERR_BAD_REQUEST,
-        "Content-Length, Transfer-Encoding and Idempotency-Key may "
-        "stand once, and not the first two together");
+        "Content-Length, Transfer-Encoding and Idempotency-Key must not be "
+        "repeated, and the first two must not be combined");
     return EVHTP_RES_ERROR;
   }
   if (len != NULL && g_ascii_strtoull(len, NULL, 10) > C->max_body) {
@@ -341,7 +341,8 @@
     return EVHTP_RES_ERROR;
   }
   if (r->uri == NULL || r->uri->path == NULL || r->uri->path->full == NULL) {
-    caller_send_before_close(r->conn, MP_ERR_BAD_REQUEST, "no path");
+    caller_send_before_close(r->conn, MP_ERR_BAD_REQUEST,
+                             "the request has no path");
     return EVHTP_RES_ERROR;
   }
   /* the URI is copied now, because libevhtp later replaces the query by the
@@ -380,7 +381,8 @@
   if (c != NULL && (c->is_submitted || c->is_ended))
     return EVHTP_RES_OK;
   if (e != htparse_error_none && e != htparse_error_user)
-    caller_send_before_close(conn, MP_ERR_BAD_REQUEST, "not HTTP");
+    caller_send_before_close(conn, MP_ERR_BAD_REQUEST,
+                             "the request is not valid HTTP");
   return EVHTP_RES_OK;
 }
 
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -108,7 +108,7 @@
                  error != NULL ? error->message
                                : "the object has changed in the store");
   }
-  event_add(writer->timer, &soon); /* the next write follows the reply */
+  event_add(writer->timer, &soon); /* the event loop begins the next write */
 }
 
 QuarantineWriter *quarantine_writer_new(struct event_base *base,
