--- a/daemon/madderpierd.c
+++ b/daemon/madderpierd.c
@@ -162,7 +162,7 @@
   o->retry_slack = s->retry_slack;
   o->retry_window = s->retry_window_s * MP_SEC;
   o->watch_wait = s->watch_wait_ms * MP_MS;
-  o->news_within = MIN(s->apply_ms, s->leave_ms) * MP_MS;
+  o->propagation_max = MIN(s->apply_ms, s->leave_ms) * MP_MS;
   o->lease_length = s->lease_ms * MP_MS;
   o->revoke_within = s->revoke_ms * MP_MS;
   o->limits.share = s->limit_over;
--- a/io/directory.c
+++ b/io/directory.c
@@ -164,11 +164,11 @@
   if (object->gone) {
     if (g_ascii_string_to_unsigned(object->name, 16, 0, G_MAXUINT64, &content,
                                    NULL))
-      router_lift_quarantine(directory->router, content, clock_now());
+      router_remove_quarantine(directory->router, content, clock_now());
   } else if (directory->dialect->read_quarantine(object->name, object->text,
                                                  &record, &error))
-    router_take_quarantine(directory->router, &record, object->position,
-                           clock_now());
+    router_apply_quarantine(directory->router, &record, object->position,
+                            clock_now());
   else
     report_bad_record(directory, STORE_QUARANTINE, object->name, error);
 }
@@ -411,7 +411,7 @@
   if (directory->is_started)
     return;
   if (status == STORE_FAILED)
-    relay_group_begin_alone(directory->group);
+    relay_group_skip_start_wait(directory->group);
   if (status == STORE_OK)
     start_timer(directory->first_list_timer, FIRST_LIST_DELAY);
   else
@@ -426,7 +426,7 @@
                               const GError *error) {
   Directory *directory = data;
   directory->is_registering = FALSE;
-  relay_group_hear_era(directory->group, reply->at.era);
+  relay_group_observe_era(directory->group, reply->at.era);
   directory->registration_failed = reply->status == STORE_FAILED;
   event_del(directory->register_timer);
   if (directory->registration_failed) {
@@ -470,8 +470,8 @@
   follow.kind = kind;
   follow.watch_wait = watch_wait;
   follow.pause = pause;
-  follow.proof_within =
-      kind == STORE_CONFIGURATION ? options->proof_within : 0;
+  follow.proof_wait_max =
+      kind == STORE_CONFIGURATION ? options->proof_wait_max : 0;
   follow.store = options->store;
   follow.seeds = directory->seeds;
   follow.seeds_count = options->seeds_count;
@@ -555,8 +555,8 @@
 
 void directory_poll(Directory *directory) {
   int kind;
-  router_hear_era(directory->router, relay_group_era(directory->group),
-                  clock_now());
+  router_observe_era(directory->router, relay_group_era(directory->group),
+                     clock_now());
   check_registration(directory);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     if (kind != STORE_INSTANCES || directory->is_started)
@@ -579,7 +579,7 @@
 
 /* Has this kind been listed, by the store or by another instance? */
 static gboolean is_known(const Directory *directory, StoreKind kind) {
-  return follower_knows(following_follower(directory->following[kind]));
+  return follower_is_synced(following_follower(directory->following[kind]));
 }
 
 gboolean directory_is_loaded(const Directory *directory) {
@@ -593,11 +593,11 @@
 
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
                               RecordField field) {
-  guint64 nameless =
+  guint64 unreadable_names =
       field == RECORD_NAME
           ? following_nameless_objects(directory->following[kind])
           : 0;
-  return directory->bad_objects[kind][field] + nameless;
+  return directory->bad_objects[kind][field] + unreadable_names;
 }
 
 guint64 directory_store_calls(const Directory *directory) {
--- a/io/directory.h
+++ b/io/directory.h
@@ -33,8 +33,8 @@
   const mp_Addr *seeds; /* 'control' addresses of the instances to query while
                         ** the store is not available */
   unsigned seeds_count;
-  gint64 watch_wait;   /* longest wait of one watch of the store */
-  gint64 proof_within; /* NewsSource.proof_within for the configuration */
+  gint64 watch_wait;     /* longest wait of one watch of the store */
+  gint64 proof_wait_max; /* NewsSource.proof_wait_max for the configuration */
 } DirectoryOptions;
 
 typedef struct DirectoryHooks {
--- a/io/following.c
+++ b/io/following.c
@@ -19,7 +19,7 @@
   guint64 abandoned_calls;   /* as following_abandoned_calls */
   gboolean is_lag_logged;    /* the log says that this instance lags */
   gint64 lagged_from;        /* since when it lags, according to the log */
-  guint64 nameless;          /* as following_nameless_objects */
+  guint64 unreadable_names;  /* as following_nameless_objects */
   gint64 nameless_logged_at; /* 0: never */
 };
 
@@ -40,32 +40,32 @@
 
 /*
 ** Logs one line when this instance has lagged behind the newest known change
-** for more than relay_group_lag_most(), and one when it has caught up.
+** for more than relay_group_lag_max(), and one when it has caught up.
 */
 static void log_lag(Following *following) {
   const NewsState *news = news_state(following);
   gint64 now = clock_now();
   int kind = (int)following->source.follower.kind;
-  char held[STORE_POSITION_TEXT];
-  char newest[STORE_POSITION_TEXT];
+  char held[STORE_POSITION_TEXT_SIZE];
+  char newest[STORE_POSITION_TEXT_SIZE];
   if (following->is_lag_logged && news->lags_since == 0) {
     following->is_lag_logged = FALSE;
     log_numbered(following->log, MP_LOG_NEWS_LEVEL,
                  " kind=%d held=%s lagged_ms=%d", kind,
-                 store_position_text(news->held, held),
+                 store_position_format(news->held, held),
                  (int)((now - following->lagged_from) / MP_MS));
   }
   if (following->is_lag_logged ||
       news_state_lag(news, now) <=
-          relay_group_lag_most(following->source.group))
+          relay_group_lag_max(following->source.group))
     return;
   following->is_lag_logged = TRUE;
   following->lagged_from = news->lags_since;
   log_numbered(following->log, MP_LOG_NEWS_LAG,
                " kind=%d held=%s newest=%s lag_ms=%d asked=%s open_ms=%d"
                " bytes=%" G_GSIZE_FORMAT,
-               kind, store_position_text(news->held, held),
-               store_position_text(news->newest, newest),
+               kind, store_position_format(news->held, held),
+               store_position_format(news->newest, newest),
                (int)(news_state_lag(news, now) / MP_MS),
                following->source.at_store ? "store" : "instance",
                (int)((now - following->called_at) / MP_MS),
@@ -77,14 +77,14 @@
 /* Abandons the open call to the store; the timer makes the next call. */
 static void abandon_store_call(Following *following) {
   const NewsState *news = news_state(following);
-  char held[STORE_POSITION_TEXT];
-  char newest[STORE_POSITION_TEXT];
+  char held[STORE_POSITION_TEXT_SIZE];
+  char newest[STORE_POSITION_TEXT_SIZE];
   following->abandoned_calls++;
   log_numbered(following->log, MP_LOG_STORE_CALL_LEFT,
                " kind=%d held=%s newest=%s open_ms=%d bytes=%" G_GSIZE_FORMAT,
                (int)following->source.follower.kind,
-               store_position_text(news->held, held),
-               store_position_text(news->newest, newest),
+               store_position_format(news->held, held),
+               store_position_format(news->newest, newest),
                (int)((clock_now() - following->called_at) / MP_MS),
                store_link_received_bytes(following->store));
   store_link_abandon(following->store);
@@ -92,7 +92,7 @@
 }
 
 void following_poll(Following *following) {
-  NewsWanted wanted;
+  NewsAction wanted;
   log_lag(following);
   if (store_link_received_at(following->store) != 0)
     news_source_progress(&following->source,
@@ -112,7 +112,7 @@
     store_link_set_address(following->instance, wanted.instance);
     store_link_call(following->instance, &wanted.call, wanted.patience);
     break;
-  case NEWS_LEAVE_STORE:
+  case NEWS_ABANDON_STORE_CALL:
     abandon_store_call(following);
     break;
   }
@@ -128,25 +128,25 @@
 static void log_overtaken(const Following *following,
                           const StoreReply *reply) {
   const Follower *follower = &following->source.follower;
-  char at[STORE_POSITION_TEXT];
-  char known[STORE_POSITION_TEXT];
+  char at[STORE_POSITION_TEXT_SIZE];
+  char known[STORE_POSITION_TEXT_SIZE];
   log_numbered(following->log, MP_LOG_ANSWER_OVERTAKEN,
                " kind=%d at=%s known=%s", (int)follower->kind,
-               store_position_text(reply->at, at),
-               store_position_text(follower->known, known));
+               store_position_format(reply->at, at),
+               store_position_format(follower->known, known));
 }
 
 /* Logs that the objects are known in a newer era than before the reply. */
 static void log_restored(const Following *following, StorePosition was) {
   const Follower *follower = &following->source.follower;
-  char from[STORE_POSITION_TEXT];
-  char to[STORE_POSITION_TEXT];
+  char from[STORE_POSITION_TEXT_SIZE];
+  char to[STORE_POSITION_TEXT_SIZE];
   if (store_position_is_none(was) || follower->known.era == was.era)
     return;
   log_numbered(following->log, MP_LOG_STORE_RESTORED,
                " kind=%d was=%s is=%s heard_from=%s", (int)follower->kind,
-               store_position_text(was, from),
-               store_position_text(follower->known, to),
+               store_position_format(was, from),
+               store_position_format(follower->known, to),
                following->source.at_store ? "store" : "instance");
 }
 
@@ -155,7 +155,7 @@
   guint missed = following->source.missed;
   guint overtaken = following->source.follower.overtaken;
   StorePosition known = following->source.follower.known;
-  char at[STORE_POSITION_TEXT];
+  char at[STORE_POSITION_TEXT_SIZE];
   if (reply->status == STORE_HISTORY_GONE)
     log_numbered(following->log, MP_LOG_STORE_HISTORY_GONE, " kind=%d",
                  (int)following->source.follower.kind);
@@ -163,7 +163,7 @@
   if (following->source.missed != missed)
     log_numbered(following->log, MP_LOG_WATCH_MISSED, " kind=%d at=%s",
                  (int)following->source.follower.kind,
-                 store_position_text(reply->at, at));
+                 store_position_format(reply->at, at));
   if (following->source.follower.overtaken != overtaken)
     log_overtaken(following, reply);
   log_restored(following, known);
@@ -172,15 +172,15 @@
 /* Counts and logs the objects of a reply that have no readable name. */
 static void count_nameless(Following *following, const StoreReply *reply) {
   gint64 now = clock_now();
-  if (reply->nameless == 0)
+  if (reply->unreadable_names == 0)
     return;
-  following->nameless += reply->nameless;
+  following->unreadable_names += reply->unreadable_names;
   if (following->nameless_logged_at != 0 &&
       now - following->nameless_logged_at < NAMELESS_LOG_INTERVAL)
     return;
   following->nameless_logged_at = now;
   log_numbered(following->log, MP_LOG_STORE_NAMELESS, " kind=%d objects=%u",
-               (int)following->source.follower.kind, reply->nameless);
+               (int)following->source.follower.kind, reply->unreadable_names);
 }
 
 static void on_store_reply(void *data, const StoreReply *reply,
@@ -230,7 +230,7 @@
                 options->watch_wait, options->pause, &host->objects);
   news_source_init(&following->source, group, &source, options->seeds,
                    options->seeds_count);
-  following->source.proof_within = options->proof_within;
+  following->source.proof_wait_max = options->proof_wait_max;
   following->store = store_link_new(base, options->store, &dialect->store,
                                     on_store_reply, following);
   following->instance =
@@ -252,7 +252,7 @@
 }
 
 guint64 following_nameless_objects(const Following *following) {
-  return following->nameless;
+  return following->unreadable_names;
 }
 
 guint64 following_abandoned_calls(const Following *following) {
--- a/io/following.h
+++ b/io/following.h
@@ -21,9 +21,9 @@
 
 typedef struct FollowingOptions {
   StoreKind kind;
-  gint64 watch_wait;   /* longest wait of one watch of the store */
-  gint64 pause;        /* between news and the next call */
-  gint64 proof_within; /* NewsSource.proof_within */
+  gint64 watch_wait;     /* longest wait of one watch of the store */
+  gint64 pause;          /* between news and the next call */
+  gint64 proof_wait_max; /* NewsSource.proof_wait_max */
   mp_Addr store;
   const mp_Addr *seeds; /* instances to query when the store is not available
                         ** at the start; they outlive the Following */
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -259,7 +259,7 @@
   Gateway *gateway = data;
   LeaseReply read = {0};
   (void)error;
-  relay_group_hear_era(gateway->group, reply->at.era);
+  relay_group_observe_era(gateway->group, reply->at.era);
   read_lease(gateway, reply, &read);
   router_lease_reply(gateway->router, &read, clock_now());
   lease_record_clear(&read.record);
@@ -268,12 +268,13 @@
 
 /*
 ** The set of instances has changed. When there are few, each sends its loads
-** to all others. When there are many (relay_group_sums), each sends them
+** to all others. When there are many (relay_group_uses_summaries), each sends
+*them
 ** within its data centre, and relays send sums to the other data centres.
 */
 static void on_instances(void *data, const GArray *all, const GArray *near) {
   Gateway *gateway = data;
-  gboolean uses_summaries = relay_group_sums(gateway->group);
+  gboolean uses_summaries = relay_group_uses_summaries(gateway->group);
   const GArray *hearing = uses_summaries ? near : all;
   load_exchange_set_peers(gateway->exchange, hearing, uses_summaries);
   router_set_instances(gateway->router, all->len + 1, hearing->len + 1);
@@ -313,9 +314,9 @@
   const Gateway *gateway = data;
   router_configuration_proved(gateway->router,
                               relay_group_proof(gateway->group)->at);
-  router_news_heard(gateway->router,
-                    clock_now() -
-                        relay_group_news_age(gateway->group, clock_now()));
+  router_store_answered(gateway->router,
+                        clock_now() -
+                            relay_group_news_age(gateway->group, clock_now()));
   relays_on_news(gateway->relays);
 }
 
@@ -335,7 +336,7 @@
 /* Shall new requests be sent to this instance? */
 static gboolean is_ready(const Gateway *gateway) {
   return gateway->drain_began == 0 &&
-         router_configured(gateway->router, clock_now()) &&
+         router_is_configured(gateway->router, clock_now()) &&
          directory_has_endpoints(gateway->directory);
 }
 
@@ -429,7 +430,7 @@
   (void)fd;
   (void)what;
   if (age >= gateway->drain_least) {
-    router_stop_taking(gateway->router, clock_now());
+    router_stop_accepting(gateway->router, clock_now());
     front_close_idle(gateway->front);
   }
   if (age >= gateway->drain_least && front_open_requests(gateway->front) == 0)
@@ -459,19 +460,19 @@
 ** How old the configuration may be for a request with a key, in microseconds;
 ** 0: without a limit.
 */
-static gint64 revoke_bound(const GatewayOptions *options) {
+static gint64 proof_age_max(const GatewayOptions *options) {
   if (options->revoke_within == 0)
     return 0;
   return MAX(options->revoke_within - REVOKE_MARGIN, REVOKE_BOUND_MIN);
 }
 
-static RelayTimes relay_times(const GatewayOptions *options) {
-  RelayTimes times = {options->watch_wait, options->news_within};
+static RelayTiming relay_times(const GatewayOptions *options) {
+  RelayTiming times = {options->watch_wait, options->propagation_max};
   return times;
 }
 
 static void make_router(Gateway *gateway, const GatewayOptions *options) {
-  RelayTimes times = relay_times(options);
+  RelayTiming times = relay_times(options);
   RouterHost host = {gateway,     host_dispatch, host_cancel,
                      host_answer, host_refuse,   host_break_off,
                      host_log,    host_note,     host_lease_call};
@@ -486,8 +487,8 @@
   settings.lease_length = options->lease_length;
   settings.limits = options->limits;
   settings.unix_offset = g_get_real_time() - clock_now();
-  settings.revoke_bound = revoke_bound(options);
-  settings.news_bound = relay_longest_age(&times);
+  settings.proof_age_max = proof_age_max(options);
+  settings.news_age_max = relay_news_age_max(&times);
   gateway->router = router_new(&settings, &host, clock_now());
 }
 
@@ -507,7 +508,7 @@
   settings.seeds = options->peers;
   settings.seeds_count = options->peers_count;
   settings.watch_wait = options->watch_wait;
-  settings.proof_within = options->revoke_within / WATCHES_PER_REVOKE;
+  settings.proof_wait_max = options->revoke_within / WATCHES_PER_REVOKE;
   gateway->directory =
       directory_new(gateway->base, gateway->dialect, &settings,
                     gateway->router, gateway->group, gateway->log, &hooks);
@@ -531,7 +532,7 @@
   FrontHooks front = {gateway, on_request, on_hangup, on_bad_input};
   EndpointLinksHooks links = {gateway, on_outcome, on_signals, on_connections,
                               keeps_connection};
-  RelayTimes times = relay_times(options);
+  RelayTiming times = relay_times(options);
   gateway->base = base;
   gateway->dialect = dialect;
   gateway->log = log;
@@ -548,8 +549,8 @@
   gateway->front = front_new(base, options->callers, dialect, &front, error);
   gateway->group = relay_group_new(options->exchange, options->capacity,
                                    &times, clock_now());
-  router_set_news(gateway->router,
-                  relay_group_news(gateway->group, STORE_CONFIGURATION));
+  router_set_news_state(gateway->router,
+                        relay_group_news(gateway->group, STORE_CONFIGURATION));
   if (gateway->front == NULL || !make_exchange(gateway, options, error) ||
       !make_status_server(gateway, options, error)) {
     gateway_free(gateway);
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -33,17 +33,17 @@
   double retry_ratio; /* this and the next two: RouterOptions */
   unsigned retry_slack;
   gint64 retry_window;
-  gint64 lease_length;   /* of the lease on giving orders to engines; 0: this
-                         ** instance gives none */
-  gint64 watch_wait;     /* longest wait of one watch of the store */
-  gint64 news_within;    /* a change of the store is known to all instances
-                         ** within this time */
-  LimitTolerance limits; /* of client accounts */
-  gint64 revoke_within;  /* longest time for which a revoked key is accepted;
-                         ** 0: until its removal is known here */
-  gint64 drain_least;    /* a planned stop accepts requests for this time */
-  gint64 drain_most;     /* a planned stop ends after this time, even if
-                         ** requests are open */
+  gint64 lease_length;    /* of the lease on giving orders to engines; 0: this
+                          ** instance gives none */
+  gint64 watch_wait;      /* longest wait of one watch of the store */
+  gint64 propagation_max; /* a change of the store is known to all instances
+                           ** within this time */
+  LimitTolerance limits;  /* of client accounts */
+  gint64 revoke_within;   /* longest time for which a revoked key is accepted;
+                          ** 0: until its removal is known here */
+  gint64 drain_least;     /* a planned stop accepts requests for this time */
+  gint64 drain_most;      /* a planned stop ends after this time, even if
+                          ** requests are open */
 } GatewayOptions;
 
 /*
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -95,8 +95,8 @@
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
   exchange->sent_crash_version = router_crash_version(exchange->router);
-  router_tell_crashes(exchange->router, FALSE, &message.u.crashes,
-                      clock_now());
+  router_report_crashes(exchange->router, FALSE, &message.u.crashes,
+                        clock_now());
   if (message.u.crashes.n > 0 || message.u.crashes.suspected_n > 0)
     send_to_all(exchange, &message);
 }
@@ -112,7 +112,7 @@
   message.kind = MP_MSG_RATES;
   exchange->sent_rates_version = router_rates_version(exchange->router);
   exchange->rates_sent_at = clock_now();
-  router_tell_rates(exchange->router, FALSE, &message.u.rates, clock_now());
+  router_report_rates(exchange->router, FALSE, &message.u.rates, clock_now());
   if (message.u.rates.n > 0)
     send_to_all(exchange, &message);
 }
@@ -198,7 +198,7 @@
   if (!accepts_loads_of(exchange, peer))
     return;
   if (message->kind == MP_MSG_LOAD_NOTE) {
-    router_peer_note(exchange->router, peer, &message->u.note);
+    router_peer_reservation(exchange->router, peer, &message->u.note);
     return;
   }
   router_peer_load(exchange->router, peer, message->seq, &message->u.digest,
@@ -207,7 +207,7 @@
 }
 
 static void handle_crashes(LoadExchange *exchange, const mp_CrashNews *news) {
-  if (router_hear_crashes(exchange->router, news, clock_now()))
+  if (router_receive_crashes(exchange->router, news, clock_now()))
     exchange->hooks.crashes(exchange->hooks.data);
 }
 
@@ -215,7 +215,7 @@
                          const mp_RateNews *news) {
   if (!accepts_loads_of(exchange, peer))
     return;
-  router_hear_rates(exchange->router, peer, news, clock_now());
+  router_receive_rates(exchange->router, peer, news, clock_now());
   exchange->hooks.rates(exchange->hooks.data);
 }
 
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -65,13 +65,13 @@
   QuarantineRecord record = {0};
   GError *error = NULL;
   if (object->gone) {
-    router_lift_quarantine(writer->router, writer->content, clock_now());
+    router_remove_quarantine(writer->router, writer->content, clock_now());
     return;
   }
   if (writer->dialect->read_quarantine(object->name, object->text, &record,
                                        &error)) {
-    router_take_quarantine(writer->router, &record, object->position,
-                           clock_now());
+    router_apply_quarantine(writer->router, &record, object->position,
+                            clock_now());
     return;
   }
   log_numbered(writer->log, MP_LOG_STORE_RECORD_BAD, " name=%s error=\"%s\"",
@@ -93,12 +93,12 @@
   QuarantineWriter *writer = data;
   struct timeval soon = {0, 0};
   guint i;
-  router_hear_era(writer->router, reply->at.era, clock_now());
+  router_observe_era(writer->router, reply->at.era, clock_now());
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++)
     merge_object(writer, &g_array_index(reply->objects, StoreObject, i));
-  if ((reply->status == STORE_ABSENT && was_removed(writer, reply)) ||
+  if ((reply->status == STORE_NOT_FOUND && was_removed(writer, reply)) ||
       (reply->status == STORE_OK && writer->is_removal))
-    router_lift_quarantine(writer->router, writer->content, clock_now());
+    router_remove_quarantine(writer->router, writer->content, clock_now());
   else if (reply->status != STORE_OK) {
     router_quarantine_save_failed(writer->router, writer->content,
                                   clock_now());
--- a/io/relays.c
+++ b/io/relays.c
@@ -46,8 +46,8 @@
 
 static void start_timer(Relays *relays) {
   gint64 now = clock_now();
-  gint64 wait =
-      CLAMP(relay_group_next(relays->group, now) - now, MP_MS, RELAY_BEAT);
+  gint64 wait = CLAMP(relay_group_next_check(relays->group, now) - now, MP_MS,
+                      RELAY_HEARTBEAT_INTERVAL);
   struct timeval time = {wait / MP_SEC, wait % MP_SEC};
   event_add(relays->timer, &time);
 }
@@ -82,14 +82,15 @@
 
 /* Sends a message to the relays of the other data centres. */
 static void send_far(Relays *relays, const mp_Msg *message, gint64 now) {
-  GArray *far = relay_group_far(relays->group, now);
+  GArray *far = relay_group_remote_targets(relays->group, now);
   send_to_all(relays, far, message);
   g_array_free(far, TRUE);
 }
 
 /* Does this instance send the summaries of its data centre? */
 static gboolean sends_summaries(const Relays *relays, gint64 now) {
-  return relays->uses_summaries && relay_group_is_first(relays->group, now);
+  return relays->uses_summaries &&
+         relay_group_is_first_relay(relays->group, now);
 }
 
 static void send_heartbeats(Relays *relays, gint64 now) {
@@ -131,7 +132,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
-  router_tell_crashes(relays->router, TRUE, &message.u.crashes, now);
+  router_report_crashes(relays->router, TRUE, &message.u.crashes, now);
   if (message.u.crashes.n == 0 && message.u.crashes.suspected_n == 0)
     return;
   send_far(relays, &message, now);
@@ -152,7 +153,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RATES;
-  router_tell_rates(relays->router, TRUE, &message.u.rates, now);
+  router_report_rates(relays->router, TRUE, &message.u.rates, now);
   if (message.u.rates.n == 0)
     return;
   relays->rates_at = now;
@@ -181,7 +182,8 @@
 /* Asks for heartbeats, in an instance that has no copy of the store yet. */
 static void ask_members(Relays *relays) {
   mp_Addr asked[ASKED_MEMBERS];
-  unsigned count = relay_group_ask(relays->group, asked, ASKED_MEMBERS);
+  unsigned count =
+      relay_group_first_members(relays->group, asked, ASKED_MEMBERS);
   send_requests(relays, asked, count);
 }
 
@@ -189,7 +191,7 @@
 static void ask_clocks(Relays *relays, gint64 now) {
   mp_Addr asked[CLOCKS_AT_ONCE];
   unsigned count =
-      relay_group_unbounded(relays->group, now, asked, CLOCKS_AT_ONCE);
+      relay_group_clocks_to_bound(relays->group, now, asked, CLOCKS_AT_ONCE);
   send_requests(relays, asked, count);
 }
 
@@ -200,7 +202,7 @@
   if (role == relays->role)
     return;
   relays->role = role;
-  before = relay_group_before(relays->group, now);
+  before = relay_group_relays_before(relays->group, now);
   log_numbered(relays->log, MP_LOG_RELAY_ROLE,
                " role=%s members=%u relays_heard=%u relays_fresh=%u age_ms=%d",
                relay_role_name(role), relay_group_members(relays->group)->len,
@@ -240,10 +242,10 @@
   gint64 now = clock_now();
   if (!relays->uses_summaries ||
       now - relays->summary_at < SUMMARY_INTERVAL_MIN ||
-      !relay_group_is_first(relays->group, now))
+      !relay_group_is_first_relay(relays->group, now))
     return;
   if (router_urgent_set(relays->router, now) != relays->urgent ||
-      router_limits_untold(relays->router) > UNREPORTED_BURST_MAX)
+      router_limits_unreported(relays->router) > UNREPORTED_BURST_MAX)
     send_summary(relays, now);
 }
 
@@ -257,11 +259,11 @@
 
 static void handle_heartbeat(Relays *relays, mp_Addr from,
                              const mp_Msg *message, gint64 now) {
-  relay_group_hear(relays->group, from, &message->u.beat, now);
+  relay_group_receive_heartbeat(relays->group, from, &message->u.beat, now);
   router_configuration_proved(relays->router,
                               relay_group_proof(relays->group)->at);
-  router_news_heard(relays->router,
-                    now - relay_group_news_age(relays->group, now));
+  router_store_answered(relays->router,
+                        now - relay_group_news_age(relays->group, now));
   update_role(relays, now);
   directory_poll(relays->directory);
 }
@@ -287,7 +289,7 @@
     return;
   router_zone_load(relays->router, message->seq, &message->u.summary, now);
   if (from == message->u.summary.relay &&
-      relay_group_is_first(relays->group, now))
+      relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
@@ -297,8 +299,8 @@
   const mp_RateNews *news = &message->u.rates;
   if (news->zone == relays->zone)
     return;
-  router_hear_rates(relays->router, from, news, now);
-  if (from == news->relay && relay_group_is_first(relays->group, now))
+  router_receive_rates(relays->router, from, news, now);
+  if (from == news->relay && relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
--- a/io/relays.h
+++ b/io/relays.h
@@ -7,7 +7,8 @@
 ** and has the directory poll for news when their source may have changed.
 ** Summaries: when there are many instances, each receives the load digests
 ** (load_exchange.h) of its own data centre only. With each heartbeat, the
-** first relay (relay_group_is_first) sends their sums to the relays of the
+** first relay (relay_group_is_first_relay) sends their sums to the relays of
+*the
 ** other data centres, and it forwards the sums that it receives from there to
 ** its own data centre. Used by gateway.c.
 */
