--- a/io/link_pool.c
+++ b/io/link_pool.c
@@ -1,94 +1,94 @@
 /*
 ** link_pool.c
-** Connections by endpoint
+** The number of connections to each endpoint, and which of them are idle
 */
 
 #include "io/link_pool.h"
 
 /* the connections to one endpoint */
-typedef struct Place {
+typedef struct PoolEntry {
   guint connections;
-  GQueue resting; /* links, newest first */
-} Place;
+  GQueue idle; /* links, the one that became idle last first */
+} PoolEntry;
 
 struct LinkPool {
   LinkPoolHooks hooks;
-  GHashTable *places; /* endpoint id -> Place; none without connections */
-  guint resting;
+  GHashTable *entries; /* endpoint id -> PoolEntry with connections */
+  guint idle;          /* sum over all endpoints */
 };
 
-static void place_free(gpointer p) {
-  Place *place = p;
-  g_queue_clear(&place->resting);
-  g_free(place);
+static void entry_free(gpointer p) {
+  PoolEntry *entry = p;
+  g_queue_clear(&entry->idle);
+  g_free(entry);
 }
 
 LinkPool *link_pool_new(const LinkPoolHooks *hooks) {
   LinkPool *pool = g_new0(LinkPool, 1);
   pool->hooks = *hooks;
-  pool->places =
-      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, place_free);
+  pool->entries =
+      g_hash_table_new_full(g_str_hash, g_str_equal, g_free, entry_free);
   return pool;
 }
 
 void link_pool_free(LinkPool *pool) {
-  g_hash_table_destroy(pool->places);
+  g_hash_table_destroy(pool->entries);
   g_free(pool);
 }
 
-static void tell(const LinkPool *pool, const char *endpoint,
-                 const Place *place) {
-  pool->hooks.counted(pool->hooks.data, endpoint, place->connections,
-                      place->resting.length);
+static void report_counts(const LinkPool *pool, const char *endpoint,
+                          const PoolEntry *entry) {
+  pool->hooks.counted(pool->hooks.data, endpoint, entry->connections,
+                      entry->idle.length);
 }
 
 void link_pool_opened(LinkPool *pool, const char *endpoint) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  if (place == NULL) {
-    place = g_new0(Place, 1);
-    g_queue_init(&place->resting);
-    g_hash_table_insert(pool->places, g_strdup(endpoint), place);
+  PoolEntry *entry = g_hash_table_lookup(pool->entries, endpoint);
+  if (entry == NULL) {
+    entry = g_new0(PoolEntry, 1);
+    g_queue_init(&entry->idle);
+    g_hash_table_insert(pool->entries, g_strdup(endpoint), entry);
   }
-  place->connections++;
-  tell(pool, endpoint, place);
+  entry->connections++;
+  report_counts(pool, endpoint, entry);
 }
 
 void link_pool_closed(LinkPool *pool, const char *endpoint, gpointer link) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  g_assert(place != NULL);
-  if (g_queue_remove(&place->resting, link))
-    pool->resting--;
-  place->connections--;
-  tell(pool, endpoint, place);
-  if (place->connections == 0)
-    g_hash_table_remove(pool->places, endpoint);
+  PoolEntry *entry = g_hash_table_lookup(pool->entries, endpoint);
+  g_assert(entry != NULL);
+  if (g_queue_remove(&entry->idle, link))
+    pool->idle--;
+  entry->connections--;
+  report_counts(pool, endpoint, entry);
+  if (entry->connections == 0)
+    g_hash_table_remove(pool->entries, endpoint);
 }
 
 void link_pool_put_idle(LinkPool *pool, const char *endpoint, gpointer link) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  g_assert(place != NULL);
-  g_queue_push_head(&place->resting, link);
-  pool->resting++;
-  tell(pool, endpoint, place);
+  PoolEntry *entry = g_hash_table_lookup(pool->entries, endpoint);
+  g_assert(entry != NULL);
+  g_queue_push_head(&entry->idle, link);
+  pool->idle++;
+  report_counts(pool, endpoint, entry);
 }
 
 gpointer link_pool_take_idle(LinkPool *pool, const char *endpoint) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  gpointer link = place != NULL ? g_queue_pop_head(&place->resting) : NULL;
+  PoolEntry *entry = g_hash_table_lookup(pool->entries, endpoint);
+  gpointer link = entry != NULL ? g_queue_pop_head(&entry->idle) : NULL;
   if (link == NULL)
     return NULL;
-  pool->resting--;
-  tell(pool, endpoint, place);
+  pool->idle--;
+  report_counts(pool, endpoint, entry);
   return link;
 }
 
 gpointer link_pool_longest_idle(const LinkPool *pool, const char *endpoint) {
-  Place *place = g_hash_table_lookup(pool->places, endpoint);
-  return place != NULL ? g_queue_peek_tail(&place->resting) : NULL;
+  PoolEntry *entry = g_hash_table_lookup(pool->entries, endpoint);
+  return entry != NULL ? g_queue_peek_tail(&entry->idle) : NULL;
 }
 
 guint link_pool_idle_count(const LinkPool *pool) {
-  return pool->resting;
+  return pool->idle;
 }
 
 GPtrArray *link_pool_idle_endpoints(const LinkPool *pool) {
@@ -96,9 +96,9 @@
   GHashTableIter iterator;
   gpointer endpoint;
   gpointer value;
-  g_hash_table_iter_init(&iterator, pool->places);
+  g_hash_table_iter_init(&iterator, pool->entries);
   while (g_hash_table_iter_next(&iterator, &endpoint, &value)) {
-    if (((const Place *)value)->resting.length > 0)
+    if (((const PoolEntry *)value)->idle.length > 0)
       g_ptr_array_add(found, endpoint);
   }
   return found;
