--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -115,7 +115,7 @@
     close_and_forget(link);
     return;
   }
-  http_reader_next(link->reader);
+  http_reader_start_next(link->reader);
   make_idle(link, limit);
 }
 
@@ -159,7 +159,7 @@
 static void finish_call(Link *link) {
   EndpointCall *call = link->call;
   Outcome outcome = {0};
-  PrefillAnswer prefill = {0};
+  PrefillResponse prefill = {0};
   EngineReport report = {0};
   EndpointResponse answer = {call->head, (const char *)call->body->data,
                              call->body->len};
@@ -169,7 +169,7 @@
   }
   outcome.kind =
       call->is_stream ? OUTCOME_STREAM_END : endpoint_call_classify(call);
-  if (call->is_stream && event_splitter_pending(&call->events) > 0)
+  if (call->is_stream && event_splitter_pending_size(&call->events) > 0)
     outcome.kind = OUTCOME_BROKEN;
   outcome.status = call->head->status;
   outcome.misdirected = call->head_info.misdirected;
@@ -286,7 +286,7 @@
   HttpReaderState state = http_reader_state(link->reader);
   const EndpointCall *call = link->call;
   g_assert(call != NULL);
-  if (state == HTTP_READER_BAD ||
+  if (state == HTTP_READER_FAILED ||
       (state == HTTP_READER_DONE && call->head == NULL)) {
     fail_call(link, OUTCOME_BROKEN);
     return FALSE;
@@ -297,7 +297,7 @@
     return TRUE;
   /* after an informational or another request's response, its own follows */
   if (call->head->status < 200 || call->is_foreign) {
-    http_reader_next(link->reader);
+    http_reader_start_next(link->reader);
     return TRUE;
   }
   finish_call(link);
@@ -350,7 +350,7 @@
   read_response(link);
   if (g_hash_table_lookup(links->calls, &dispatch) != link)
     return;
-  http_reader_end(link->reader);
+  http_reader_handle_eof(link->reader);
   link->must_close = TRUE;
   if (http_reader_state(link->reader) != HTTP_READER_DONE)
     fail_call(link, OUTCOME_BROKEN);
@@ -424,13 +424,13 @@
 ** ===================================================================
 */
 
-static const HttpReaderHooks reader_hooks = {on_head, on_body};
+static const HttpReaderCallbacks reader_hooks = {on_head, on_body};
 
 static Link *link_new(EndpointLinks *links, const Dispatch *dispatch) {
   Link *link = g_new0(Link, 1);
   link->links = links;
   link->endpoint = g_strdup(dispatch->endpoint);
-  link->reader = http_reader_new(HTTP_ANSWERS, &reader_hooks, link);
+  link->reader = http_reader_new(HTTP_RESPONSES, &reader_hooks, link);
   link->timer = evtimer_new(links->base, on_timer, link);
   link->events = bufferevent_socket_new(
       links->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
