--- a/dialect/dialect.h
+++ b/dialect/dialect.h
@@ -1,10 +1,17 @@
 /*
 ** dialect.h
-** The seam between the product and one way of saying things
+** The interface between this system and one external protocol
 **
-** A dialect translates between what io/ carries (heads and bodies) and
-** the typed records of router/. It opens no socket, keeps no state,
-** decides nothing and retries nothing: every function here is pure.
+** A dialect translates between HTTP messages (heads and bodies, which io/
+** reads and writes) and the typed records of router/. platform/ is the one
+** that speaks the protocol of the users' platform.
+**
+** Invariant: every function of a dialect is pure. It opens no socket, reads
+** no clock, keeps no state, makes no routing decision and retries nothing.
+**
+** Errors: a function that takes 'error' returns FALSE (or NULL) and sets it
+** when the input can't be used. Text for operators is in the error's message.
+** Durations are in microseconds unless a name carries another unit.
 */
 
 #ifndef DIALECT_H
@@ -17,8 +24,9 @@
 #include "router/router.h"
 
 /*
-** Which field of an object of the store is missing or spoilt: the code of an
-** error of the domain RECORD_FAULT. X(symbol, name in metrics)
+** The field of a store object that is missing or invalid. It is the code of an
+** error of the domain RECORD_ERROR, and a label of a metric.
+** X(symbol, name in metrics)
 */
 #define RECORD_FIELDS(X)            \
   X(CONTENT, "content")             \
@@ -30,8 +38,8 @@
   X(STATE, "state")                 \
   X(SLOTS, "slots")                 \
   X(STAGE, "stage")                 \
-  X(COLD_TIME, "cold_time")         \
-  X(LIFE, "life")                   \
+  X(WARMUP_TIME, "cold_time")       \
+  X(INCARNATION, "life")            \
   X(HOLDER, "holder")               \
   X(CRASHES, "crashes")
 
@@ -42,48 +50,69 @@
       RECORD_FIELD_COUNT
 } RecordField;
 
-#define RECORD_FAULT record_fault_domain()
-GQuark record_fault_domain(void);
+/* The GError domain of invalid endpoint, instance, lease and quarantine
+** records. An invalid configuration has the domain MP_ERROR. */
+#define RECORD_ERROR record_error_quark()
+GQuark record_error_quark(void);
+/* the field's name in metrics; a constant string */
 const char *record_field_name(RecordField field);
-/* the field that an error of any domain is about */
-RecordField record_fault_field(const GError *error);
+/* The field that an error is about: its code in the domain RECORD_ERROR,
+** RECORD_CONFIGURATION in any other domain, RECORD_CONTENT for NULL (the
+** record can't be read, and no field is known). */
+RecordField record_error_field(const GError *error);
 
-/* a caller's head as the dialect read it; texts point into the head */
+/*
+** The head of a caller's request. The texts of 'request' point into 'host' and
+** 'path' and into the HttpHead that was read, which must outlive this struct.
+*/
 typedef struct CallerHead {
   CallerRequest request;
   char *host; /* without port; owned */
-  char *path; /* without query; owned */
+  char *path; /* without query and fragment; owned */
 } CallerHead;
 
+/* Frees the owned texts and zeroes the struct. */
 void caller_head_clear(CallerHead *head);
 
-/* an endpoint's head as the dialect read it */
+/* The head of an endpoint's response. */
 typedef struct EndpointHead {
-  gboolean not_run;     /* the endpoint promises that it did not run it */
-  gboolean misdirected; /* another endpoint has the address */
-  gboolean is_signed;   /* it bears the endpoint's signature */
-  gboolean is_event_stream;
-  const char *request_id;  /* echoed; NULL: not said. Points into the head */
-  gint64 idle_limit;       /* the connection may rest so long; 0: not said */
-  EndpointSignals signals; /* what it tells about itself */
+  gboolean not_run;     /* the endpoint states that it did not run the request
+                        ** (TRUE with 'misdirected', too) */
+  gboolean misdirected; /* another endpoint has the address now */
+  gboolean is_signed;   /* it has the endpoint's signature field; the
+                        ** value isn't verified */
+  gboolean is_event_stream; /* the body is a text/event-stream */
+  const char *request_id;   /* the id of the request that it answers, or NULL
+                            ** when it names none; points into the HttpHead */
+  gint64 idle_limit;        /* the endpoint may close the connection after so
+                            ** long without a request; 0: not stated */
+  EndpointSignals signals;  /* what the endpoint states about itself */
 } EndpointHead;
 
-/* what a prefill engine answers */
+/* The response of a prefill engine. */
 typedef struct PrefillAnswer {
-  char *handle; /* owned */
+  char *handle; /* id of the KV cache entry at the engine; owned */
 } PrefillAnswer;
 
-/* how calls that follow objects are written, and their answers read */
+/*
+** Requests to the store, or to an instance that passes its objects on, and
+** their responses.
+*/
 typedef struct StoreCodec {
+  /* Returns the head of the request, which the caller frees. '*body' is set to
+  ** NULL or to a body that the caller frees. */
   HttpHead *(*write_call)(const StoreCall *call, char **body);
-  /* objects of the reply are owned by it: store_reply_clear */
+  /* Fills 'out', which owns its objects (store_reply_clear). FALSE: the body
+  ** can't be used for this call, as the error says. */
   gboolean (*read_reply)(const StoreCall *call, int status, const char *body,
                          gsize size, StoreReply *out, GError **error);
-  /* the era of the store in which it answered; 0: it names none. NULL: answers
-  ** say it in their bodies */
+  /* Returns the era (generation) of the store that a response's head names; 0:
+  ** it names none. The member is NULL where bodies carry the era instead. */
   guint64 (*read_era)(const HttpHead *head);
 } StoreCodec;
 
+/* A protocol's table of functions. All of them are set unless stated
+** otherwise. A returned HttpHead belongs to the caller (http_head_free). */
 typedef struct Dialect {
   const char *name;
 
@@ -91,26 +120,34 @@
   ** Callers
   */
 
-  /* FALSE: the head lacks something, as the error says */
+  /* FALSE: a required field is missing or invalid, as the error says. Clear
+  ** 'out' in either case (caller_head_clear). */
   gboolean (*read_caller)(const HttpHead *head, CallerHead *out,
                           GError **error);
-  /* the answer to a refusal: its head, and a body that the caller frees */
+  /* Returns the head of the response to a refused request; 'request_id' may be
+  ** NULL. '*body' is set to a text that the caller frees. */
   HttpHead *(*write_refusal)(const Refusal *refusal, const char *request_id,
                              char **body);
-  /* an answer to input that could not be read; 'status' is HTTP's */
+  /* The same for a request that could not be read. 'status' is the HTTP
+  ** status, 'detail' says what is wrong. */
   HttpHead *(*write_bad_input)(int status, const char *detail, char **body);
 
   /*
   ** Endpoints
   */
 
-  /* 'caller' is the caller's head; NULL for what no caller asked for.
-  ** '*body' is NULL, or a body in place of the caller's; free it */
+  /* Returns the head of a request to an endpoint. 'caller' is the head of the
+  ** caller's request; it may be NULL only for dispatches that no caller asked
+  ** for. '*body' is set to NULL, which means the caller's body, if any, or to
+  ** a body to send instead, which the caller of this function frees. */
   HttpHead *(*write_dispatch)(const Dispatch *dispatch, const HttpHead *caller,
                               char **body);
+  /* Reads the head of an endpoint's response; it can't fail. */
   void (*read_endpoint)(const HttpHead *head, EndpointHead *out);
+  /* Reads a prefill engine's response. FALSE: it names no handle. */
   gboolean (*read_prefill)(const char *body, gsize size, PrefillAnswer *out,
                            GError **error);
+  /* Reads an engine's report of its stage. FALSE: a field is missing. */
   gboolean (*read_report)(const char *body, gsize size, EngineReport *out,
                           GError **error);
 
@@ -121,18 +158,25 @@
   StoreCodec store;
 
   /*
-  ** Records: the text of an object, as the store's codec handed it out
+  ** Records: each is parsed from the text of an object, as 'store' returned it
   */
 
-  /* 'older' may be NULL; routes with the same text are shared with it */
+  /* Returns a new table, or NULL when any part is invalid. 'older' may be
+  ** NULL; routes whose text is the same there are shared with it. */
   RouteTable *(*read_configuration)(const char *text, const RouteTable *older,
                                     GError **error);
+  /* The texts in 'out' are owned by it (instance_record_clear), also when this
+  ** returns FALSE. */
   gboolean (*read_instance)(const char *text, InstanceRecord *out,
                             GError **error);
-  gboolean (*read_record)(const char *name, const char *text,
-                          EndpointRecord *out, GError **error);
+  /* 'name' is the object's name, which is the endpoint's id. 'out' owns its
+  ** texts (endpoint_record_clear); it has none when this returns FALSE. */
+  gboolean (*read_endpoint_record)(const char *name, const char *text,
+                                   EndpointRecord *out, GError **error);
+  /* 'out' owns its texts (lease_record_clear). */
   gboolean (*read_lease)(const char *text, LeaseRecord *out, GError **error);
-  /* the texts for operators are not read */
+  /* 'name' is the object's name, the digest of the quarantined request. The
+  ** texts for operators (request, route, account) are not read. */
   gboolean (*read_quarantine)(const char *name, const char *text,
                               QuarantineRecord *out, GError **error);
 } Dialect;
--- a/http/content.c
+++ b/http/content.c
@@ -1,6 +1,6 @@
 /*
 ** content.c
-** A digest of what a request asks for
+** A digest of the content of a request
 */
 
 #include <string.h>
@@ -10,14 +10,15 @@
 
 #include "http/content.h"
 
-/* a text with its end, so that no two lists of texts read alike */
+/* Hashes a text with its terminating NUL, so that two different lists of
+** texts never hash the same bytes. NULL counts as an empty text. */
 static void add_text(XXH3_state_t *state, const char *text) {
   if (text != NULL)
     XXH3_64bits_update(state, text, strlen(text));
   XXH3_64bits_update(state, "", 1);
 }
 
-guint64 content_digest(const HttpHead *head, const GByteArray *body) {
+guint64 request_content_digest(const HttpHead *head, const GByteArray *body) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
   add_text(&state, head->method);
--- a/http/events.c
+++ b/http/events.c
@@ -1,6 +1,6 @@
 /*
 ** events.c
-** Splits the bytes of a text/event-stream into whole events
+** Splits a text/event-stream into whole events
 */
 
 #include <string.h>
@@ -17,8 +17,8 @@
   splitter->pending = NULL;
 }
 
-/* length of the line end at 's', 0 when there is none */
-static gsize line_end(const char *s, const char *end) {
+/* Returns the bytes of the line ending at 's'; 0: there is none. */
+static gsize line_ending_size(const char *s, const char *end) {
   if (s < end && *s == '\n')
     return 1;
   if (s + 1 < end && s[0] == '\r' && s[1] == '\n')
@@ -26,20 +26,22 @@
   return 0;
 }
 
-/* length of the first event with its empty line, 0 when it is not whole */
-static gsize event_length(const char *s, gsize size) {
+/* Returns the bytes of the first event with its empty line; 0: its end has not
+** arrived. */
+static gsize first_event_size(const char *s, gsize size) {
   const char *end = s + size;
   const char *at = s;
   while ((at = memchr(at, '\n', (gsize)(end - at))) != NULL) {
     gsize empty;
     at++;
-    empty = line_end(at, end);
+    empty = line_ending_size(at, end);
     if (empty > 0)
       return (gsize)(at - s) + empty;
   }
   return 0;
 }
 
+/* Returns the id of one event, which the caller frees; NULL: it has none. */
 static char *event_id(const char *s, gsize size) {
   const char *end = s + size;
   while (s < end) {
@@ -60,8 +62,8 @@
   gsize length;
   *last_id = NULL;
   g_string_append_len(pending, bytes, (gssize)size);
-  while ((length = event_length(pending->str + used, pending->len - used)) >
-         0) {
+  while ((length = first_event_size(pending->str + used,
+                                    pending->len - used)) > 0) {
     char *id = event_id(pending->str + used, length);
     if (id != NULL) {
       g_free(*last_id);
@@ -73,6 +75,6 @@
   g_string_erase(pending, 0, (gssize)used);
 }
 
-gsize event_splitter_pending(const EventSplitter *splitter) {
+gsize event_splitter_pending_size(const EventSplitter *splitter) {
   return splitter->pending->len;
 }
--- a/http/head.h
+++ b/http/head.h
@@ -1,8 +1,11 @@
 /*
 ** head.h
 ** The head of one HTTP/1.1 message: start line and header fields
-** Plain data, shared by the carriers in io/ and by the dialects. Names
-** are compared without case; order and repetitions are kept.
+**
+** Plain data that io/ sends and receives and dialects read and write. Field
+** names compare without case; the order and repetitions of fields are kept.
+** A head owns all its texts. No function here fails: they don't validate what
+** they are given.
 */
 
 #ifndef HTTP_HEAD_H
@@ -16,45 +19,52 @@
 } HttpField;
 
 typedef struct HttpHead {
-  char *method;   /* requests */
-  char *target;   /* requests: path and query, as it came */
-  int status;     /* answers */
+  char *method;   /* of a request; NULL in a response */
+  char *target;   /* of a request: path and query, as received */
+  int status;     /* of a response */
   GArray *fields; /* HttpField */
 } HttpHead;
 
+/* Returns an empty head, to be freed by http_head_free. */
 HttpHead *http_head_new(void);
+/* 'head' may be NULL. */
 void http_head_free(HttpHead *head);
 
-/* a request's or an answer's head with no fields yet */
-HttpHead *http_head_request(const char *method, const char *target);
-HttpHead *http_head_answer(int status);
+/* Return the head of a request or of a response, without fields. The texts are
+** copied. */
+HttpHead *http_head_new_request(const char *method, const char *target);
+HttpHead *http_head_new_response(int status);
 
-/* append a field; both texts are copied */
+/* Append a field. The texts are copied; 'value' as a number is written in
+** decimal. */
 void http_head_add(HttpHead *head, const char *name, const char *value);
 void http_head_add_number(HttpHead *head, const char *name, gint64 value);
 
-/* the first value of a field, or NULL */
+/* Returns the value of the first field of this name, owned by the head, or
+** NULL. */
 const char *http_head_get(const HttpHead *head, const char *name);
-/* how often a field stands in the head */
+/* Returns the number of fields of this name. */
 unsigned http_head_count(const HttpHead *head, const char *name);
-/* remove every field of this name */
+/* Removes every field of this name. */
 void http_head_remove(HttpHead *head, const char *name);
 
-/* does a comma-separated field hold this word? */
-gboolean http_head_has_word(const HttpHead *head, const char *name,
-                            const char *word);
+/* Is 'token' an element of the comma-separated list in any field of this name?
+** Tokens compare without case. */
+gboolean http_head_has_token(const HttpHead *head, const char *name,
+                             const char *token);
 
 /*
-** Append all fields of 'from' that concern the message and not one
-** connection: without those of RFC 9110 section 7.6.1, those that its
-** Connection field names, and Content-Length.
+** Appends the end-to-end fields of 'from': all but the hop-by-hop fields (RFC
+** 9110 section 7.6.1 and those that the Connection field names) and
+** Content-Length, because whoever sends the message frames it anew.
 */
 void http_head_copy_end_to_end(HttpHead *to, const HttpHead *from);
 
-/* the reason phrase of a status */
-const char *http_reason(int status);
+/* Returns the reason phrase of a status code, "Status" for an unknown one. */
+const char *http_reason_phrase(int status);
 
-/* write the head with its start line and the empty line after it */
+/* Appends the head to 'out': start line, fields and the empty line after them.
+** It is a request's when 'method' is set. */
 void http_head_write(const HttpHead *head, GString *out);
 
 #endif
--- a/http/reader.c
+++ b/http/reader.c
@@ -1,6 +1,6 @@
 /*
 ** reader.c
-** Reads HTTP/1.1 messages off a byte stream, by http_parser
+** Reads HTTP/1.1 messages from a byte stream with http_parser
 */
 
 #include <string.h>
@@ -12,22 +12,23 @@
 struct HttpReader {
   http_parser parser;
   http_parser_settings settings;
-  HttpReaderHooks hooks;
+  HttpReaderCallbacks callbacks;
   void *data;
   HttpReaderState state;
-  HttpReaderFault fault;
-  HttpHead *head; /* being read; NULL once handed over */
-  GString *name, *value, *target;
-  gboolean in_value;
+  HttpReaderError error;
+  HttpHead *head; /* being read; NULL once passed to the callback */
+  GString *name, *value, *target; /* the parts read so far */
+  gboolean in_value;              /* the last part was one of a value */
   gboolean no_body;
   gboolean keep_alive;
-  size_t head_limit, body_limit;
-  size_t head_bytes, body_bytes;
+  size_t head_limit, body_limit; /* 0: none */
+  size_t head_bytes, body_bytes; /* of the current message */
 };
 
 /*
 ** {==================================================================
-** Callbacks of the parser: a value other than 0 ends the parse
+** Callbacks of the parser: a result other than 0 stops it, except that
+** on_headers_complete returns 1 for "no body follows"
 ** ===================================================================
 */
 
@@ -35,19 +36,20 @@
   return parser->data;
 }
 
-static int refuse(HttpReader *reader, HttpReaderFault fault) {
-  reader->fault = fault;
+/* Records why the message can't be read; returns what stops the parser. */
+static int fail(HttpReader *reader, HttpReaderError error) {
+  reader->error = error;
   return -1;
 }
 
-static int count_head(HttpReader *reader, size_t size) {
+static int count_head_bytes(HttpReader *reader, size_t size) {
   reader->head_bytes += size;
   if (reader->head_limit > 0 && reader->head_bytes > reader->head_limit)
-    return refuse(reader, HTTP_FAULT_HEAD_SIZE);
+    return fail(reader, HTTP_ERROR_HEAD_TOO_LARGE);
   return 0;
 }
 
-static int on_begin(http_parser *parser) {
+static int on_message_begin(http_parser *parser) {
   HttpReader *reader = reader_of(parser);
   http_head_free(reader->head);
   reader->head = http_head_new();
@@ -64,10 +66,12 @@
 static int on_target(http_parser *parser, const char *bytes, size_t size) {
   HttpReader *reader = reader_of(parser);
   g_string_append_len(reader->target, bytes, (gssize)size);
-  return count_head(reader, size);
+  return count_head_bytes(reader, size);
 }
 
-static void take_field(HttpReader *reader) {
+/* Adds the field read so far, if any, to the head. Trailer fields, which come
+** after the head was passed on, are dropped. */
+static void add_field(HttpReader *reader) {
   if (reader->name->len > 0 && reader->head != NULL)
     http_head_add(reader->head, reader->name->str, reader->value->str);
   g_string_truncate(reader->name, 0);
@@ -77,34 +81,35 @@
 static int on_name(http_parser *parser, const char *bytes, size_t size) {
   HttpReader *reader = reader_of(parser);
   if (reader->in_value) {
-    take_field(reader);
+    add_field(reader);
     reader->in_value = FALSE;
   }
   g_string_append_len(reader->name, bytes, (gssize)size);
-  return count_head(reader, size);
+  return count_head_bytes(reader, size);
 }
 
 static int on_value(http_parser *parser, const char *bytes, size_t size) {
   HttpReader *reader = reader_of(parser);
   reader->in_value = TRUE;
   g_string_append_len(reader->value, bytes, (gssize)size);
-  return count_head(reader, size);
+  return count_head_bytes(reader, size);
 }
 
-/* two lengths, or a length beside chunks: nobody knows where it ends */
-static gboolean framing_is_doubtful(const HttpHead *head) {
+/* Two lengths, or a length beside chunked coding: endpoints and this reader
+** could disagree about where the message ends. */
+static gboolean is_framing_ambiguous(const HttpHead *head) {
   unsigned lengths = http_head_count(head, "Content-Length");
   unsigned encodings = http_head_count(head, "Transfer-Encoding");
   return lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0);
 }
 
-/* returns 1 to tell the parser that no body follows */
-static int on_head(http_parser *parser) {
+/* Returns 1 to tell the parser that no body follows, -1 to stop it. */
+static int on_headers_complete(http_parser *parser) {
   HttpReader *reader = reader_of(parser);
   HttpHead *head = reader->head;
-  take_field(reader);
-  if (head == NULL || framing_is_doubtful(head)) {
-    refuse(reader, HTTP_FAULT_SYNTAX);
+  add_field(reader);
+  if (head == NULL || is_framing_ambiguous(head)) {
+    fail(reader, HTTP_ERROR_SYNTAX);
     return -1;
   }
   if (parser->type == HTTP_REQUEST) {
@@ -113,7 +118,7 @@
   } else
     head->status = parser->status_code;
   reader->head = NULL;
-  reader->hooks.head(reader->data, head);
+  reader->callbacks.head(reader->data, head);
   return reader->no_body ? 1 : 0;
 }
 
@@ -121,12 +126,13 @@
   HttpReader *reader = reader_of(parser);
   reader->body_bytes += size;
   if (reader->body_limit > 0 && reader->body_bytes > reader->body_limit)
-    return refuse(reader, HTTP_FAULT_BODY_SIZE);
-  reader->hooks.body(reader->data, bytes, size);
+    return fail(reader, HTTP_ERROR_BODY_TOO_LARGE);
+  reader->callbacks.body(reader->data, bytes, size);
   return 0;
 }
 
-static int on_whole(http_parser *parser) {
+/* Pauses the parser, so that it leaves the bytes behind the message. */
+static int on_message_complete(http_parser *parser) {
   HttpReader *reader = reader_of(parser);
   reader->state = HTTP_READER_DONE;
   reader->keep_alive = http_should_keep_alive(parser) != 0;
@@ -136,21 +142,21 @@
 
 /* }================================================================== */
 
-HttpReader *http_reader_new(HttpReaderKind kind, const HttpReaderHooks *hooks,
-                            void *data) {
+HttpReader *http_reader_new(HttpReaderKind kind,
+                            const HttpReaderCallbacks *callbacks, void *data) {
   HttpReader *reader = g_new0(HttpReader, 1);
   http_parser_settings_init(&reader->settings);
-  reader->settings.on_message_begin = on_begin;
+  reader->settings.on_message_begin = on_message_begin;
   reader->settings.on_url = on_target;
   reader->settings.on_header_field = on_name;
   reader->settings.on_header_value = on_value;
-  reader->settings.on_headers_complete = on_head;
+  reader->settings.on_headers_complete = on_headers_complete;
   reader->settings.on_body = on_body;
-  reader->settings.on_message_complete = on_whole;
+  reader->settings.on_message_complete = on_message_complete;
   http_parser_init(&reader->parser,
                    kind == HTTP_REQUESTS ? HTTP_REQUEST : HTTP_RESPONSE);
   reader->parser.data = reader;
-  reader->hooks = *hooks;
+  reader->callbacks = *callbacks;
   reader->data = data;
   reader->name = g_string_new(NULL);
   reader->value = g_string_new(NULL);
@@ -168,8 +174,8 @@
   g_free(reader);
 }
 
-void http_reader_limit(HttpReader *reader, size_t head_bytes,
-                       size_t body_bytes) {
+void http_reader_set_limits(HttpReader *reader, size_t head_bytes,
+                            size_t body_bytes) {
   reader->head_limit = head_bytes;
   reader->body_limit = body_bytes;
 }
@@ -180,28 +186,28 @@
 
 size_t http_reader_feed(HttpReader *reader, const char *bytes, size_t size) {
   size_t used;
-  if (reader->state == HTTP_READER_BAD || reader->state == HTTP_READER_DONE)
+  if (reader->state == HTTP_READER_FAILED || reader->state == HTTP_READER_DONE)
     return 0;
   used = http_parser_execute(&reader->parser, &reader->settings, bytes, size);
   if (reader->state == HTTP_READER_DONE)
     return used;
   if (HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK || reader->parser.upgrade) {
-    reader->state = HTTP_READER_BAD;
-    if (reader->fault == HTTP_FAULT_NONE)
-      reader->fault = HTTP_FAULT_SYNTAX;
+    reader->state = HTTP_READER_FAILED;
+    if (reader->error == HTTP_ERROR_NONE)
+      reader->error = HTTP_ERROR_SYNTAX;
   }
   return used;
 }
 
-void http_reader_end(HttpReader *reader) {
+void http_reader_handle_eof(HttpReader *reader) {
   if (reader->state != HTTP_READER_PARTIAL)
     return;
   http_parser_execute(&reader->parser, &reader->settings, NULL, 0);
   if (reader->state != HTTP_READER_DONE)
-    reader->state = HTTP_READER_BAD;
+    reader->state = HTTP_READER_FAILED;
 }
 
-void http_reader_next(HttpReader *reader) {
+void http_reader_start_next(HttpReader *reader) {
   g_assert(reader->state == HTTP_READER_DONE);
   http_parser_pause(&reader->parser, 0);
   reader->state = HTTP_READER_IDLE;
@@ -212,8 +218,8 @@
   return reader->state;
 }
 
-HttpReaderFault http_reader_fault(const HttpReader *reader) {
-  return reader->fault;
+HttpReaderError http_reader_error(const HttpReader *reader) {
+  return reader->error;
 }
 
 gboolean http_reader_keep_alive(const HttpReader *reader) {
--- a/http/reader.h
+++ b/http/reader.h
@@ -1,9 +1,16 @@
 /*
 ** reader.h
-** Reads HTTP/1.1 messages off a byte stream, one at a time
+** Reads HTTP/1.1 messages from a byte stream, one at a time
 **
-** A wrapper of http_parser that stops exactly behind each message, so
-** that bytes after a whole message are never taken for a part of it.
+** A wrapper of http_parser for both ends of a connection in io/. It stops
+** exactly behind each message, so that bytes behind a whole message are never
+** taken for a part of it. A message whose length is ambiguous (more than one
+** Content-Length or Transfer-Encoding, or both) is an error, since two parties
+** could disagree about where it ends.
+**
+** Use: http_reader_feed until the state is HTTP_READER_DONE, then
+** http_reader_start_next and feed the bytes that were not consumed. After
+** HTTP_READER_FAILED the stream can't be used any more.
 */
 
 #ifndef HTTP_READER_H
@@ -15,53 +22,66 @@
 
 typedef struct HttpReader HttpReader;
 
-typedef enum HttpReaderKind { HTTP_REQUESTS, HTTP_ANSWERS } HttpReaderKind;
+typedef enum HttpReaderKind { HTTP_REQUESTS, HTTP_RESPONSES } HttpReaderKind;
 
 typedef enum HttpReaderState {
-  HTTP_READER_IDLE,    /* nothing of a message has come */
+  HTTP_READER_IDLE,    /* no byte of the next message has arrived */
   HTTP_READER_PARTIAL, /* a message has begun */
-  HTTP_READER_DONE,    /* a message is whole; http_reader_next goes on */
-  HTTP_READER_BAD      /* the bytes are no HTTP, or over a limit */
+  HTTP_READER_DONE,    /* a message is whole */
+  HTTP_READER_FAILED   /* the bytes are not HTTP, or exceed a limit */
 } HttpReaderState;
 
-/* why a message was refused */
-typedef enum HttpReaderFault {
-  HTTP_FAULT_NONE,
-  HTTP_FAULT_SYNTAX,
-  HTTP_FAULT_HEAD_SIZE,
-  HTTP_FAULT_BODY_SIZE
-} HttpReaderFault;
-
-/* callbacks; the reader must not be freed from within one */
-typedef struct HttpReaderHooks {
-  void (*head)(void *data, HttpHead *head); /* the receiver owns the head */
+/* Why a message could not be read. */
+typedef enum HttpReaderError {
+  HTTP_ERROR_NONE,
+  HTTP_ERROR_SYNTAX, /* not HTTP, or of ambiguous length */
+  HTTP_ERROR_HEAD_TOO_LARGE,
+  HTTP_ERROR_BODY_TOO_LARGE
+} HttpReaderError;
+
+/* The callbacks are called from within http_reader_feed and
+** http_reader_handle_eof; they must not free the reader. */
+typedef struct HttpReaderCallbacks {
+  /* A head is whole; the callee owns it. */
+  void (*head)(void *data, HttpHead *head);
+  /* Some bytes of the body, without any transfer coding. */
   void (*body)(void *data, const char *bytes, size_t size);
-} HttpReaderHooks;
+} HttpReaderCallbacks;
 
-HttpReader *http_reader_new(HttpReaderKind kind, const HttpReaderHooks *hooks,
-                            void *data);
+/* Returns a reader, to be freed by http_reader_free. The callbacks are copied;
+** 'data' is passed to them. */
+HttpReader *http_reader_new(HttpReaderKind kind,
+                            const HttpReaderCallbacks *callbacks, void *data);
+/* 'reader' may be NULL. */
 void http_reader_free(HttpReader *reader);
 
-/* limits in bytes on what one message may bring; 0: none */
-void http_reader_limit(HttpReader *reader, size_t head_bytes,
-                       size_t body_bytes);
+/* Limits one message to this many bytes, inclusive; 0: no limit. A head counts
+** its target and the names and values of its fields. */
+void http_reader_set_limits(HttpReader *reader, size_t head_bytes,
+                            size_t body_bytes);
 
-/* an answer to a HEAD request has no body */
+/* The message being read has no body whatever its head says, as the response
+** to a HEAD request. Holds until http_reader_start_next. */
 void http_reader_expect_no_body(HttpReader *reader);
 
-/* feed bytes; returns how many were consumed (fewer once DONE or BAD) */
+/* Reads bytes and returns how many were consumed. This may be fewer than
+** 'size' when the state becomes DONE or FAILED, and is 0 from then on. */
 size_t http_reader_feed(HttpReader *reader, const char *bytes, size_t size);
 
-/* the stream ended in good order: may complete a message without length */
-void http_reader_end(HttpReader *reader);
+/* The peer closed the stream in an orderly way. This completes a response that
+** ends with the stream; any other partial message becomes FAILED, with
+** HTTP_ERROR_NONE if the parser had found no error before. An idle reader is
+** unaffected. */
+void http_reader_handle_eof(HttpReader *reader);
 
-/* ready for the next message on the same stream; only when DONE */
-void http_reader_next(HttpReader *reader);
+/* Prepares for the next message on the same stream. The state must be DONE. */
+void http_reader_start_next(HttpReader *reader);
 
 HttpReaderState http_reader_state(const HttpReader *reader);
-HttpReaderFault http_reader_fault(const HttpReader *reader);
+HttpReaderError http_reader_error(const HttpReader *reader);
 
-/* may the connection serve another message after this one? */
+/* May the connection carry another message after the one that was read last?
+** Only meaningful from DONE on. */
 gboolean http_reader_keep_alive(const HttpReader *reader);
 
 #endif
--- a/io/directory.c
+++ b/io/directory.c
@@ -74,7 +74,7 @@
 /* told once for each revision: a follower hands an object on when it is new */
 static void bad_record(Directory *directory, StoreKind kind, const char *name,
                        GError *error) {
-  directory->bad_objects[kind][record_fault_field(error)]++;
+  directory->bad_objects[kind][record_error_field(error)]++;
   log_numbered(directory->log, MP_LOG_STORE_RECORD_BAD,
                " kind=%d name=%s error=\"%s\"", (int)kind, name,
                error != NULL ? error->message : "unreadable");
@@ -110,13 +110,14 @@
 static gboolean read_endpoint(const Directory *directory,
                               const StoreObject *object, EndpointRecord *out,
                               GError **error) {
-  if (!directory->dialect->read_record(object->name, object->text, out, error))
+  if (!directory->dialect->read_endpoint_record(object->name, object->text,
+                                                out, error))
     return FALSE;
   out->position = object->position;
   if (!is_own(directory, out->address))
     return TRUE;
   endpoint_record_clear(out);
-  g_set_error_literal(error, RECORD_FAULT, RECORD_ADDRESS,
+  g_set_error_literal(error, RECORD_ERROR, RECORD_ADDRESS,
                       "the address is this instance's own; correct the entry");
   return FALSE;
 }
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -111,7 +111,7 @@
     drop(link);
     return;
   }
-  http_reader_next(link->reader);
+  http_reader_start_next(link->reader);
   rest(link, limit);
 }
 
@@ -162,7 +162,7 @@
   }
   outcome.kind =
       call->is_stream ? OUTCOME_STREAM_END : endpoint_call_classify(call);
-  if (call->is_stream && event_splitter_pending(&call->events) > 0)
+  if (call->is_stream && event_splitter_pending_size(&call->events) > 0)
     outcome.kind = OUTCOME_BROKEN;
   outcome.status = call->head->status;
   outcome.misdirected = call->facts.misdirected;
@@ -269,7 +269,7 @@
   HttpReaderState state = http_reader_state(link->reader);
   const EndpointCall *call = link->call;
   g_assert(call != NULL);
-  if (state == HTTP_READER_BAD ||
+  if (state == HTTP_READER_FAILED ||
       (state == HTTP_READER_DONE && call->head == NULL)) {
     fail(link, OUTCOME_BROKEN);
     return FALSE;
@@ -279,7 +279,7 @@
   if (state != HTTP_READER_DONE)
     return TRUE;
   if (call->head->status < 200 || call->skip) { /* not the answer yet */
-    http_reader_next(link->reader);
+    http_reader_start_next(link->reader);
     return TRUE;
   }
   finish(link);
@@ -332,7 +332,7 @@
   read_answer(link);
   if (g_hash_table_lookup(links->calls, &dispatch) != link)
     return;
-  http_reader_end(link->reader);
+  http_reader_handle_eof(link->reader);
   link->doubtful = TRUE;
   if (http_reader_state(link->reader) != HTTP_READER_DONE)
     fail(link, OUTCOME_BROKEN);
@@ -404,13 +404,13 @@
 ** ===================================================================
 */
 
-static const HttpReaderHooks reader_hooks = {on_head, on_body};
+static const HttpReaderCallbacks reader_hooks = {on_head, on_body};
 
 static Link *link_new(EndpointLinks *links, const Dispatch *dispatch) {
   Link *link = g_new0(Link, 1);
   link->links = links;
   link->endpoint = g_strdup(dispatch->endpoint);
-  link->reader = http_reader_new(HTTP_ANSWERS, &reader_hooks, link);
+  link->reader = http_reader_new(HTTP_RESPONSES, &reader_hooks, link);
   link->timer = evtimer_new(links->base, on_timer, link);
   link->events = bufferevent_socket_new(
       links->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
--- a/io/front.c
+++ b/io/front.c
@@ -122,7 +122,7 @@
     return;
   }
   connection->state = CONNECTION_READING;
-  http_reader_next(connection->reader);
+  http_reader_start_next(connection->reader);
   set_read_timeout(connection, connection->front->limits.idle_timeout);
   if (evbuffer_get_length(bufferevent_get_input(connection->events)) > 0)
     bufferevent_trigger(connection->events, EV_READ,
@@ -146,7 +146,7 @@
 
 /* our own fields beside those of the answer */
 static HttpHead *answer_head(const HttpHead *from, gboolean close) {
-  HttpHead *head = http_head_answer(from->status);
+  HttpHead *head = http_head_new_response(from->status);
   http_head_copy_end_to_end(head, from);
   if (close)
     http_head_add(head, "Connection", "close");
@@ -220,11 +220,11 @@
 }
 
 static void refuse_fault(Connection *connection) {
-  switch (http_reader_fault(connection->reader)) {
-  case HTTP_FAULT_HEAD_SIZE:
+  switch (http_reader_error(connection->reader)) {
+  case HTTP_ERROR_HEAD_TOO_LARGE:
     refuse_input(connection, 431, "the head is larger than the limit");
     break;
-  case HTTP_FAULT_BODY_SIZE:
+  case HTTP_ERROR_BODY_TOO_LARGE:
     refuse_input(connection, 413, "the body is larger than the limit");
     break;
   default:
@@ -241,7 +241,7 @@
     const char *bytes = (const char *)evbuffer_pullup(in, (ev_ssize_t)size);
     size_t used = http_reader_feed(reader, bytes, size);
     evbuffer_drain(in, used);
-    if (http_reader_state(reader) == HTTP_READER_BAD) {
+    if (http_reader_state(reader) == HTTP_READER_FAILED) {
       refuse_fault(connection);
       return;
     }
@@ -293,7 +293,7 @@
   close_connection(connection);
 }
 
-static const HttpReaderHooks reader_hooks = {on_head, on_body};
+static const HttpReaderCallbacks reader_hooks = {on_head, on_body};
 
 static void on_accept(struct evconnlistener *listener, evutil_socket_t fd,
                       struct sockaddr *address, int size, void *data) {
@@ -308,8 +308,8 @@
   connection->body = g_byte_array_new();
   connection->reader =
       http_reader_new(HTTP_REQUESTS, &reader_hooks, connection);
-  http_reader_limit(connection->reader, front->limits.max_head_bytes,
-                    front->limits.max_body_bytes);
+  http_reader_set_limits(connection->reader, front->limits.max_head_bytes,
+                         front->limits.max_body_bytes);
   connection->events = bufferevent_socket_new(
       front->base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   bufferevent_setwatermark(connection->events, EV_READ, 0, READ_AHEAD);
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -176,8 +176,8 @@
     g_error_free(error);
   } else {
     read.request.number = number;
-    read.request.content =
-        content_digest(head, front_request_body(gateway->front, number));
+    read.request.content = request_content_digest(
+        head, front_request_body(gateway->front, number));
     router_request(gateway->router, &read.request, clock_now());
     set_tick(gateway);
   }
--- a/io/news_codec.c
+++ b/io/news_codec.c
@@ -30,7 +30,7 @@
     g_string_append_printf(target, "&digest=%" G_GUINT64_FORMAT, call->digest);
   if (call->in_full)
     g_string_append(target, "&full=1");
-  head = http_head_request("GET", target->str);
+  head = http_head_new_request("GET", target->str);
   http_head_add(head, "Host", "instance");
   g_string_free(target, TRUE);
   return head;
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -188,7 +188,7 @@
 m r-event "ORDER: a partial event is held back" http/events.c \
   'if (empty > 0)' 'if (1)'
 m r-own "the system sets its own fields" platform/endpoints.c \
-  'http_head_remove(head, platform_system_fields[i]);' ';'
+  'http_head_remove(head, platform_reserved_fields[i]);' ';'
 m r-silence "LOST: silence ends nothing without another endpoint" router/outcomes.c \
   '!has_elsewhere(router, request, now) ||' ''
 m r-paid "LOST: a resume is paid before the run is left" router/outcomes.c \
@@ -431,7 +431,7 @@
 m o-window "patience: what was seen long ago is forgotten" \
   router/patience.c 'if (age < PATIENCE_WINDOW)' 'if (TRUE)'
 m o-number "input: a time is bounded before it is converted" \
-  platform/quantities.c 'time < (double)LONGEST_TIME' 'TRUE'
+  platform/quantities.c 'time < (double)DURATION_MAX' 'TRUE'
 m o-beat "input: a heartbeat's clock is bounded" wire/rpc.c \
   '*v <= INT64_MAX / 2' 'TRUE'
 m r-peers "rates: what peers send is taken off" router/rate_limits.c \
@@ -504,15 +504,15 @@
   '    sweep(totals, now);' \
   ''
 m b-resume "lists: reading goes on behind a broken item" platform/store.c \
-  'return read_sound_list(answer, out) || read_broken_list(answer, out);' \
-  'return read_sound_list(answer, out);'
+  'return read_separable_list(answer, out) || read_broken_list(answer, out);' \
+  'return read_separable_list(answer, out);'
 m b-swallow "lists: an end that comes too late is seen" platform/broken_list.c \
   '    if (swallows(item))
       return FALSE;' \
   '    if (FALSE)
       return FALSE;'
 m b-early "lists: an end that comes too early is seen" platform/broken_list.c \
-  '  return json_span_ends(items);' \
+  '  return json_span_is_at_end(items);' \
   '  return TRUE;'
 m b-hides "lists: bytes that may hide an object are told" platform/store.c \
   'out->partial = list.hides || out->nameless > 0;' \
@@ -534,7 +534,7 @@
       !endpoint_record_is_restored(record, known))' \
   'if (FALSE)'
 m v-address "entries: addresses of no machine" platform/records.c \
-  'return *out != 0 && is_one_machines(*out);' \
+  'return *out != 0 && is_unicast(*out);' \
   'return *out != 0;'
 m v-blank "entries: an address has no blanks" core/text.c \
   's[strspn(s, "0123456789.:")] != '"'"'\0'"'"' ||' \
--- a/test/test_links.cc
+++ b/test/test_links.cc
@@ -31,7 +31,7 @@
   struct event_base *base = event_base_new();
   Listener endpoint;
   EndpointLinks *links = nullptr;
-  HttpHead *caller = http_head_request("POST", "/a/b?c=1");
+  HttpHead *caller = http_head_new_request("POST", "/a/b?c=1");
   GByteArray *body = g_byte_array_new();
   std::map<guint64, std::vector<Told>> told;
   std::vector<EndpointSignals> signals; /* of the heads */
@@ -451,7 +451,7 @@
         base, [this] { caller->read_some(); }, done);
   }
   void whole(guint64 number, const char *text) {
-    HttpHead *head = http_head_answer(200);
+    HttpHead *head = http_head_new_response(200);
     front_answer(front, number, head, text, strlen(text));
     http_head_free(head);
   }
@@ -516,7 +516,7 @@
 }
 
 TEST_F(Fronted, ABrokenOffAnswerCannotLookWhole) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   caller->send_text("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(wait([&] { return requests.size() == 1; }));
   front_begin(front, requests[0], head);
@@ -530,7 +530,7 @@
 }
 
 TEST_F(Fronted, AWholeStreamHasItsLastChunk) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   caller->send_text("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(wait([&] { return requests.size() == 1; }));
   front_begin(front, requests[0], head);
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -29,7 +29,7 @@
     R"(4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}})";
 
 HttpHead *caller() {
-  HttpHead *head = http_head_request("POST", "/a/b/c?x=1");
+  HttpHead *head = http_head_new_request("POST", "/a/b/c?x=1");
   http_head_add(head, "Host", "h.example:80");
   http_head_add(head, "Request-Id", "9c41");
   http_head_add(head, "Deadline-Ms", "14000");
@@ -180,7 +180,7 @@
 
 TEST(PlatformSystemFields, TheTableHoldsEveryReservedName) {
   for (const char *name : reserved_names) {
-    const char *const *at = platform_system_fields;
+    const char *const *at = platform_reserved_fields;
     while (*at != nullptr && strcmp(*at, name) != 0)
       at++;
     EXPECT_NE(*at, nullptr) << name;
@@ -288,7 +288,7 @@
 
 EndpointSignals read_signals(int status, const char *name,
                              const std::vector<const char *> &values) {
-  HttpHead *head = http_head_answer(status);
+  HttpHead *head = http_head_new_response(status);
   EndpointHead read;
   for (const char *value : values)
     http_head_add(head, name, value);
@@ -361,7 +361,7 @@
 }
 
 TEST(PlatformEndpoint, AnUnknownFieldIsNamed) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   EndpointHead read;
   for (const char *known : {"server-stamp", "REQUEST-ID", "Date", "Connection",
                             "Content-Length", "Not-Run", "Weight-Versions"})
@@ -386,7 +386,7 @@
 }
 
 TEST(PlatformEndpoint, HeadIsRead) {
-  HttpHead *head = http_head_answer(503);
+  HttpHead *head = http_head_new_response(503);
   EndpointHead read;
   http_head_add(head, "Not-Run", "1");
   http_head_add(head, "Keep-Alive", "timeout=5, max=9");
@@ -404,7 +404,7 @@
 }
 
 TEST(PlatformEndpoint, A503WithoutItsPromiseMayHaveRun) {
-  HttpHead *head = http_head_answer(503);
+  HttpHead *head = http_head_new_response(503);
   EndpointHead read;
   platform_read_endpoint(head, &read);
   EXPECT_FALSE(read.not_run);
@@ -509,7 +509,7 @@
 
 TEST(PlatformRecord, IsRead) {
   EndpointRecord record;
-  ASSERT_TRUE(platform_read_record(
+  ASSERT_TRUE(platform_read_endpoint_record(
       "i-7f",
       R"({"Service":"s","Addr":"10.128.0.9:8080","Zone":"z","Slots":64,)"
       R"("State":"ready","ColdLeftMs":20,"Stage":"prefill"})",
@@ -519,9 +519,9 @@
   EXPECT_EQ(record.stage, STAGE_PREFILL);
   EXPECT_EQ(record.cold_left, 20 * MP_MS);
   endpoint_record_clear(&record);
-  EXPECT_FALSE(
-      platform_read_record("i-7f", R"({"Service":"s"})", &record, nullptr));
-  ASSERT_TRUE(platform_read_record(
+  EXPECT_FALSE(platform_read_endpoint_record("i-7f", R"({"Service":"s"})",
+                                             &record, nullptr));
+  ASSERT_TRUE(platform_read_endpoint_record(
       "i-7f",
       R"({"Service":"s","Addr":"1.2.3.4:5","Zone":"z","Slots":64,)"
       R"("State":"draining"})",
@@ -805,7 +805,7 @@
     StoreReply out = reply(STORE_LIST, 200, answer, &read);
     store_reply_clear(&out);
     EndpointRecord record;
-    if (platform_read_record("i", answer.c_str(), &record, nullptr))
+    if (platform_read_endpoint_record("i", answer.c_str(), &record, nullptr))
       endpoint_record_clear(&record);
     PrefillAnswer prefill = {};
     EngineReport report;
