--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -431,7 +431,7 @@
 m o-window "patience: what was seen long ago is forgotten" \
   router/patience.c 'if (age < PATIENCE_WINDOW)' 'if (TRUE)'
 m o-number "input: a time is bounded before it is converted" \
-  platform/quantities.c 'time < (double)DURATION_MAX' 'TRUE'
+  platform/quantities.c 'duration < (double)DURATION_MAX' 'TRUE'
 m o-beat "input: a heartbeat's clock is bounded" wire/rpc.c \
   '*v <= INT64_MAX / 2' 'TRUE'
 m r-peers "rates: what peers send is taken off" router/rate_limits.c \
@@ -495,8 +495,8 @@
   'return status >= 200 && status < 300 && !call->facts.not_run &&' \
   'return'
 m r-number "rates: a plain number" platform/quantities.c \
-  'if (whole + part == 0 || *end != '"'"'\0'"'"')' \
-  'if (whole + part == 0)'
+  'if (integer + fraction == 0 || *end != '"'"'\0'"'"')' \
+  'if (integer + fraction == 0)'
 m r-once "rates: it stands once" platform/endpoints.c \
   'http_head_count(head, "Server-Limit") == 1' \
   TRUE
@@ -507,7 +507,7 @@
   'return read_separable_list(answer, out) || read_broken_list(answer, out);' \
   'return read_separable_list(answer, out);'
 m b-swallow "lists: an end that comes too late is seen" platform/broken_list.c \
-  '    if (swallows(item))
+  '    if (contains_next_item(item))
       return FALSE;' \
   '    if (FALSE)
       return FALSE;'
@@ -515,7 +515,7 @@
   '  return json_span_is_at_end(items);' \
   '  return TRUE;'
 m b-hides "lists: bytes that may hide an object are told" platform/store.c \
-  'out->partial = list.hides || out->nameless > 0;' \
+  'out->partial = list.may_hide_objects || out->nameless > 0;' \
   'out->partial = FALSE;'
 m b-partial "lists: one that may hide objects removes none" router/follower.c \
   'follower->partial |= reply->partial;' \
