--- a/dialect/dialect.h
+++ b/dialect/dialect.h
@@ -90,9 +90,9 @@
 } EndpointHead;
 
 /* The response of a prefill engine. */
-typedef struct PrefillAnswer {
+typedef struct PrefillResponse {
   char *handle; /* id of the KV cache entry at the engine; owned */
-} PrefillAnswer;
+} PrefillResponse;
 
 /*
 ** Requests to the store, or to an instance that passes its objects on, and
@@ -145,7 +145,7 @@
   /* Reads the head of an endpoint's response; it can't fail. */
   void (*read_endpoint)(const HttpHead *head, EndpointHead *out);
   /* Reads a prefill engine's response. FALSE: it names no handle. */
-  gboolean (*read_prefill)(const char *body, gsize size, PrefillAnswer *out,
+  gboolean (*read_prefill)(const char *body, gsize size, PrefillResponse *out,
                            GError **error);
   /* Reads an engine's report of its stage. FALSE: a field is missing. */
   gboolean (*read_report)(const char *body, gsize size, EngineReport *out,
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -152,7 +152,7 @@
 static void finish(Link *link) {
   EndpointCall *call = link->call;
   Outcome outcome = {0};
-  PrefillAnswer prefill = {0};
+  PrefillResponse prefill = {0};
   EngineReport report = {0};
   EndpointAnswer answer = {call->head, (const char *)call->body->data,
                            call->body->len};
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -807,7 +807,7 @@
     EndpointRecord record;
     if (platform_read_endpoint_record("i", answer.c_str(), &record, nullptr))
       endpoint_record_clear(&record);
-    PrefillAnswer prefill = {};
+    PrefillResponse prefill = {};
     EngineReport report;
     platform_read_report(answer.data(), answer.size(), &report, nullptr);
     LeaseRecord lease;
