--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -504,8 +504,8 @@
   '    sweep(totals, now);' \
   ''
 m b-resume "lists: reading goes on behind a broken item" platform/store.c \
-  'return read_separable_list(answer, out) || read_broken_list(answer, out);' \
-  'return read_separable_list(answer, out);'
+  'return read_separable_list(response, out) || read_broken_list(response, out);' \
+  'return read_separable_list(response, out);'
 m b-swallow "lists: an end that comes too late is seen" platform/broken_list.c \
   '    if (contains_next_item(item))
       return FALSE;' \
