--- a/core/admit.c
+++ b/core/admit.c
@@ -115,7 +115,7 @@
   if (f->class_ == NULL ||
       !has(f->account->classes, f->account->classes_count, f->class_->name))
     return MP_ERR_CLASS;
-  if (place_rule(c, f->class_->name, f->account->name) == NULL)
+  if (place_find_rule(c, f->class_->name, f->account->name) == NULL)
     return MP_ERR_PLACE;
   return MP_ERR_NONE;
 }
@@ -127,9 +127,9 @@
   p.error = e;
   p.ran = MP_RAN_NO;
   p.retry_s = mp_error_retry(e);
-  mpcount(state, REFUSED);
+  state_count(state, REFUSED);
   effect_log(state, MP_LOG_REFUSE, " kind=%s ran=no", mp_error_name(e));
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
 }
 
 static Request *newrequest(mp_State *state, const mp_Call *c, const Found *f) {
@@ -138,7 +138,7 @@
   r->call = c->call;
   r->token.owner = state->self;
   r->token.start = state->start;
-  r->token.seq = ++state->lastreq;
+  r->token.seq = ++state->last_request_seq;
   g_strlcpy(r->class_name, k->name, sizeof r->class_name);
   g_strlcpy(r->account, f->account->name, sizeof r->account);
   g_strlcpy(r->service, f->service->name, sizeof r->service);
@@ -155,11 +155,11 @@
   r->repeatable = k->repeatable;
   r->keyed = c->key != NULL;
   if (r->keyed)
-    claim_id(r->account, c->key, r->id);
+    claim_make_id(r->account, c->key, r->id);
   r->text = g_string_new(NULL);
   g_ptr_array_add(state->requests, r);
-  state_set(state->requestby, r->call, r);
-  state_set(state->requestseq, r->token.seq, r);
+  state_table_set(state->request_by_call, r->call, r);
+  state_table_set(state->request_by_seq, r->token.seq, r);
   return r;
 }
 
@@ -176,8 +176,9 @@
   mp_Error e;
   Request *r;
   int ok;
-  mpcount(state, REQUESTS);
-  if (state->draining && state->now - state->drainsince > MP_DRAIN_LINGER)
+  state_count(state, REQUESTS);
+  if (state->draining &&
+      state->now - state->drain_started_at > MP_DRAIN_LINGER)
     e = MP_ERR_DRAINING;
   else if (state->config == NULL)
     e = MP_ERR_NO_CONFIG;
@@ -189,7 +190,7 @@
     refusecall(state, c, e);
     return;
   }
-  retry_earn(state);
+  retry_budget_deposit(state);
   r = newrequest(state, c, &f);
   effect_log(state, MP_LOG_ACCEPT,
              " seq=%08x class=%s account=%s prompt_tokens=%u", r->token.seq,
--- a/core/answer.c
+++ b/core/answer.c
@@ -19,47 +19,48 @@
 */
 
 static void ondecode(mp_State *state, void *ud, const mp_EndpointEvent *e);
-static void broke(mp_State *state, Request *r, Why why);
+static void broke(mp_State *state, Request *r, CallFailure why);
 
 static void stalled(mp_State *state, void *ud) {
   Request *r = ud;
-  effect_xabort(state, r->decode.xcall);
+  effect_endpoint_abort(state, r->decode.xcall);
   r->decode.xcall = 0;
-  broke(state, r, WHY_SILENT);
+  broke(state, r, CALL_FAILURE_TIMEOUT);
 }
 
 static void watch(mp_State *state, Request *r) {
   timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME, stalled, r);
 }
 
-void flow_decode(mp_State *state, Request *r, mp_XcallOp op) {
+void flow_start_decode(mp_State *state, Request *r, mp_XcallOp op) {
   Attempt *a = &r->decode;
   mp_Xcall x;
-  if (flow_gate(state, r, a) == NULL) {
-    flow_gated(state, r, a);
+  if (flow_check_place(state, r, a) == NULL) {
+    flow_place_denied(state, r, a);
     return;
   }
-  x = flow_call(r, a, op);
-  flow_dispatched(r, a);
+  x = flow_make_endpoint_call(r, a, op);
+  flow_mark_dispatched(r, a);
   if (op == MP_X_DECODE)
-    mpcount(state, DECODES);
-  a->xcall = effect_xcall(state, &x, ondecode, r);
+    state_count(state, DECODES);
+  a->xcall = effect_endpoint_call(state, &x, ondecode, r);
   watch(state, r);
 }
 
 /* the stream broke: resume it once where it is, then go elsewhere */
-static void broke(mp_State *state, Request *r, Why why) {
+static void broke(mp_State *state, Request *r, CallFailure why) {
   const Endpoint *e = fleet_get(state, r->decode.endpoint);
   int there = e != NULL && !e->down;
   timer_stop(&state->timers, &r->timer);
-  if (!flow_clean(why) && !r->resumed && there) {
+  if (!flow_is_not_run(why) && !r->resumed && there) {
     r->resumed = 1;
-    flow_decode(state, r, MP_X_RESUME);
+    flow_start_decode(state, r, MP_X_RESUME);
     return;
   }
   /* after a resume that was refused, the first call still ran */
-  flow_failed(state, r, &r->decode,
-              flow_clean(why) && r->resumed ? WHY_BROKEN : why);
+  flow_attempt_failed(state, r, &r->decode,
+                      flow_is_not_run(why) && r->resumed ? CALL_FAILURE_BROKEN
+                                                         : why);
 }
 
 static void head(mp_State *state, Request *r, int status, void *h) {
@@ -72,7 +73,7 @@
   p.status = status;
   p.head = h;
   mp_token_text(&r->token, 0, p.id);
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
 }
 
 static void pass(mp_State *state, Request *r, const mp_EndpointEvent *e) {
@@ -81,27 +82,28 @@
   p.what = MP_REPLY_PIECE;
   p.text = e->text;
   p.len = e->len;
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
 }
 
 /* the first token is there: the prefill's copy has done its work */
 static void firsttoken(mp_State *state, Request *r) {
   r->ran = MP_RAN_YES;
-  r->kv_used = 1;
-  r->prefill_at = r->prefill.endpoint;
-  fleet_good(state, r->decode.endpoint);
-  flow_endattempt(state, r, &r->prefill);
+  r->is_kv_used = 1;
+  r->prefill_engine = r->prefill.endpoint;
+  fleet_call_succeeded(state, r->decode.endpoint);
+  flow_end_attempt(state, r, &r->prefill);
 }
 
 static void piece(mp_State *state, Request *r, const mp_EndpointEvent *e) {
   if (e->index < r->got) {
-    mpcount(state, STALE); /* the caller has it already */
+    state_count(state, STALE); /* the caller has it already */
     return;
   }
   if (e->index > r->got) {
-    effect_xabort(state, r->decode.xcall);
+    effect_endpoint_abort(state, r->decode.xcall);
     r->decode.xcall = 0;
-    broke(state, r, WHY_BROKEN); /* a gap: nothing behind it may pass */
+    broke(state, r,
+          CALL_FAILURE_BROKEN); /* a gap: nothing behind it may pass */
     return;
   }
   if (r->prefill.no != 0)
@@ -125,7 +127,7 @@
   case MP_EP_DONE:
     r->decode.xcall = 0;
     if (e->tokens != r->got) {
-      broke(state, r, WHY_BROKEN); /* the end without the whole */
+      broke(state, r, CALL_FAILURE_BROKEN); /* the end without the whole */
       return;
     }
     if (r->prefill.no != 0)
@@ -135,7 +137,7 @@
     break;
   case MP_EP_FAIL:
     r->decode.xcall = 0;
-    broke(state, r, flow_whyof(e));
+    broke(state, r, flow_call_failure(e));
     break;
   }
 }
@@ -151,9 +153,9 @@
 static void plainlate(mp_State *state, void *ud) {
   Request *r = ud;
   if (r->head)
-    flow_giveup(state, r); /* a part of the answer is out: no second one */
+    flow_give_up(state, r); /* a part of the answer is out: no second one */
   else
-    flow_failed(state, r, &r->decode, WHY_SILENT);
+    flow_attempt_failed(state, r, &r->decode, CALL_FAILURE_TIMEOUT);
 }
 
 static void plainfail(mp_State *state, Request *r, const mp_EndpointEvent *e) {
@@ -162,9 +164,9 @@
   if (r->head)
     flow_refuse(state, r, MP_ERR_INCOMPLETE, 0);
   else if (e->fail == MP_EPF_REJECTED)
-    flow_rejected(state, r);
+    flow_request_rejected(state, r);
   else
-    flow_failed(state, r, &r->decode, flow_whyof(e));
+    flow_attempt_failed(state, r, &r->decode, flow_call_failure(e));
 }
 
 static void onplain(mp_State *state, void *ud, const mp_EndpointEvent *e) {
@@ -172,7 +174,7 @@
   switch (e->what) {
   case MP_EP_HEAD:
     r->ran = MP_RAN_YES;
-    fleet_good(state, r->decode.endpoint);
+    fleet_call_succeeded(state, r->decode.endpoint);
     timer_arm(&state->timers, &r->timer, r->deadline, plainlate, r);
     head(state, r, e->status, e->head);
     break;
@@ -189,21 +191,21 @@
   }
 }
 
-void flow_plain(mp_State *state, Request *r) {
-  Endpoint *e = choice_plain(state, r);
+void flow_start_plain(mp_State *state, Request *r) {
+  Endpoint *e = choice_plain_endpoint(state, r);
   Attempt *a = &r->decode;
   mp_Xcall x;
   if (e == NULL) {
-    flow_nowhere(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
-  flow_attempt(r, a, e, MP_ROLE_PLAIN, 0);
+  flow_init_attempt(r, a, e, MP_ROLE_PLAIN, 0);
   e->mine++;
   a->granted = 1;
   a->begun = state->now;
-  x = flow_call(r, a, MP_X_PLAIN);
-  flow_dispatched(r, a);
-  a->xcall = effect_xcall(state, &x, onplain, r);
+  x = flow_make_endpoint_call(r, a, MP_X_PLAIN);
+  flow_mark_dispatched(r, a);
+  a->xcall = effect_endpoint_call(state, &x, onplain, r);
   /* time to fail over is left where the class allows it */
   timer_arm(&state->timers, &r->timer,
             state->now + (r->deadline - state->now) / (r->repeatable ? 2 : 1),
--- a/core/board.h
+++ b/core/board.h
@@ -49,7 +49,7 @@
   char name[MP_MAXNAME + 1];
   char dc[MP_MAXNAME + 1];
   char service[MP_MAXNAME + 1];
-  uint32_t dchash;
+  uint32_t dc_hash;
   mp_Role role;
   int leaving; /* by the list, by itself, or by 'drained' */
   int drained; /* by the configuration */
@@ -61,9 +61,9 @@
   uint32_t wait;    /* milliseconds */
   uint32_t rate;    /* prefill: tokens a second; decode: us per token */
   unsigned told;
-  unsigned mine;    /* attempts of this instance there now */
-  uint32_t pledged; /* tokens sent there since the last load */
-  unsigned fails;   /* in a row */
+  unsigned mine;                /* attempts of this instance there now */
+  uint32_t reserved_since_load; /* tokens sent there since the last load */
+  unsigned fails;               /* in a row */
   unsigned ejections;
   mp_Time ejected; /* until then */
 } Endpoint;
@@ -76,10 +76,10 @@
 ** ===================================================================
 */
 
-typedef struct Doc {
+typedef struct Document {
   uint64_t version; /* in force; 0: none */
   GBytes *text;     /* of the manifest or list; NULL: none */
-} Doc;
+} Document;
 
 /* }================================================================== */
 
@@ -90,14 +90,14 @@
 */
 
 typedef enum Step {
-  ST_CLAIM,
-  ST_DECODE_SLOT,
-  ST_PREFILL_SLOT,
-  ST_PREFILL,
-  ST_TRANSFER,
-  ST_DECODE,
-  ST_PLAIN,
-  ST_WAIT /* between two tries of a step */
+  FLOW_STEP_CLAIM,
+  FLOW_STEP_RESERVE_DECODE,
+  FLOW_STEP_RESERVE_PREFILL,
+  FLOW_STEP_PREFILL,
+  FLOW_STEP_TRANSFER,
+  FLOW_STEP_DECODE,
+  FLOW_STEP_PLAIN,
+  FLOW_STEP_RETRY_WAIT /* between two tries of a step */
 } Step;
 
 /* one attempt at an endpoint, or a reservation there */
@@ -130,27 +130,27 @@
   int durable; /* its claim is in the platform */
   uint64_t id[2];
   int claimed;
-  Step step, next; /* 'next' is entered after ST_WAIT */
+  Step step, next; /* 'next' is entered after FLOW_STEP_RETRY_WAIT */
   mp_Ran ran;
-  uint32_t attempts;  /* numbers given out */
-  unsigned tries;     /* since the last success */
-  uint32_t wait_ms;   /* longest wait a keeper estimated, 0: none */
-  mp_Addr prefill_at; /* where the prefill ran that was used */
-  uint32_t rpc;       /* open call to a keeper */
-  uint64_t asking;    /* open claim */
-  mp_Ran before;      /* ran, before the work that is out now */
-  int resumed;        /* the stream was resumed once already */
+  uint32_t attempts;      /* numbers given out */
+  unsigned tries;         /* since the last success */
+  uint32_t wait_ms;       /* longest wait a keeper estimated, 0: none */
+  mp_Addr prefill_engine; /* where the prefill ran that was used */
+  uint32_t rpc;           /* open call to a keeper */
+  uint64_t asking;        /* open claim */
+  mp_Ran before;          /* ran, before the work that is out now */
+  int resumed;            /* the stream was resumed once already */
   Attempt prefill, decode;
-  char *kv;      /* name of the KV result, NULL when none */
-  mp_Addr kv_at; /* the prefill engine that holds it */
-  mp_Time kv_until;
-  int kv_used; /* an answer came of it */
+  char *kv;          /* name of the KV result, NULL when none */
+  mp_Addr kv_source; /* the prefill engine that holds it */
+  mp_Time kv_expires_at;
+  int is_kv_used; /* an answer came of it */
   uint32_t kv_tokens;
   int head;                   /* the answer's head went to the caller */
   uint32_t got;               /* tokens passed to the caller */
   GString *text;              /* text passed to the caller, to resume after */
   mp_Addr avoid[MP_MAXTRIES]; /* endpoints that failed this step */
-  unsigned navoid;
+  unsigned avoid_count;
   Timer timer; /* of the step */
   Timer limit; /* the deadline */
 } Request;
--- a/core/cancel.c
+++ b/core/cancel.c
@@ -49,7 +49,7 @@
   x.token = c->token;
   x.attempt = c->attempt;
   c->tries++;
-  c->xcall = effect_xcall(state, &x, answered, c);
+  c->xcall = effect_endpoint_call(state, &x, answered, c);
   timer_arm(&state->timers, &c->timer,
             state->now + c->tries * MP_CANCEL_PERIOD, again, c);
 }
@@ -57,15 +57,15 @@
 static void again(mp_State *state, void *ud) {
   Cancel *c = ud;
   if (c->xcall != 0)
-    effect_xabort(state, c->xcall);
+    effect_endpoint_abort(state, c->xcall);
   if (c->tries >= MP_CANCEL_TRIES)
     end(state, c);
   else
     send(state, c);
 }
 
-void cancel_cancel(mp_State *state, mp_Addr ep, const mp_Token *t,
-                   uint32_t attempt) {
+void cancel_start(mp_State *state, mp_Addr ep, const mp_Token *t,
+                  uint32_t attempt) {
   Cancel *c = g_new0(Cancel, 1);
   c->state = state;
   c->ep = ep;
@@ -75,7 +75,7 @@
   send(state, c);
 }
 
-unsigned cancel_open(const mp_State *state) {
+unsigned cancel_pending_count(const mp_State *state) {
   return state->cancels->open->len;
 }
 
--- a/core/cancel.h
+++ b/core/cancel.h
@@ -14,10 +14,10 @@
 void cancel_free(mp_State *state);
 
 /* end the attempt at the endpoint and free all that it holds there */
-void cancel_cancel(mp_State *state, mp_Addr ep, const mp_Token *t,
-                   uint32_t attempt);
+void cancel_start(mp_State *state, mp_Addr ep, const mp_Token *t,
+                  uint32_t attempt);
 
 /* cancels not yet confirmed */
-unsigned cancel_open(const mp_State *state);
+unsigned cancel_pending_count(const mp_State *state);
 
 #endif
--- a/core/claim.c
+++ b/core/claim.c
@@ -34,7 +34,7 @@
   mp_Time until;
   uint32_t rpc;
   Timer timer;
-  ClaimFn fn;
+  ClaimCallback fn;
   void *ud;
 } Asking;
 
@@ -63,11 +63,11 @@
   return (guint)(*(const uint64_t *)p);
 }
 
-gboolean claim_sameid(gconstpointer a, gconstpointer b) {
+gboolean claim_id_equal(gconstpointer a, gconstpointer b) {
   return memcmp(a, b, 2 * sizeof(uint64_t)) == 0;
 }
 
-void claim_id(const char *account, const char *key, uint64_t id[2]) {
+void claim_make_id(const char *account, const char *key, uint64_t id[2]) {
   XXH3_state_t *s = XXH3_createState();
   XXH128_hash_t h;
   XXH3_128bits_reset(s);
@@ -80,7 +80,7 @@
   id[1] = h.high64;
 }
 
-unsigned claim_shardof(const uint64_t id[2]) {
+unsigned claim_shard_of(const uint64_t id[2]) {
   return (unsigned)(id[1] % MP_CLAIM_SHARDS);
 }
 
@@ -92,7 +92,7 @@
   for (i = 0; state->config != NULL && i < state->config->data_centres_count;
        i++) {
     const char *name = state->config->data_centres[i].name;
-    uint64_t w = member_weight(state_hash(name), id[0]);
+    uint64_t w = member_hash_weight(state_name_hash(name), id[0]);
     if (win == NULL || w > top) {
       win = name;
       top = w;
@@ -105,7 +105,8 @@
   const char *dc = homedc(state, id);
   if (dc == NULL)
     return 0;
-  return member_home(state, state_hash(dc), SHARD_KEY + claim_shardof(id));
+  return member_home(state, state_name_hash(dc),
+                     SHARD_KEY + claim_shard_of(id));
 }
 
 /*
@@ -117,11 +118,11 @@
   if (state->now - state->settled >= MP_HOME_SETTLE)
     return 1;
   return state->changes == 1 &&
-         member_homebefore(state, SHARD_KEY + claim_shardof(id)) ==
+         member_previous_home(state, SHARD_KEY + claim_shard_of(id)) ==
              state->self;
 }
 
-ClaimRow *claim_addrow(mp_State *state, const mp_Claim *c, mp_Ran ran) {
+ClaimRow *claim_add_row(mp_State *state, const mp_Claim *c, mp_Ran ran) {
   ClaimRow *r = g_new0(ClaimRow, 1);
   memcpy(r->id, c->id, sizeof r->id);
   r->token = c->token;
@@ -132,7 +133,7 @@
   return r;
 }
 
-ClaimRow *claim_getrow(const mp_State *state, const uint64_t id[2]) {
+ClaimRow *claim_find_row(const mp_State *state, const uint64_t id[2]) {
   return g_hash_table_lookup(state->claims->rows, id);
 }
 
@@ -150,7 +151,7 @@
   a.u.claim = call->u.claim;
   a.u.claim.verdict = (uint8_t)v;
   a.u.claim.ran = (uint8_t)ran;
-  effect_answer(state, from, call, &a);
+  effect_rpc_reply(state, from, call, &a);
 }
 
 /* }================================================================== */
@@ -163,14 +164,14 @@
 
 /* a holder tells what it has; the first one to have it keeps it */
 static void announced(mp_State *state, const mp_Claim *c) {
-  ClaimRow *r = claim_getrow(state, c->id);
+  ClaimRow *r = claim_find_row(state, c->id);
   if (r == NULL)
-    claim_addrow(state, c, (mp_Ran)c->ran);
-  else if (state_sametoken(&r->token, &c->token))
+    claim_add_row(state, c, (mp_Ran)c->ran);
+  else if (state_token_equal(&r->token, &c->token))
     r->ran = (mp_Ran)c->ran;
 }
 
-void claim_onclaim(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void claim_on_claim(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Claim *c = &m->u.claim;
   const char *dc = homedc(state, c->id);
   const ClaimRow *r;
@@ -183,13 +184,13 @@
     claim_answer(state, from, m, MP_WRONG_HOME, MP_RAN_NO);
     return;
   }
-  r = claim_getrow(state, c->id);
-  if (r != NULL && state_sametoken(&r->token, &c->token) &&
+  r = claim_find_row(state, c->id);
+  if (r != NULL && state_token_equal(&r->token, &c->token) &&
       r->durable >= c->durable) {
     claim_answer(state, from, m, MP_GRANTED, MP_RAN_NO); /* sent again */
     return;
   }
-  if (r != NULL && !state_sametoken(&r->token, &c->token)) {
+  if (r != NULL && !state_token_equal(&r->token, &c->token)) {
     claim_answer(state, from, m, MP_DENIED, r->ran);
     return;
   }
@@ -201,25 +202,25 @@
     shard_claim(state, from, m, dc);
     return;
   }
-  claim_addrow(state, c, MP_RAN_UNKNOWN);
+  claim_add_row(state, c, MP_RAN_UNKNOWN);
   claim_answer(state, from, m, MP_GRANTED, MP_RAN_NO);
 }
 
-void claim_onsettle(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void claim_on_settle(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Settle *t = &m->u.settle;
-  ClaimRow *r = claim_getrow(state, t->id);
+  ClaimRow *r = claim_find_row(state, t->id);
   mp_Msg a = {0};
-  if (r != NULL && state_sametoken(&r->token, &t->token)) {
+  if (r != NULL && state_token_equal(&r->token, &t->token)) {
     if (t->ran != MP_RAN_NO)
       r->ran = (mp_Ran)t->ran;
     else {
       /* free at once here; the object follows with its next write */
-      shard_freed(state, r);
+      shard_mark_freed(state, r);
       g_hash_table_remove(state->claims->rows, t->id);
     }
   }
   a.u.settle = *t;
-  effect_answer(state, from, m, &a);
+  effect_rpc_reply(state, from, m, &a);
 }
 
 /* }================================================================== */
@@ -235,7 +236,7 @@
 static void freeasking(void *p) {
   Asking *a = p;
   if (a->rpc != 0)
-    effect_rpcdrop(a->state, a->rpc);
+    effect_rpc_cancel(a->state, a->rpc);
   timer_stop(&a->state->timers, &a->timer);
   g_free(a);
 }
@@ -243,7 +244,7 @@
 /* 'home' is who granted: when another one is home by now, it is told */
 static void conclude(mp_State *state, Asking *a, mp_Verdict v, mp_Ran ran,
                      mp_Addr home) {
-  ClaimFn fn = a->fn;
+  ClaimCallback fn = a->fn;
   void *ud = a->ud;
   if (v == MP_GRANTED) {
     Mine *mine = g_new0(Mine, 1);
@@ -253,12 +254,12 @@
     mine->home = home;
     g_hash_table_replace(state->claims->mine, mine->claim.id, mine);
     if (homeof(state, a->claim.id) != home)
-      claim_homesmoved(state);
+      claim_on_homes_changed(state);
   } else if (v == MP_UNAVAILABLE)
     /* it may have been granted all the same: give it back */
     claim_settle(state, a->claim.id, &a->claim.token, MP_RAN_NO,
                  a->claim.durable);
-  state_del(state->claims->asking, a->no);
+  state_table_remove(state->claims->asking, a->no);
   fn(state, ud, v, ran);
 }
 
@@ -267,7 +268,7 @@
   mp_Verdict v = m != NULL ? (mp_Verdict)m->u.claim.verdict : MP_UNAVAILABLE;
   a->rpc = 0;
   if (m == NULL)
-    member_silent(state, from);
+    member_mark_unresponsive(state, from);
   if (v == MP_GRANTED || v == MP_DENIED ||
       (v == MP_UNAVAILABLE && m != NULL)) {
     conclude(state, a, v, (mp_Ran)m->u.claim.ran, from);
@@ -293,16 +294,17 @@
   }
   m.kind = MP_MSG_CLAIM;
   m.u.claim = a->claim;
-  a->rpc = effect_rpc(
+  a->rpc = effect_rpc_call(
       state, home, &m,
       a->claim.durable ? a->until - state->now : 8 * MP_RPC_WAIT, verdict, a);
 }
 
-uint64_t claim_claim(mp_State *state, const uint64_t id[2], const mp_Token *t,
-                     mp_Time ttl, int durably, ClaimFn fn, void *ud) {
+uint64_t claim_request(mp_State *state, const uint64_t id[2],
+                       const mp_Token *t, mp_Time ttl, int durably,
+                       ClaimCallback fn, void *ud) {
   Asking *a = g_new0(Asking, 1);
   a->state = state;
-  a->no = ++state->lastnum;
+  a->no = ++state->last_call_number;
   memcpy(a->claim.id, id, sizeof a->claim.id);
   a->claim.token = *t;
   a->claim.ttl_ms = (uint32_t)(ttl / MP_MS);
@@ -310,13 +312,13 @@
   a->until = state->now + MP_STORE_TIMEOUT + MP_HOME_SETTLE;
   a->fn = fn;
   a->ud = ud;
-  state_set(state->claims->asking, a->no, a);
+  state_table_set(state->claims->asking, a->no, a);
   askhome(state, a);
   return a->no;
 }
 
-void claim_forget(mp_State *state, uint64_t asking) {
-  state_del(state->claims->asking, asking);
+void claim_cancel_request(mp_State *state, uint64_t asking) {
+  state_table_remove(state->claims->asking, asking);
 }
 
 static void settledone(mp_State *state, void *ud, mp_Addr from,
@@ -332,7 +334,7 @@
   mp_Addr home = homeof(state, id);
   Mine *mine = g_hash_table_lookup(state->claims->mine, id);
   mp_Msg m = {0};
-  if (mine != NULL && state_sametoken(&mine->claim.token, t)) {
+  if (mine != NULL && state_token_equal(&mine->claim.token, t)) {
     mine->ran = ran;
     if (ran == MP_RAN_NO)
       g_hash_table_remove(state->claims->mine, id);
@@ -344,7 +346,7 @@
   m.u.settle.token = *t;
   m.u.settle.ran = (uint8_t)ran;
   m.u.settle.durable = (uint8_t)(durably != 0);
-  effect_rpc(state, home, &m, MP_SEC, settledone, NULL);
+  effect_rpc_call(state, home, &m, MP_SEC, settledone, NULL);
 }
 
 static void announceto(mp_State *state, mp_Addr home, const mp_Claim *c,
@@ -354,7 +356,7 @@
   m.u.claim = *c;
   m.u.claim.announce = 1;
   m.u.claim.ran = (uint8_t)ran;
-  effect_rpc(state, home, &m, MP_SEC, settledone, NULL);
+  effect_rpc_call(state, home, &m, MP_SEC, settledone, NULL);
 }
 
 /* }================================================================== */
@@ -393,20 +395,20 @@
     const ClaimRow *r = v;
     if (state->now - r->seen <= (mp_Time)r->ttl_ms * MP_MS)
       continue;
-    shard_freed(state, r);
+    shard_mark_freed(state, r);
     g_hash_table_iter_remove(&it);
   }
-  shard_tidy(state);
+  shard_write_freed(state);
   timer_arm(&state->timers, &state->claims->tidy,
             state->now + MP_HOME_SETTLE / 3, tidy, NULL);
 }
 
-void claim_homesmoved(mp_State *state) {
+void claim_on_homes_changed(mp_State *state) {
   if (state->claims != NULL) /* not while the state is being made */
     timer_arm(&state->timers, &state->claims->tidy, state->now, tidy, NULL);
 }
 
-unsigned claim_handover(mp_State *state) {
+unsigned claim_hand_over(mp_State *state) {
   GHashTableIter it;
   gpointer v;
   unsigned left = 0;
@@ -440,9 +442,9 @@
 void claim_init(mp_State *state) {
   Claims *C = g_new0(Claims, 1);
   state->claims = C;
-  C->rows = g_hash_table_new_full(idhash, claim_sameid, NULL, g_free);
-  C->mine = g_hash_table_new_full(idhash, claim_sameid, NULL, g_free);
-  C->asking = state_table(freeasking);
+  C->rows = g_hash_table_new_full(idhash, claim_id_equal, NULL, g_free);
+  C->mine = g_hash_table_new_full(idhash, claim_id_equal, NULL, g_free);
+  C->asking = state_table_new(freeasking);
   shard_init(state);
   timer_arm(&state->timers, &C->tidy, state->now + MP_HOME_SETTLE / 3, tidy,
             NULL);
--- a/core/doc.c
+++ b/core/doc.c
@@ -48,7 +48,7 @@
 static void lookat(mp_State *state, void *ud);
 
 static int relay(const mp_State *state) {
-  return member_among(state, RELAY_KEY, MP_RELAYS);
+  return member_is_among_first(state, RELAY_KEY, MP_RELAYS);
 }
 
 static void again(mp_State *state, mp_DocKind k, mp_Time wait) {
@@ -60,7 +60,7 @@
 static void clear(mp_State *state, Coming *c) {
   c->active = 0;
   if (c->rpc != 0)
-    effect_rpcdrop(state, c->rpc);
+    effect_rpc_cancel(state, c->rpc);
   c->rpc = 0;
   if (c->buf != NULL)
     g_string_free(c->buf, TRUE);
@@ -101,7 +101,7 @@
   /* an empty probe: the answer is not waited for */
   m.u.probe.start = state->start;
   m.u.probe.incarnation = state->incarnation;
-  m.u.probe.dc = state->dchash;
+  m.u.probe.dc = state->dc_hash;
   m.u.probe.state = state->draining ? MP_MEMBER_LEAVING : MP_MEMBER_ALIVE;
   for (i = 0; i < MP_DOC_COUNT; i++)
     m.u.probe.doc[i] = state->doc[i].version;
@@ -199,7 +199,7 @@
   inforce(state, MP_DOC_LIST, l->version, c->text);
   effect_log(state, MP_LOG_LIST_NEW, " version=%" G_GUINT64_FORMAT " rows=%u",
              (guint64)l->version, l->n);
-  member_list(state);
+  member_apply_list(state);
   fleet_refresh(state);
   tellothers(state);
 }
@@ -278,10 +278,10 @@
   m.u.fetch.version = c->version;
   memcpy(m.u.fetch.digest, c->digest, sizeof c->digest);
   m.u.fetch.offset = (uint32_t)c->buf->len;
-  c->rpc = effect_rpc(state, c->from, &m, 4 * MP_PROBE_TIMEOUT, part, c);
+  c->rpc = effect_rpc_call(state, c->from, &m, 4 * MP_PROBE_TIMEOUT, part, c);
 }
 
-void document_fetch(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void document_on_fetch(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Fetch *q = &m->u.fetch;
   GBytes *b = NULL;
   mp_Msg a = {0};
@@ -301,7 +301,7 @@
       memcpy(f->data, s + q->offset, f->n);
     }
   }
-  effect_answer(state, from, m, &a);
+  effect_rpc_reply(state, from, m, &a);
 }
 
 /* }================================================================== */
@@ -343,8 +343,8 @@
     return;
   }
   snprintf(key, sizeof key, "%s%s", DOC_KEY_SECTION, c->digest);
-  effect_store(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
-               sectionread, c);
+  effect_store_call(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
+                    sectionread, c);
 }
 
 static void begin(mp_State *state, Coming *c, mp_Addr from, uint64_t version) {
@@ -358,8 +358,8 @@
   c->buf = g_string_new(NULL);
 }
 
-void document_offered(mp_State *state, mp_Addr from,
-                      const uint64_t *versions) {
+void document_on_offer(mp_State *state, mp_Addr from,
+                       const uint64_t *versions) {
   int k;
   for (k = 0; k < MP_DOC_COUNT; k++) {
     Coming *c = &state->docs->coming[k];
@@ -396,17 +396,17 @@
 
 static void lookat(mp_State *state, void *ud) {
   mp_DocKind k = (mp_DocKind)GPOINTER_TO_INT(ud);
-  StoreFn fn = k == MP_DOC_CONFIG ? configread : listread;
+  StoreCallback fn = k == MP_DOC_CONFIG ? configread : listread;
   uint64_t seen = state->docs->seen[k];
   if (state->docs->asking[k])
     return;
   state->docs->asking[k] = 1;
   if (seen != 0 && relay(state))
-    effect_store(state, MP_ST_WATCH, dockey[k], seen, NULL, 0,
-                 MP_WATCH_TIME + MP_STORE_TIMEOUT, fn, NULL);
+    effect_store_call(state, MP_ST_WATCH, dockey[k], seen, NULL, 0,
+                      MP_WATCH_TIME + MP_STORE_TIMEOUT, fn, NULL);
   else
-    effect_store(state, MP_ST_GET, dockey[k], 0, NULL, 0, MP_STORE_TIMEOUT, fn,
-                 NULL);
+    effect_store_call(state, MP_ST_GET, dockey[k], 0, NULL, 0,
+                      MP_STORE_TIMEOUT, fn, NULL);
 }
 
 /* }================================================================== */
--- a/core/doc.h
+++ b/core/doc.h
@@ -19,9 +19,10 @@
 void document_free(mp_State *state);
 
 /* instance 'from' has these versions */
-void document_offered(mp_State *state, mp_Addr from, const uint64_t *versions);
+void document_on_offer(mp_State *state, mp_Addr from,
+                       const uint64_t *versions);
 
 /* handle FETCH: hand out a part of a document */
-void document_fetch(mp_State *state, mp_Addr from, const mp_Msg *m);
+void document_on_fetch(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 #endif
--- a/core/ending.c
+++ b/core/ending.c
@@ -30,22 +30,22 @@
 
 /* forget the KV result; the engine is told by the attempt's cancel */
 static void dropkv(mp_State *state, Request *r) {
-  if (r->kv != NULL && !r->kv_used)
+  if (r->kv != NULL && !r->is_kv_used)
     waste(state, r->kv_tokens);
   g_free(r->kv);
   r->kv = NULL;
-  r->kv_at = 0;
+  r->kv_source = 0;
 }
 
 /* end an attempt: close its call, free what it holds, give it back */
-void flow_endattempt(mp_State *state, Request *r, Attempt *a) {
+void flow_end_attempt(mp_State *state, Request *r, Attempt *a) {
   if (a->xcall != 0)
-    effect_xabort(state, a->xcall);
+    effect_endpoint_abort(state, a->xcall);
   a->xcall = 0;
   if (a->sent && a->role != MP_ROLE_PLAIN)
-    cancel_cancel(state, a->endpoint, &r->token, a->no);
+    cancel_start(state, a->endpoint, &r->token, a->no);
   if (a == &r->prefill) {
-    if (a->sent && r->kv == NULL && r->step == ST_PREFILL)
+    if (a->sent && r->kv == NULL && r->step == FLOW_STEP_PREFILL)
       waste(state, a->tokens);
     dropkv(state, r);
   }
@@ -56,16 +56,16 @@
 static void forget(mp_State *state, Request *r) {
   timer_stop(&state->timers, &r->timer);
   timer_stop(&state->timers, &r->limit);
-  holder_forget(state, r);
-  link_done(state, r);
-  quota_forget(state, r);
+  holder_cancel_call(state, r);
+  link_release(state, r);
+  quota_cancel_wait(state, r);
   if (r->asking != 0)
-    claim_forget(state, r->asking);
-  flow_endattempt(state, r, &r->prefill);
-  flow_endattempt(state, r, &r->decode);
+    claim_cancel_request(state, r->asking);
+  flow_end_attempt(state, r, &r->prefill);
+  flow_end_attempt(state, r, &r->decode);
   g_string_free(r->text, TRUE);
-  state_del(state->requestby, r->call);
-  state_del(state->requestseq, r->token.seq);
+  state_table_remove(state->request_by_call, r->call);
+  state_table_remove(state->request_by_seq, r->token.seq);
   g_ptr_array_remove_fast(state->requests, r); /* frees the row */
 }
 
@@ -94,18 +94,18 @@
   mp_token_text(&r->token, 0, p.id);
   settle(state, r, r->ran);
   if (r->ran == MP_RAN_NO || e == MP_ERR_DUPLICATE) {
-    mpcount(state, REFUSED);
+    state_count(state, REFUSED);
     logend(state, r, MP_LOG_REFUSE, mp_error_name(e));
   } else {
-    mpcount(state, FAILED);
+    state_count(state, FAILED);
     logend(state, r, MP_LOG_BROKE, mp_error_name(e));
   }
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
   forget(state, r);
 }
 
 void flow_hangup(mp_State *state, Request *r) {
-  mpcount(state, HANGUPS);
+  state_count(state, HANGUPS);
   logend(state, r, MP_LOG_GONE, "caller_gone");
   settle(state, r, r->ran);
   forget(state, r);
@@ -116,21 +116,21 @@
   p.call = r->call;
   p.what = MP_REPLY_END;
   p.tokens = r->got;
-  p.prefill = r->prefill_at;
+  p.prefill = r->prefill_engine;
   p.decode = r->decode.endpoint;
   p.ran = MP_RAN_YES;
   mp_token_text(&r->token, 0, p.id);
   r->ran = MP_RAN_YES;
   settle(state, r, MP_RAN_YES);
-  mpcount(state, ANSWERED);
+  state_count(state, ANSWERED);
   logend(state, r, MP_LOG_ANSWERED, "ok");
-  effect_reply(state, &p);
+  effect_caller_reply(state, &p);
   r->decode.sent = 0; /* it ended by itself: nothing to cancel */
   forget(state, r);
 }
 
 /* no way on: say what is known, and when to come back */
-void flow_giveup(mp_State *state, Request *r) {
+void flow_give_up(mp_State *state, Request *r) {
   if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
                 mp_error_retry(MP_ERR_PLACE_AWAY));
@@ -141,7 +141,7 @@
     flow_refuse(state, r, MP_ERR_LOST, 0);
 }
 
-void flow_late(mp_State *state, void *ud) {
+void flow_on_deadline(mp_State *state, void *ud) {
   flow_refuse(state, ud, MP_ERR_DEADLINE, mp_error_retry(MP_ERR_DEADLINE));
 }
 
@@ -153,18 +153,18 @@
 ** ===================================================================
 */
 
-void flow_avoid(Request *r, mp_Addr a) {
-  if (r->navoid < MP_MAXTRIES)
-    r->avoid[r->navoid++] = a;
+void flow_avoid_endpoint(Request *r, mp_Addr a) {
+  if (r->avoid_count < MP_MAXTRIES)
+    r->avoid[r->avoid_count++] = a;
 }
 
 static void goon(mp_State *state, void *ud) {
   Request *r = ud;
-  flow_enter(state, r, r->next);
+  flow_enter_step(state, r, r->next);
 }
 
-void flow_later(mp_State *state, Request *r, Step s, mp_Time wait) {
-  r->step = ST_WAIT;
+void flow_enter_step_after(mp_State *state, Request *r, Step s, mp_Time wait) {
+  r->step = FLOW_STEP_RETRY_WAIT;
   r->next = s;
   timer_arm(&state->timers, &r->timer, state->now + wait, goon, r);
 }
@@ -173,34 +173,34 @@
 ** Go back to 's' after a failure. 'clean' says that the failed work was
 ** certainly not run, so even a class that may not be repeated goes on.
 */
-void flow_again(mp_State *state, Request *r, Step s, int clean) {
+void flow_retry_step(mp_State *state, Request *r, Step s, int clean) {
   mp_Time wait;
   r->tries++;
-  wait = retry_wait(state, r->tries);
+  wait = retry_backoff(state, r->tries);
   if ((!clean && !r->repeatable) || r->tries >= MP_MAXTRIES ||
-      state->now + wait >= r->deadline || !retry_spend(state)) {
-    flow_giveup(state, r);
+      state->now + wait >= r->deadline || !retry_budget_try_withdraw(state)) {
+    flow_give_up(state, r);
     return;
   }
   effect_log(state, MP_LOG_RETRY, " seq=%08x step=%d try=%u", r->token.seq,
              (int)s, r->tries);
-  flow_later(state, r, s, wait);
+  flow_enter_step_after(state, r, s, wait);
 }
 
 /*
 ** Where to begin again, given what is still there. A prefill whose result
 ** cannot be used any more is ended first: there is one at a time.
 */
-Step flow_restart(mp_State *state, Request *r) {
+Step flow_restart_step(mp_State *state, Request *r) {
   if (r->plain)
-    return ST_PLAIN;
+    return FLOW_STEP_PLAIN;
   if (r->kv != NULL && flow_policy(state)->keep_prefill &&
-      state->now < r->kv_until)
-    return r->decode.granted ? ST_TRANSFER : ST_DECODE_SLOT;
-  flow_endattempt(state, r, &r->prefill);
+      state->now < r->kv_expires_at)
+    return r->decode.granted ? FLOW_STEP_TRANSFER : FLOW_STEP_RESERVE_DECODE;
+  flow_end_attempt(state, r, &r->prefill);
   if (!flow_policy(state)->decode_first || r->decode.granted)
-    return ST_PREFILL_SLOT;
-  return ST_DECODE_SLOT;
+    return FLOW_STEP_RESERVE_PREFILL;
+  return FLOW_STEP_RESERVE_DECODE;
 }
 
 /* }================================================================== */
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -16,10 +16,10 @@
 #include "place.h"
 
 Endpoint *fleet_get(const mp_State *state, mp_Addr a) {
-  return state_get(state->endpointby, a);
+  return state_table_get(state->endpoint_by_addr, a);
 }
 
-int fleet_open(const mp_State *state, const Endpoint *e) {
+int fleet_is_open(const mp_State *state, const Endpoint *e) {
   return !e->leaving && !e->drained && !e->down && e->ejected <= state->now;
 }
 
@@ -31,9 +31,9 @@
   g_strlcpy(e->name, in->name, sizeof e->name);
   g_strlcpy(e->dc, in->dc, sizeof e->dc);
   g_strlcpy(e->service, in->service, sizeof e->service);
-  e->dchash = state_hash(in->dc);
+  e->dc_hash = state_name_hash(in->dc);
   g_ptr_array_add(state->endpoints, e);
-  state_set(state->endpointby, e->addr, e);
+  state_table_set(state->endpoint_by_addr, e->addr, e);
   return e;
 }
 
@@ -67,7 +67,7 @@
       i++;
       continue;
     }
-    state_del(state->endpointby, e->addr);
+    state_table_remove(state->endpoint_by_addr, e->addr);
     g_ptr_array_remove_index(state->endpoints, i); /* frees the row */
   }
 }
@@ -86,13 +86,13 @@
       e = add(state, in);
     if (in->leaving)
       leaving(state, e);
-    e->drained = place_drained(state->config, e->name) ||
-                 place_drained(state->config, e->dc);
+    e->drained = place_is_drained(state->config, e->name) ||
+                 place_is_drained(state->config, e->dc);
   }
   dropgone(state);
 }
 
-void fleet_good(mp_State *state, mp_Addr a) {
+void fleet_call_succeeded(mp_State *state, mp_Addr a) {
   Endpoint *e = fleet_get(state, a);
   if (e == NULL)
     return;
@@ -110,13 +110,13 @@
     if (o->role != e->role || strcmp(o->service, e->service) != 0)
       continue;
     all++;
-    if (o != e && fleet_open(state, o))
+    if (o != e && fleet_is_open(state, o))
       open++;
   }
   return open > 0 && open * 100 >= all * MP_EJECT_FLOOR;
 }
 
-void fleet_bad(mp_State *state, mp_Addr a) {
+void fleet_call_failed(mp_State *state, mp_Addr a) {
   Endpoint *e = fleet_get(state, a);
   mp_Time t;
   if (e == NULL)
@@ -129,7 +129,7 @@
   t = MP_EJECT_TIME << MIN(e->ejections, 4);
   e->ejected = state->now + MIN(t, MP_EJECT_MAX);
   e->ejections++;
-  mpcount(state, EJECTIONS);
+  state_count(state, EJECTIONS);
   effect_log(state, MP_LOG_EJECT, " endpoint=%s seconds=%d", e->name,
              (int)((e->ejected - state->now) / MP_SEC));
 }
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -15,10 +15,10 @@
 Endpoint *fleet_get(const mp_State *state, mp_Addr a);
 
 /* may new work go there, as far as this instance knows? */
-int fleet_open(const mp_State *state, const Endpoint *e);
+int fleet_is_open(const mp_State *state, const Endpoint *e);
 
 /* report how a call to the endpoint went; decides about ejection */
-void fleet_good(mp_State *state, mp_Addr a);
-void fleet_bad(mp_State *state, mp_Addr a);
+void fleet_call_succeeded(mp_State *state, mp_Addr a);
+void fleet_call_failed(mp_State *state, mp_Addr a);
 
 #endif
--- a/core/flow.c
+++ b/core/flow.c
@@ -23,8 +23,9 @@
 
 static Step first(const mp_State *state, const Request *r) {
   if (r->plain)
-    return ST_PLAIN;
-  return flow_policy(state)->decode_first ? ST_DECODE_SLOT : ST_PREFILL_SLOT;
+    return FLOW_STEP_PLAIN;
+  return flow_policy(state)->decode_first ? FLOW_STEP_RESERVE_DECODE
+                                          : FLOW_STEP_RESERVE_PREFILL;
 }
 
 static void claimed(mp_State *state, void *ud, mp_Verdict v, mp_Ran ran) {
@@ -32,7 +33,7 @@
   r->asking = 0;
   if (v == MP_GRANTED) {
     r->claimed = 1;
-    flow_enter(state, r, first(state, r));
+    flow_enter_step(state, r, first(state, r));
     return;
   }
   if (v == MP_UNAVAILABLE) {
@@ -48,43 +49,43 @@
   mp_Time ttl = r->deadline - state->now + MP_CLAIM_GRACE;
   r->durable = !r->repeatable;
   r->asking =
-      claim_claim(state, r->id, &r->token, ttl, r->durable, claimed, r);
+      claim_request(state, r->id, &r->token, ttl, r->durable, claimed, r);
 }
 
-void flow_enter(mp_State *state, Request *r, Step s) {
+void flow_enter_step(mp_State *state, Request *r, Step s) {
   r->step = s;
   effect_log(state, MP_LOG_STEP, " seq=%08x step=%d", r->token.seq, (int)s);
   switch (s) {
-  case ST_CLAIM:
+  case FLOW_STEP_CLAIM:
     claim(state, r);
     break;
-  case ST_DECODE_SLOT:
-    flow_decodeslot(state, r);
+  case FLOW_STEP_RESERVE_DECODE:
+    flow_reserve_decode(state, r);
     break;
-  case ST_PREFILL_SLOT:
-    flow_prefillslot(state, r);
+  case FLOW_STEP_RESERVE_PREFILL:
+    flow_reserve_prefill(state, r);
     break;
-  case ST_PREFILL:
-    flow_prefill(state, r);
+  case FLOW_STEP_PREFILL:
+    flow_start_prefill(state, r);
     break;
-  case ST_TRANSFER:
-    flow_transfer(state, r);
+  case FLOW_STEP_TRANSFER:
+    flow_start_transfer(state, r);
     break;
-  case ST_DECODE:
+  case FLOW_STEP_DECODE:
     r->resumed = 0;
-    flow_decode(state, r, MP_X_DECODE);
+    flow_start_decode(state, r, MP_X_DECODE);
     break;
-  case ST_PLAIN:
-    flow_plain(state, r);
+  case FLOW_STEP_PLAIN:
+    flow_start_plain(state, r);
     break;
-  case ST_WAIT:
+  case FLOW_STEP_RETRY_WAIT:
     g_assert_not_reached();
   }
 }
 
 void flow_begin(mp_State *state, Request *r) {
-  timer_arm(&state->timers, &r->limit, r->deadline, flow_late, r);
-  flow_enter(state, r, r->keyed ? ST_CLAIM : first(state, r));
+  timer_arm(&state->timers, &r->limit, r->deadline, flow_on_deadline, r);
+  flow_enter_step(state, r, r->keyed ? FLOW_STEP_CLAIM : first(state, r));
 }
 
 /* }================================================================== */
--- a/core/flow.h
+++ b/core/flow.h
@@ -13,8 +13,8 @@
 void flow_begin(mp_State *state, Request *r);
 
 /* a keeper's word about an attempt; from holder.c */
-void flow_reserved(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
-                   uint32_t wait_ms);
+void flow_on_reservation(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
+                         uint32_t wait_ms);
 
 /* the caller is gone */
 void flow_hangup(mp_State *state, Request *r);
--- a/core/fx.c
+++ b/core/fx.c
@@ -16,12 +16,12 @@
   mp_Time wait;
   mp_Time until;
   Timer timer;
-  RpcFn fn;
+  RpcCallback fn;
   void *ud;
 } Rpc;
 
 typedef struct Xopen {
-  XcallFn fn;
+  EndpointCallback fn;
   void *ud;
 } Xopen;
 
@@ -30,7 +30,7 @@
   uint64_t op;
   int write;
   Timer timer;
-  StoreFn fn;
+  StoreCallback fn;
   void *ud;
 } Stopen;
 
@@ -40,14 +40,14 @@
 ** ===================================================================
 */
 
-static Fx *push(mp_State *state, mp_EffectKind kind) {
-  Fx *f = g_new0(Fx, 1);
+static QueuedEffect *push(mp_State *state, mp_EffectKind kind) {
+  QueuedEffect *f = g_new0(QueuedEffect, 1);
   f->e.kind = kind;
   g_queue_push_tail(&state->fx, f);
   return f;
 }
 
-static void freefx(Fx *f) {
+static void freefx(QueuedEffect *f) {
   if (f == NULL)
     return;
   g_free(f->own[0]);
@@ -56,7 +56,7 @@
 }
 
 /* a copy of 'n' bytes with a zero behind them, owned by the effect */
-static const char *keep(Fx *f, int i, const char *s, size_t n) {
+static const char *keep(QueuedEffect *f, int i, const char *s, size_t n) {
   char *d;
   if (s == NULL)
     return NULL;
@@ -67,7 +67,7 @@
   return d;
 }
 
-static const char *keepz(Fx *f, int i, const char *s) {
+static const char *keepz(QueuedEffect *f, int i, const char *s) {
   return keep(f, i, s, s == NULL ? 0 : strlen(s));
 }
 
@@ -94,14 +94,14 @@
     return;
   }
   {
-    Fx *f = push(state, MP_FX_SEND);
+    QueuedEffect *f = push(state, MP_FX_SEND);
     f->e.u.send.to = to;
     f->e.u.send.msg = *m;
-    mpcount(state, MSG_OUT);
+    state_count(state, MSG_OUT);
   }
 }
 
-int effect_looped(mp_State *state, mp_Msg *m) {
+int effect_take_loopback(mp_State *state, mp_Msg *m) {
   mp_Msg *first = g_queue_pop_head(&state->loop);
   if (first == NULL)
     return 0;
@@ -110,8 +110,8 @@
   return 1;
 }
 
-void effect_answer(mp_State *state, mp_Addr to, const mp_Msg *call,
-                   mp_Msg *m) {
+void effect_rpc_reply(mp_State *state, mp_Addr to, const mp_Msg *call,
+                      mp_Msg *m) {
   m->kind = call->kind;
   m->seq = call->seq;
   m->reply = 1;
@@ -121,10 +121,10 @@
 static void rpcagain(mp_State *state, void *ud) {
   Rpc *c = ud;
   if (state->now >= c->until) {
-    RpcFn fn = c->fn;
+    RpcCallback fn = c->fn;
     void *fud = c->ud;
     mp_Addr to = c->to;
-    effect_rpcdrop(state, c->seq);
+    effect_rpc_cancel(state, c->seq);
     fn(state, fud, to, NULL);
     return;
   }
@@ -134,13 +134,13 @@
             rpcagain, c);
 }
 
-uint32_t effect_rpc(mp_State *state, mp_Addr to, const mp_Msg *m,
-                    mp_Time patience, RpcFn fn, void *ud) {
+uint32_t effect_rpc_call(mp_State *state, mp_Addr to, const mp_Msg *m,
+                         mp_Time patience, RpcCallback fn, void *ud) {
   Rpc *c = g_new0(Rpc, 1);
   c->state = state;
-  if (++state->lastseq == 0) /* 0 means "no call" */
-    state->lastseq = 1;
-  c->seq = state->lastseq;
+  if (++state->last_rpc_seq == 0) /* 0 means "no call" */
+    state->last_rpc_seq = 1;
+  c->seq = state->last_rpc_seq;
   c->to = to;
   c->msg = *m;
   c->msg.seq = c->seq;
@@ -149,19 +149,19 @@
   c->until = state->now + patience;
   c->fn = fn;
   c->ud = ud;
-  state_set(state->rpcs, c->seq, c);
+  state_table_set(state->rpcs, c->seq, c);
   effect_send(state, to, &c->msg);
   timer_arm(&state->timers, &c->timer, MIN(state->now + c->wait, c->until),
             rpcagain, c);
   return c->seq;
 }
 
-void effect_rpcdrop(mp_State *state, uint32_t seq) {
-  state_del(state->rpcs, seq);
+void effect_rpc_cancel(mp_State *state, uint32_t seq) {
+  state_table_remove(state->rpcs, seq);
 }
 
 mp_MsgKind mp_pending(const mp_State *state, uint32_t seq) {
-  const Rpc *c = state_get(state->rpcs, seq);
+  const Rpc *c = state_table_get(state->rpcs, seq);
   return c != NULL ? c->msg.kind : (mp_MsgKind)0;
 }
 
@@ -171,16 +171,16 @@
   g_free(c);
 }
 
-void effect_gotreply(mp_State *state, mp_Addr from, const mp_Msg *m) {
-  Rpc *c = state_get(state->rpcs, m->seq);
-  RpcFn fn;
+void effect_on_rpc_reply(mp_State *state, mp_Addr from, const mp_Msg *m) {
+  Rpc *c = state_table_get(state->rpcs, m->seq);
+  RpcCallback fn;
   void *ud;
   /* an answer counts only from the instance that was asked */
   if (c == NULL || c->to != from || c->msg.kind != m->kind)
     return;
   fn = c->fn;
   ud = c->ud;
-  effect_rpcdrop(state, m->seq);
+  effect_rpc_cancel(state, m->seq);
   fn(state, ud, from, m);
 }
 
@@ -192,36 +192,37 @@
 ** ===================================================================
 */
 
-uint64_t effect_xcall(mp_State *state, mp_Xcall *x, XcallFn fn, void *ud) {
+uint64_t effect_endpoint_call(mp_State *state, mp_Xcall *x,
+                              EndpointCallback fn, void *ud) {
   Xopen *o = g_new0(Xopen, 1);
-  Fx *f = push(state, MP_FX_XCALL);
-  x->xcall = ++state->lastnum;
+  QueuedEffect *f = push(state, MP_FX_XCALL);
+  x->xcall = ++state->last_call_number;
   o->fn = fn;
   o->ud = ud;
-  state_set(state->xcalls, x->xcall, o);
+  state_table_set(state->xcalls, x->xcall, o);
   f->e.u.xcall = *x;
   f->e.u.xcall.kv = keepz(f, 0, x->kv);
   f->e.u.xcall.partial = keepz(f, 1, x->partial);
   return x->xcall;
 }
 
-void effect_xabort(mp_State *state, uint64_t xcall) {
-  if (state_get(state->xcalls, xcall) == NULL)
+void effect_endpoint_abort(mp_State *state, uint64_t xcall) {
+  if (state_table_get(state->xcalls, xcall) == NULL)
     return;
-  state_del(state->xcalls, xcall);
+  state_table_remove(state->xcalls, xcall);
   push(state, MP_FX_XABORT)->e.u.xabort = xcall;
 }
 
-int effect_gotxcall(mp_State *state, const mp_EndpointEvent *e) {
-  Xopen *o = state_get(state->xcalls, e->xcall);
-  XcallFn fn;
+int effect_on_endpoint_event(mp_State *state, const mp_EndpointEvent *e) {
+  Xopen *o = state_table_get(state->xcalls, e->xcall);
+  EndpointCallback fn;
   void *ud;
   if (o == NULL)
     return 0;
   fn = o->fn;
   ud = o->ud;
   if (e->what == MP_EP_DONE || e->what == MP_EP_FAIL)
-    state_del(state->xcalls, e->xcall);
+    state_table_remove(state->xcalls, e->xcall);
   fn(state, ud, e);
   return 1;
 }
@@ -240,21 +241,21 @@
   e.op = o->op;
   /* a read has no effect; a write may still have had its own */
   e.status = o->write ? MP_STORE_UNKNOWN : MP_STORE_DOWN;
-  effect_gotstore(state, &e);
+  effect_on_store_event(state, &e);
 }
 
-uint64_t effect_store(mp_State *state, mp_StoreOp what, const char *key,
-                      uint64_t version, const char *value, size_t len,
-                      mp_Time patience, StoreFn fn, void *ud) {
+uint64_t effect_store_call(mp_State *state, mp_StoreOp what, const char *key,
+                           uint64_t version, const char *value, size_t len,
+                           mp_Time patience, StoreCallback fn, void *ud) {
   Stopen *o = g_new0(Stopen, 1);
-  Fx *f = push(state, MP_FX_STORE);
+  QueuedEffect *f = push(state, MP_FX_STORE);
   mp_StoreCall *s = &f->e.u.store;
   o->state = state;
-  o->op = ++state->lastnum;
+  o->op = ++state->last_call_number;
   o->write = what == MP_ST_PUT;
   o->fn = fn;
   o->ud = ud;
-  state_set(state->stores, o->op, o);
+  state_table_set(state->stores, o->op, o);
   timer_arm(&state->timers, &o->timer, state->now + patience, storelate, o);
   s->op = o->op;
   s->what = what;
@@ -262,9 +263,9 @@
   s->version = version;
   s->value = keep(f, 1, value, len);
   s->len = len;
-  mpcount(state, STORE_CALLS);
+  state_count(state, STORE_CALLS);
   if (o->write)
-    mpcount(state, STORE_WRITES);
+    state_count(state, STORE_WRITES);
   return o->op;
 }
 
@@ -274,18 +275,18 @@
   g_free(o);
 }
 
-int effect_gotstore(mp_State *state, const mp_StoreEvent *e) {
-  Stopen *o = state_get(state->stores, e->op);
-  StoreFn fn;
+int effect_on_store_event(mp_State *state, const mp_StoreEvent *e) {
+  Stopen *o = state_table_get(state->stores, e->op);
+  StoreCallback fn;
   void *ud;
   int down = e->status == MP_STORE_DOWN || e->status == MP_STORE_UNKNOWN;
   if (o == NULL)
     return 0;
   fn = o->fn;
   ud = o->ud;
-  state_del(state->stores, e->op);
-  if (down != state->storedown) {
-    state->storedown = down;
+  state_table_remove(state->stores, e->op);
+  if (down != state->is_store_down) {
+    state->is_store_down = down;
     effect_log(state, down ? MP_LOG_STORE_DOWN : MP_LOG_STORE_UP, "%s", "");
   }
   fn(state, ud, e);
@@ -300,14 +301,14 @@
 ** ===================================================================
 */
 
-void effect_reply(mp_State *state, const mp_Reply *r) {
-  Fx *f = push(state, MP_FX_REPLY);
+void effect_caller_reply(mp_State *state, const mp_Reply *r) {
+  QueuedEffect *f = push(state, MP_FX_REPLY);
   f->e.u.reply = *r;
   f->e.u.reply.text = keep(f, 0, r->text, r->len);
 }
 
 void effect_log(mp_State *state, mp_EventNo no, const char *fmt, ...) {
-  Fx *f = push(state, MP_FX_LOG);
+  QueuedEffect *f = push(state, MP_FX_LOG);
   mp_Log *l = &f->e.u.log;
   va_list ap;
   l->no = no;
@@ -328,13 +329,13 @@
 void effect_init(mp_State *state) {
   g_queue_init(&state->fx);
   g_queue_init(&state->loop);
-  state->rpcs = state_table(freerpc);
-  state->xcalls = state_table(g_free);
-  state->stores = state_table(freestore);
+  state->rpcs = state_table_new(freerpc);
+  state->xcalls = state_table_new(g_free);
+  state->stores = state_table_new(freestore);
 }
 
 void effect_free(mp_State *state) {
-  Fx *f;
+  QueuedEffect *f;
   g_hash_table_destroy(state->rpcs);
   g_hash_table_destroy(state->xcalls);
   g_hash_table_destroy(state->stores);
--- a/core/holder.c
+++ b/core/holder.c
@@ -16,26 +16,26 @@
   Attempt *a;
   Endpoint *e;
   const mp_Reserve *v = m != NULL ? &m->u.reserve : NULL;
-  a = r->step == ST_PREFILL_SLOT ? &r->prefill : &r->decode;
+  a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
   r->rpc = 0;
   e = fleet_get(state, a->endpoint);
   if (v == NULL)
-    member_silent(state, from);
+    member_mark_unresponsive(state, from);
   else if (e != NULL && v->verdict != MP_WRONG_HOME) {
     e->slots = v->slots > 0 ? v->slots : e->slots;
     e->used = v->used;
     if (v->verdict != MP_GRANTED)
       e->wait = v->wait_ms;
   }
-  flow_reserved(state, r, a,
-                v != NULL ? (mp_Verdict)v->verdict : MP_WRONG_HOME,
-                v != NULL ? v->wait_ms : 0);
+  flow_on_reservation(state, r, a,
+                      v != NULL ? (mp_Verdict)v->verdict : MP_WRONG_HOME,
+                      v != NULL ? v->wait_ms : 0);
 }
 
 void holder_reserve(mp_State *state, Request *r, Attempt *a, uint32_t slack_ms,
                     uint32_t start_ms) {
   Endpoint *e = fleet_get(state, a->endpoint);
-  mp_Addr keeper = e != NULL ? keeper_keeper(state, e) : 0;
+  mp_Addr keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
   const Member *k;
   mp_Msg m = {0};
   mp_Reserve *v = &m.u.reserve;
@@ -43,7 +43,7 @@
       k->avoid > state->now)
     keeper = 0; /* it did not answer just now */
   if (keeper == 0) {
-    flow_reserved(state, r, a, MP_WRONG_HOME, 0);
+    flow_on_reservation(state, r, a, MP_WRONG_HOME, 0);
     return;
   }
   m.kind = MP_MSG_RESERVE;
@@ -56,8 +56,8 @@
   v->start_ms = start_ms;
   v->weight = r->weight;
   e->mine++;
-  e->pledged += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
-  r->rpc = effect_rpc(state, keeper, &m, 4 * MP_RPC_WAIT, answered, r);
+  e->reserved_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
+  r->rpc = effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, answered, r);
 }
 
 void holder_release(mp_State *state, Request *r, Attempt *a, int kept) {
@@ -67,7 +67,7 @@
   if (a->no == 0)
     return;
   e = fleet_get(state, a->endpoint);
-  keeper = e != NULL ? keeper_keeper(state, e) : 0;
+  keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
   if (e != NULL && !kept && e->mine > 0)
     e->mine--;
   if (keeper != 0 && a->role != MP_ROLE_PLAIN) {
@@ -83,9 +83,9 @@
     a->no = 0;
 }
 
-void holder_forget(mp_State *state, Request *r) {
+void holder_cancel_call(mp_State *state, Request *r) {
   if (r->rpc != 0)
-    effect_rpcdrop(state, r->rpc);
+    effect_rpc_cancel(state, r->rpc);
   r->rpc = 0;
 }
 
@@ -97,22 +97,22 @@
   return NULL;
 }
 
-void holder_ongrant(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void holder_on_grant(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Reserve *v = &m->u.reserve;
   Request *r = NULL;
   Attempt *a = NULL;
   mp_Msg ans = {0};
   if (v->token.owner == state->self && v->token.start == state->start)
-    r = state_get(state->requestseq, v->token.seq);
+    r = state_table_get(state->request_by_seq, v->token.seq);
   if (r != NULL)
     a = attempt(r, v->attempt);
   ans.u.reserve = *v;
   ans.u.reserve.verdict = a != NULL ? MP_GRANTED : MP_DENIED;
-  effect_answer(state, from, m, &ans);
+  effect_rpc_reply(state, from, m, &ans);
   if (a == NULL || !a->waiting)
     return;
-  holder_forget(state, r); /* the answer to the call itself is late */
-  flow_reserved(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
+  holder_cancel_call(state, r); /* the answer to the call itself is late */
+  flow_on_reservation(state, r, a, (mp_Verdict)v->verdict, v->wait_ms);
 }
 
 /*
@@ -125,18 +125,18 @@
 static void renew(mp_State *state, GHashTable *batches, const Request *r,
                   const Attempt *a, mp_HoldState hold) {
   const Endpoint *e = a->no != 0 ? fleet_get(state, a->endpoint) : NULL;
-  mp_Addr keeper = e != NULL ? keeper_keeper(state, e) : 0;
+  mp_Addr keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
   mp_Msg *m;
   mp_Renewal *w;
   if (keeper == 0 || a->role == MP_ROLE_PLAIN)
     return;
-  m = state_get(batches, keeper);
+  m = state_table_get(batches, keeper);
   if (m == NULL) {
     m = g_new0(mp_Msg, 1);
     m->kind = MP_MSG_RENEW;
     m->u.renew.owner = state->self;
     m->u.renew.start = state->start;
-    state_set(batches, keeper, m);
+    state_table_set(batches, keeper, m);
   }
   w = &m->u.renew.row[m->u.renew.n++];
   w->seq = r->token.seq;
@@ -160,7 +160,7 @@
 }
 
 static void renewall(mp_State *state, void *ud) {
-  GHashTable *batches = state_table(g_free);
+  GHashTable *batches = state_table_new(g_free);
   GHashTableIter it;
   gpointer k;
   gpointer v;
@@ -177,13 +177,13 @@
       effect_send(state, (mp_Addr)(*(gint64 *)k), v);
   }
   g_hash_table_destroy(batches);
-  timer_arm(&state->timers, &state->renewtimer, state->now + MP_RENEW_PERIOD,
+  timer_arm(&state->timers, &state->renew_timer, state->now + MP_RENEW_PERIOD,
             renewall, NULL);
 }
 
 /* }================================================================== */
 
 void holder_init(mp_State *state) {
-  timer_arm(&state->timers, &state->renewtimer, state->now + MP_RENEW_PERIOD,
+  timer_arm(&state->timers, &state->renew_timer, state->now + MP_RENEW_PERIOD,
             renewall, NULL);
 }
--- a/core/holder.h
+++ b/core/holder.h
@@ -9,7 +9,7 @@
 
 #include "state.h"
 
-/* 'a' is set up and numbered; flow.c hears through flow_reserved */
+/* 'a' is set up and numbered; flow.c hears through flow_on_reservation */
 void holder_reserve(mp_State *state, Request *r, Attempt *a, uint32_t slack_ms,
                     uint32_t start_ms);
 
@@ -17,11 +17,11 @@
 void holder_release(mp_State *state, Request *r, Attempt *a, int kept);
 
 /* handle GRANT */
-void holder_ongrant(mp_State *state, mp_Addr from, const mp_Msg *m);
+void holder_on_grant(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 void holder_init(mp_State *state);
 
 /* drop calls that wait on behalf of this request */
-void holder_forget(mp_State *state, Request *r);
+void holder_cancel_call(mp_State *state, Request *r);
 
 #endif
--- a/core/keep.c
+++ b/core/keep.c
@@ -18,12 +18,13 @@
 #include "keep.h"
 #include "member.h"
 
-mp_Addr keeper_keeper(const mp_State *state, const Endpoint *e) {
-  return member_home(state, e->dchash, e->addr);
+mp_Addr keeper_of_endpoint(const mp_State *state, const Endpoint *e) {
+  return member_home(state, e->dc_hash, e->addr);
 }
 
 static int minetokeep(const mp_State *state, const Endpoint *e) {
-  return e->dchash == state->dchash && keeper_keeper(state, e) == state->self;
+  return e->dc_hash == state->dc_hash &&
+         keeper_of_endpoint(state, e) == state->self;
 }
 
 static const mp_Policy *policy(const mp_State *state) {
@@ -48,7 +49,7 @@
   for (i = 0; i < state->holds->len; i++) {
     Hold *h = state->holds->pdata[i];
     if (h->endpoint == ep && h->attempt == attempt &&
-        state_sametoken(&h->token, t))
+        state_token_equal(&h->token, t))
       return h;
   }
   return NULL;
@@ -111,7 +112,7 @@
 
 /* a new keeper does not yet know every hold: it trusts the engine more */
 static int rebuilding(const mp_State *state, const Endpoint *e) {
-  const mp_Time *since = state_get(state->kept, e->addr);
+  const mp_Time *since = state_table_get(state->kept, e->addr);
   return since == NULL || state->now - *since < MP_RENEW_PERIOD + MP_SEC / 2;
 }
 
@@ -197,7 +198,7 @@
   e->used =
       e->role == MP_ROLE_DECODE ? use(state, e, 0).busy : longs(state, e);
   e->seen = state->now;
-  e->pledged = 0;
+  e->reserved_since_load = 0;
   if (!changed(e, was))
     return;
   e->stamp++;
@@ -238,7 +239,7 @@
   r->slots = e->slots;
   r->used = e->used;
   r->wait_ms = waitfor(state, e, INT64_MAX);
-  effect_rpc(state, h->token.owner, &m, MP_LEASE / 2, heard, NULL);
+  effect_rpc_call(state, h->token.owner, &m, MP_LEASE / 2, heard, NULL);
 }
 
 /* the waiting hold that goes next: by slack, or first come */
@@ -334,7 +335,7 @@
   if (e->role == MP_ROLE_PREFILL && r->tokens >= MP_LONG_PROMPT)
     r->wait_ms += (uint32_t)((uint64_t)longs(state, e) * r->tokens * 1000 /
                              prefillrate(e));
-  if (!fleet_open(state, e) || e->role != (mp_Role)r->role)
+  if (!fleet_is_open(state, e) || e->role != (mp_Role)r->role)
     return MP_DENIED;
   h = addhold(state, &r->token, r->attempt, e, r->tokens);
   h->weight = r->weight;
@@ -352,7 +353,7 @@
   return MP_QUEUED;
 }
 
-void keeper_reserve(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void keeper_on_reserve(mp_State *state, mp_Addr from, const mp_Msg *m) {
   Endpoint *e = fleet_get(state, m->u.reserve.endpoint);
   mp_Msg a = {0};
   mp_Reserve *r = &a.u.reserve;
@@ -369,10 +370,10 @@
                " endpoint=%s seq=%08x attempt=%u verdict=%u wait_ms=%u",
                e->name, r->token.seq, r->attempt, r->verdict, r->wait_ms);
   }
-  effect_answer(state, from, m, &a);
+  effect_rpc_reply(state, from, m, &a);
 }
 
-void keeper_renew(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void keeper_on_renew(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Renew *n = &m->u.renew;
   unsigned i;
   if (from != n->owner)
@@ -393,7 +394,7 @@
   }
 }
 
-void keeper_release(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void keeper_on_release(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Release *r = &m->u.release;
   Endpoint *e = fleet_get(state, r->endpoint);
   Hold *h = find(state, &r->token, r->attempt, r->endpoint);
@@ -456,9 +457,9 @@
     if (state->now - *first < MP_ORPHAN_GRACE)
       continue;
     g_hash_table_remove(state->orphans, key);
-    mpcount(state, ORPHANS);
+    state_count(state, ORPHANS);
     effect_log(state, MP_LOG_ORPHAN, " endpoint=%s attempt=%s", e->name, key);
-    cancel_cancel(state, e->addr, &w->token, w->attempt);
+    cancel_start(state, e->addr, &w->token, w->attempt);
   }
 }
 
@@ -469,7 +470,7 @@
   return state->now - *(mp_Time *)value > 2 * MP_ORPHAN_GRACE;
 }
 
-void keeper_setdown(mp_State *state, Endpoint *e, int down) {
+void keeper_set_down(mp_State *state, Endpoint *e, int down) {
   if (e->down == down)
     return;
   e->down = down;
@@ -488,13 +489,13 @@
 static void loadlate(mp_State *state, void *ud) {
   Loading *g = ud;
   Endpoint *e = fleet_get(state, g->ep);
-  effect_xabort(state, g->xcall);
+  effect_endpoint_abort(state, g->xcall);
   if (e != NULL) {
     Endpoint was = *e;
-    keeper_setdown(state, e, 1);
+    keeper_set_down(state, e, 1);
     observe(state, e, &was);
   }
-  state_del(state->loading, g->ep);
+  state_table_remove(state->open_load_calls, g->ep);
 }
 
 static void loaded(mp_State *state, void *ud, const mp_EndpointEvent *ev) {
@@ -504,11 +505,11 @@
   Endpoint was;
   if (ev->what != MP_EP_DONE && ev->what != MP_EP_FAIL)
     return;
-  state_del(state->loading, g->ep);
+  state_table_remove(state->open_load_calls, g->ep);
   if (e == NULL)
     return;
   was = *e;
-  keeper_setdown(state, e, l == NULL);
+  keeper_set_down(state, e, l == NULL);
   if (l != NULL) {
     e->role = l->role;
     e->slots = l->slots;
@@ -534,17 +535,17 @@
 static void askload(mp_State *state, Endpoint *e) {
   Loading *g;
   mp_Xcall x = {0};
-  if (state_get(state->loading, e->addr) != NULL)
+  if (state_table_get(state->open_load_calls, e->addr) != NULL)
     return;
   g = g_new0(Loading, 1);
   g->state = state;
   g->ep = e->addr;
-  state_set(state->loading, e->addr, g);
+  state_table_set(state->open_load_calls, e->addr, g);
   x.op = MP_X_LOAD;
   x.endpoint = e->addr;
   timer_arm(&state->timers, &g->timer, state->now + MP_LOAD_TIMEOUT, loadlate,
             g);
-  g->xcall = effect_xcall(state, &x, loaded, g);
+  g->xcall = effect_endpoint_call(state, &x, loaded, g);
 }
 
 static void lookafter(mp_State *state, void *ud) {
@@ -555,35 +556,35 @@
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
     if (!minetokeep(state, e)) {
-      state_del(state->kept, e->addr);
+      state_table_remove(state->kept, e->addr);
       continue;
     }
-    if (state_get(state->kept, e->addr) == NULL)
-      state_set(state->kept, e->addr,
-                g_memdup2(&state->now, sizeof state->now));
+    if (state_table_get(state->kept, e->addr) == NULL)
+      state_table_set(state->kept, e->addr,
+                      g_memdup2(&state->now, sizeof state->now));
     {
       Endpoint was = *e;
       pump(state, e, &was);
     }
     askload(state, e);
   }
-  timer_arm(&state->timers, &state->keeptimer, state->now + MP_LOAD_PERIOD,
-            lookafter, NULL);
+  timer_arm(&state->timers, &state->load_poll_timer,
+            state->now + MP_LOAD_PERIOD, lookafter, NULL);
 }
 
 /* }================================================================== */
 
 void keeper_init(mp_State *state) {
-  state->kept = state_table(g_free);
-  state->loading = state_table(freeloading);
+  state->kept = state_table_new(g_free);
+  state->open_load_calls = state_table_new(freeloading);
   state->orphans =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  timer_arm(&state->timers, &state->keeptimer, state->now + MP_LOAD_PERIOD,
-            lookafter, NULL);
+  timer_arm(&state->timers, &state->load_poll_timer,
+            state->now + MP_LOAD_PERIOD, lookafter, NULL);
 }
 
 void keeper_free(mp_State *state) {
   g_hash_table_destroy(state->kept);
-  g_hash_table_destroy(state->loading);
+  g_hash_table_destroy(state->open_load_calls);
   g_hash_table_destroy(state->orphans);
 }
--- a/core/keep_loads.c
+++ b/core/keep_loads.c
@@ -29,21 +29,21 @@
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
     unsigned k;
-    if (e->stamp == 0 || e->told >= member_toldoften(state))
+    if (e->stamp == 0 || e->told >= member_gossip_limit(state))
       continue;
     for (k = 0; k < p->nload && p->load[k].addr != e->addr; k++)
       ;
     if (k < p->nload)
       continue;
     if (win == NULL || e->told < win->told ||
-        (e->told == win->told && e->dchash == state->dchash &&
-         win->dchash != state->dchash))
+        (e->told == win->told && e->dc_hash == state->dc_hash &&
+         win->dc_hash != state->dc_hash))
       win = e;
   }
   return win;
 }
 
-void keeper_fillloads(mp_State *state, mp_Probe *p, const Member *to) {
+void keeper_fill_loads(mp_State *state, mp_Probe *p, const Member *to) {
   (void)to;
   while (p->nload < MP_GOSSIP_LOADS) {
     Endpoint *e = leasttold(state, p);
@@ -54,7 +54,7 @@
   }
 }
 
-void keeper_learn(mp_State *state, const mp_LoadNews *n) {
+void keeper_merge_load(mp_State *state, const mp_LoadNews *n) {
   Endpoint *e = fleet_get(state, n->addr);
   if (e == NULL || n->stamp <= e->stamp || n->role > MP_ROLE_PLAIN)
     return;
@@ -67,8 +67,8 @@
   e->role = (mp_Role)n->role;
   e->seen = state->now;
   e->told = 0;
-  e->pledged = 0;
+  e->reserved_since_load = 0;
   if (n->flags & MP_LOAD_LEAVING)
     e->leaving = 1;
-  keeper_setdown(state, e, (n->flags & MP_LOAD_DOWN) != 0);
+  keeper_set_down(state, e, (n->flags & MP_LOAD_DOWN) != 0);
 }
--- a/core/member.c
+++ b/core/member.c
@@ -26,21 +26,21 @@
 } Probing;
 
 /* memory of a call under way, freed with the state if not before */
-static void *scratch(mp_State *state, size_t n) {
+static void *probe_contexts(mp_State *state, size_t n) {
   void *p = g_malloc0(n);
-  g_hash_table_add(state->scratch, p);
+  g_hash_table_add(state->probe_contexts, p);
   return p;
 }
 
 static void unscratch(mp_State *state, void *p) {
-  g_hash_table_remove(state->scratch, p);
+  g_hash_table_remove(state->probe_contexts, p);
 }
 
 Member *member_get(const mp_State *state, mp_Addr a) {
-  return state_get(state->memberby, a);
+  return state_table_get(state->member_by_addr, a);
 }
 
-int member_serves(const Member *m) {
+int member_is_serving(const Member *m) {
   return m->state == MP_MEMBER_ALIVE || m->state == MP_MEMBER_SUSPECT;
 }
 
@@ -57,7 +57,7 @@
     g_array_append_val(a, state->self);
   for (i = 0; i < state->members->len; i++) {
     const Member *m = state->members->pdata[i];
-    if (!m->remote && member_serves(m))
+    if (!m->remote && member_is_serving(m))
       g_array_append_val(a, m->addr);
   }
   return a;
@@ -70,8 +70,8 @@
     g_array_unref(old);
   } else {
     state->changes = 1;
-    g_array_unref(state->beforeset);
-    state->beforeset = old;
+    g_array_unref(state->previous_live_set);
+    state->previous_live_set = old;
   }
   state->settled = state->now;
 }
@@ -85,16 +85,16 @@
   if (m->state == s)
     return;
   old = liveset(state);
-  before = member_serves(m);
+  before = member_is_serving(m);
   m->state = s;
   m->since = state->now;
   m->told = 0;
-  if (!m->remote && before != member_serves(m))
+  if (!m->remote && before != member_is_serving(m))
     setchanged(state, old);
   else
     g_array_unref(old);
-  if (before != member_serves(m))
-    claim_homesmoved(state);
+  if (before != member_is_serving(m))
+    claim_on_homes_changed(state);
   mp_addr_text(m->addr, text);
   effect_log(state, said[s], " instance=%s start=%u", text, m->start);
 }
@@ -104,11 +104,11 @@
   m->addr = a;
   m->start = start;
   m->dc = dc;
-  m->remote = dc != state->dchash;
+  m->remote = dc != state->dc_hash;
   m->since = state->now;
   m->state = MP_MEMBER_DEAD; /* until become below counts it in */
   g_ptr_array_add(state->members, m);
-  state_set(state->memberby, a, m);
+  state_table_set(state->member_by_addr, a, m);
   become(state, m, MP_MEMBER_ALIVE);
   return m;
 }
@@ -119,7 +119,7 @@
     Member *m = state->members->pdata[i];
     if (m->state == MP_MEMBER_DEAD && !m->listed &&
         state->now - m->since > MP_DEAD_KEEP) {
-      state_del(state->memberby, m->addr);
+      state_table_remove(state->member_by_addr, m->addr);
       g_ptr_array_remove_index(state->members, i); /* frees the row */
     } else
       i++;
@@ -139,17 +139,17 @@
   guint i;
   for (i = 0; i < state->members->len; i++) {
     const Member *m = state->members->pdata[i];
-    if (member_serves(m) && (all || !m->remote))
+    if (member_is_serving(m) && (all || !m->remote))
       n++;
   }
   return n;
 }
 
-int member_reach(const mp_State *state, uint32_t dc) {
+int member_is_dc_reachable(const mp_State *state, uint32_t dc) {
   unsigned i;
-  if (dc == state->dchash)
+  if (dc == state->dc_hash)
     return 1;
-  for (i = 0; i < state->ncentre; i++) {
+  for (i = 0; i < state->dc_contact_count; i++) {
     if (state->centre[i].dc == dc)
       return state->now - state->centre[i].heard < MP_DC_SILENT;
   }
@@ -158,12 +158,12 @@
 
 static void heardfrom(mp_State *state, uint32_t dc) {
   unsigned i;
-  for (i = 0; i < state->ncentre && state->centre[i].dc != dc; i++)
+  for (i = 0; i < state->dc_contact_count && state->centre[i].dc != dc; i++)
     ;
   if (i == MP_MAXDCS)
     return;
-  if (i == state->ncentre)
-    state->centre[state->ncentre++].dc = dc;
+  if (i == state->dc_contact_count)
+    state->centre[state->dc_contact_count++].dc = dc;
   state->centre[i].heard = state->now;
 }
 
@@ -177,7 +177,7 @@
 
 static void greet(mp_State *state, void *ud);
 
-void member_heard(mp_State *state, mp_Addr a) {
+void member_mark_responsive(mp_State *state, mp_Addr a) {
   Member *m = member_get(state, a);
   if (m == NULL)
     return;
@@ -186,13 +186,13 @@
   heardfrom(state, m->dc);
 }
 
-void member_silent(mp_State *state, mp_Addr a) {
+void member_mark_unresponsive(mp_State *state, mp_Addr a) {
   Member *m = member_get(state, a);
   if (m != NULL)
     m->avoid = state->now + MP_PROBE_PERIOD;
 }
 
-int member_trusted(const mp_State *state, mp_Addr a) {
+int member_is_trusted(const mp_State *state, mp_Addr a) {
   uint32_t ip = (uint32_t)(a >> 16);
   if (member_get(state, a) != NULL || a == state->self)
     return 1;
@@ -214,7 +214,7 @@
   if (n->state != MP_MEMBER_SUSPECT && n->state != MP_MEMBER_DEAD)
     return;
   state->incarnation = n->incarnation + 1; /* refute, to everyone */
-  timer_arm(&state->timers, &state->greettimer, state->now, greet, NULL);
+  timer_arm(&state->timers, &state->announce_timer, state->now, greet, NULL);
 }
 
 static void learn(mp_State *state, const mp_MemberNews *n) {
@@ -227,7 +227,7 @@
     return;
   m = member_get(state, n->addr);
   if (m == NULL) {
-    if (n->state == MP_MEMBER_DEAD || !member_trusted(state, n->addr))
+    if (n->state == MP_MEMBER_DEAD || !member_is_trusted(state, n->addr))
       return;
     m = add(state, n->addr, n->start, n->dc);
   } else if (!newer(m, n))
@@ -238,7 +238,7 @@
   become(state, m, (mp_MemberState)n->state);
 }
 
-unsigned member_toldoften(const mp_State *state) {
+unsigned member_gossip_limit(const mp_State *state) {
   return 2 + (unsigned)g_bit_storage(state->members->len);
 }
 
@@ -249,7 +249,7 @@
   for (i = 0; i < state->members->len; i++) {
     Member *m = state->members->pdata[i];
     unsigned k;
-    if (m->addr == to || m->told >= member_toldoften(state) ||
+    if (m->addr == to || m->told >= member_gossip_limit(state) ||
         (win != NULL && m->told >= win->told))
       continue;
     for (k = 0; k < p->nmember && p->member[k].addr != m->addr; k++)
@@ -288,12 +288,12 @@
   memset(p, 0, sizeof *p);
   p->start = state->start;
   p->incarnation = state->incarnation;
-  p->dc = state->dchash;
+  p->dc = state->dc_hash;
   p->state = state->draining ? MP_MEMBER_LEAVING : MP_MEMBER_ALIVE;
   for (i = 0; i < MP_DOC_COUNT; i++)
     p->doc[i] = state->doc[i].version;
   fillmembers(state, p, to);
-  keeper_fillloads(state, p, member_get(state, to));
+  keeper_fill_loads(state, p, member_get(state, to));
 }
 
 static void take(mp_State *state, mp_Addr from, const mp_Probe *p) {
@@ -301,24 +301,24 @@
   unsigned i;
   Member *m;
   learn(state, &n);
-  member_heard(state, from);
+  member_mark_responsive(state, from);
   m = member_get(state, from);
   for (i = 0; i < p->nmember; i++)
     learn(state, &p->member[i]);
   for (i = 0; i < p->nload; i++)
-    keeper_learn(state, &p->load[i]);
+    keeper_merge_load(state, &p->load[i]);
   if (m != NULL) {
     memcpy(m->doc, p->doc, sizeof m->doc);
-    document_offered(state, from, p->doc);
+    document_on_offer(state, from, p->doc);
   }
 }
 
-void member_probe(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void member_on_probe(mp_State *state, mp_Addr from, const mp_Msg *m) {
   mp_Msg a = {0};
   take(state, from, &m->u.probe);
   fill(state, &a.u.probe, from);
   a.u.probe.target = state->self;
-  effect_answer(state, from, m, &a);
+  effect_rpc_reply(state, from, m, &a);
 }
 
 /* }================================================================== */
@@ -333,7 +333,7 @@
   Member *m = member_get(state, a);
   if (m == NULL || m->remote)
     return;
-  member_silent(state, a);
+  member_mark_unresponsive(state, a);
   if (m->state == MP_MEMBER_ALIVE)
     become(state, m, MP_MEMBER_SUSPECT);
 }
@@ -366,7 +366,7 @@
 }
 
 static void askothers(mp_State *state, mp_Addr target) {
-  Probing *p = scratch(state, sizeof *p);
+  Probing *p = probe_contexts(state, sizeof *p);
   mp_Addr asked = 0;
   int i;
   p->target = target;
@@ -380,7 +380,7 @@
     fill(state, &m.u.probe, v->addr);
     m.u.probe.target = target;
     p->open++;
-    effect_rpc(state, v->addr, &m, 3 * MP_PROBE_TIMEOUT, viaanswered, p);
+    effect_rpc_call(state, v->addr, &m, 3 * MP_PROBE_TIMEOUT, viaanswered, p);
   }
   if (p->open == 0) {
     suspect(state, target);
@@ -396,7 +396,7 @@
     take(state, from, &m->u.probe);
     return;
   }
-  member_silent(state, from);
+  member_mark_unresponsive(state, from);
   if (t != NULL && !t->remote)
     askothers(state, from);
 }
@@ -405,7 +405,7 @@
   mp_Msg m = {0};
   m.kind = MP_MSG_PROBE;
   fill(state, &m.u.probe, a);
-  effect_rpc(state, a, &m, MP_PROBE_TIMEOUT, answered, NULL);
+  effect_rpc_call(state, a, &m, MP_PROBE_TIMEOUT, answered, NULL);
 }
 
 /* the asker's call, kept while the probe on its behalf is out */
@@ -421,23 +421,23 @@
     take(state, from, &m->u.probe);
   fill(state, &a.u.probe, v->asker);
   a.u.probe.target = m != NULL ? from : 0;
-  effect_answer(state, v->asker, &v->call, &a);
+  effect_rpc_reply(state, v->asker, &v->call, &a);
   unscratch(state, v);
 }
 
-void member_probevia(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void member_on_probe_via(mp_State *state, mp_Addr from, const mp_Msg *m) {
   mp_Addr target = m->u.probe.target;
   Via *v;
   mp_Msg p = {0};
   take(state, from, &m->u.probe);
-  if (!member_trusted(state, target) || target == state->self)
+  if (!member_is_trusted(state, target) || target == state->self)
     return;
-  v = scratch(state, sizeof *v);
+  v = probe_contexts(state, sizeof *v);
   v->asker = from;
   v->call = *m;
   p.kind = MP_MSG_PROBE;
   fill(state, &p.u.probe, target);
-  effect_rpc(state, target, &p, MP_PROBE_TIMEOUT, viadone, v);
+  effect_rpc_call(state, target, &p, MP_PROBE_TIMEOUT, viadone, v);
 }
 
 /*
@@ -463,7 +463,7 @@
     *next %= n;
   for (i = 0; i < n; i++) {
     Member *m = state->members->pdata[(*next + i) % n];
-    if (m->remote != remote || (remote && !member_serves(m)))
+    if (m->remote != remote || (remote && !member_is_serving(m)))
       continue;
     if (m->state == MP_MEMBER_DEAD && !m->listed)
       continue;
@@ -484,21 +484,21 @@
         state->now - m->since > MP_SUSPECT_TIME)
       become(state, m, MP_MEMBER_DEAD);
   }
-  m = inturn(state, &state->probenext, 0);
+  m = inturn(state, &state->next_local_probe, 0);
   if (m != NULL)
     probe(state, m->addr);
   m = state->periods++ % MP_REMOTE_EVERY == 0
-          ? inturn(state, &state->remotenext, 1)
+          ? inturn(state, &state->next_remote_probe, 1)
           : NULL;
   if (m != NULL)
     probe(state, m->addr);
-  timer_arm(&state->timers, &state->probetimer, state->now + MP_PROBE_PERIOD,
+  timer_arm(&state->timers, &state->probe_timer, state->now + MP_PROBE_PERIOD,
             period, NULL);
 }
 
 /* }================================================================== */
 
-void member_list(mp_State *state) {
+void member_apply_list(mp_State *state) {
   unsigned i;
   guint k;
   for (k = 0; k < state->members->len; k++)
@@ -510,24 +510,24 @@
       continue;
     m = member_get(state, in->addr);
     if (m == NULL)
-      m = add(state, in->addr, 0, state_hash(in->dc));
+      m = add(state, in->addr, 0, state_name_hash(in->dc));
     m->listed = 1;
     if (in->leaving && m->state == MP_MEMBER_ALIVE)
       become(state, m, MP_MEMBER_LEAVING);
   }
-  if (!state->greeted) {
-    state->greeted = 1;
+  if (!state->has_announced_start) {
+    state->has_announced_start = 1;
     state->settled = state->now;
-    timer_arm(&state->timers, &state->greettimer, state->now, greet, NULL);
+    timer_arm(&state->timers, &state->announce_timer, state->now, greet, NULL);
   }
 }
 
 /* the set may have changed behind its back: as after a fresh start */
-void member_paused(mp_State *state) {
+void member_on_pause(mp_State *state) {
   state->settled = state->now;
   state->changes = 2;
   state->incarnation++; /* others may have called it dead */
-  timer_arm(&state->timers, &state->greettimer, state->now, greet, NULL);
+  timer_arm(&state->timers, &state->announce_timer, state->now, greet, NULL);
 }
 
 static void seedanswered(mp_State *state, void *ud, mp_Addr from,
@@ -540,18 +540,18 @@
   take(state, from, &m->u.probe);
 }
 
-void member_seed(mp_State *state, mp_Addr a, const mp_Msg *m) {
-  effect_rpc(state, a, m, 4 * MP_PROBE_TIMEOUT, seedanswered, NULL);
+void member_probe_seed(mp_State *state, mp_Addr a, const mp_Msg *m) {
+  effect_rpc_call(state, a, m, 4 * MP_PROBE_TIMEOUT, seedanswered, NULL);
 }
 
-void member_leave(mp_State *state) {
+void member_announce_leave(mp_State *state) {
   guint i;
   setchanged(state, liveset(state));
   state->draining = 1;
   state->incarnation++;
   for (i = 0; i < state->members->len; i++) {
     Member *m = state->members->pdata[i];
-    if (member_serves(m))
+    if (member_is_serving(m))
       probe(state, m->addr);
   }
 }
@@ -561,17 +561,17 @@
   mp_Time phase = g_rand_int_range(state->rand, 0, MP_PROBE_PERIOD);
   /* everyone has the same list: beginning anywhere in it keeps all from
   ** probing the same member at the same time */
-  state->probenext = g_rand_int(state->rand);
-  state->remotenext = g_rand_int(state->rand);
-  state->scratch = g_hash_table_new_full(NULL, NULL, g_free, NULL);
-  state->beforeset = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
+  state->next_local_probe = g_rand_int(state->rand);
+  state->next_remote_probe = g_rand_int(state->rand);
+  state->probe_contexts = g_hash_table_new_full(NULL, NULL, g_free, NULL);
+  state->previous_live_set = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
   state->settled = state->now;
   state->changes = 2; /* a fresh instance knows of no set before it */
-  timer_arm(&state->timers, &state->probetimer, state->now + phase, period,
+  timer_arm(&state->timers, &state->probe_timer, state->now + phase, period,
             NULL);
 }
 
 void member_free(mp_State *state) {
-  g_array_unref(state->beforeset);
-  g_hash_table_destroy(state->scratch);
+  g_array_unref(state->previous_live_set);
+  g_hash_table_destroy(state->probe_contexts);
 }
--- a/core/order.c
+++ b/core/order.c
@@ -54,7 +54,8 @@
 
 static int wanted(const mp_State *state) {
   return state->config != NULL && state->config->policy->role_orders &&
-         !state->draining && member_among(state, LEASE_KEY, CANDIDATES);
+         !state->draining &&
+         member_is_among_first(state, LEASE_KEY, CANDIDATES);
 }
 
 static void leasekey(const mp_State *state, char out[96]) {
@@ -91,8 +92,8 @@
   char key[96];
   state->orders->asking = 1;
   leasekey(state, key);
-  effect_store(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT, seenlease,
-               NULL);
+  effect_store_call(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
+                    seenlease, NULL);
 }
 
 static void tookit(mp_State *state, void *ud, const mp_StoreEvent *e) {
@@ -124,8 +125,8 @@
   mp_addr_text(state->self, who);
   state->orders->asking = 1;
   state->orders->asked = state->now;
-  effect_store(state, MP_ST_PUT, key, state->orders->version, who, strlen(who),
-               MP_STORE_TIMEOUT, tookit, NULL);
+  effect_store_call(state, MP_ST_PUT, key, state->orders->version, who,
+                    strlen(who), MP_STORE_TIMEOUT, tookit, NULL);
 }
 
 /* }================================================================== */
@@ -159,8 +160,8 @@
   guint i;
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
-    if (e->dchash != state->dchash || e->role != role ||
-        !fleet_open(state, e) || strcmp(e->service, service) != 0)
+    if (e->dc_hash != state->dc_hash || e->role != role ||
+        !fleet_is_open(state, e) || strcmp(e->service, service) != 0)
       continue;
     p.n++;
     p.pressure += loadof(e);
@@ -217,8 +218,8 @@
                "{\"who\":\"%s\",\"what\":\"order %s\",\"from\":%d,"
                "\"to\":%d,\"outcome\":\"%s\"}",
                who, at, (int)O->from, (int)O->pressed, outcome);
-  effect_store(state, MP_ST_PUT, key, 0, text, (size_t)n, MP_STORE_TIMEOUT,
-               audited, NULL);
+  effect_store_call(state, MP_ST_PUT, key, 0, text, (size_t)n,
+                    MP_STORE_TIMEOUT, audited, NULL);
 }
 
 static void orderdone(mp_State *state, int ok) {
@@ -240,7 +241,7 @@
 /* the reply is lost: the next load answer shows the role in force */
 static void orderlate(mp_State *state, void *ud) {
   (void)ud;
-  effect_xabort(state, state->orders->xcall);
+  effect_endpoint_abort(state, state->orders->xcall);
   orderdone(state, 0);
 }
 
@@ -256,10 +257,10 @@
   x.valid_ms = (uint32_t)(MIN(MP_ORDER_MAX, O->until - state->now) / MP_MS);
   O->target = e->addr;
   O->from = e->role;
-  O->xcall = effect_xcall(state, &x, ordered, NULL);
+  O->xcall = effect_endpoint_call(state, &x, ordered, NULL);
   timer_arm(&state->timers, &O->late, state->now + MP_ORDER_MAX, orderlate,
             NULL);
-  mpcount(state, ORDERS);
+  state_count(state, ORDERS);
   effect_log(state, MP_LOG_ORDER_SENT,
              " endpoint=%s role=%d fence=%" G_GUINT64_FORMAT, e->name,
              (int)role, (guint64)O->version);
@@ -321,7 +322,7 @@
     readlease(state);
 }
 
-void order_release(mp_State *state) {
+void order_drop_lease(mp_State *state) {
   lose(state); /* it runs out by itself; nothing is ordered any more */
 }
 
--- a/core/order.h
+++ b/core/order.h
@@ -13,7 +13,7 @@
 void order_free(mp_State *state);
 
 /* draining: give the lease back */
-void order_release(mp_State *state);
+void order_drop_lease(mp_State *state);
 
 /* this core stood still for long: the lease is not trusted any more */
 void order_paused(mp_State *state);
--- a/core/place.c
+++ b/core/place.c
@@ -9,8 +9,8 @@
 
 #include "place.h"
 
-const mp_Rule *place_rule(const mp_Config *c, const char *class_name,
-                          const char *account) {
+const mp_Rule *place_find_rule(const mp_Config *c, const char *class_name,
+                               const char *account) {
   const mp_Rule *general = NULL;
   unsigned i;
   if (c == NULL)
@@ -27,7 +27,7 @@
   return general;
 }
 
-const mp_Dc *place_dc(const mp_Config *c, const char *name) {
+const mp_Dc *place_find_dc(const mp_Config *c, const char *name) {
   unsigned i;
   for (i = 0; c != NULL && i < c->data_centres_count; i++) {
     if (strcmp(c->data_centres[i].name, name) == 0)
@@ -36,9 +36,9 @@
   return NULL;
 }
 
-int place_runs(const mp_Config *c, const mp_Rule *r, const char *dc) {
+int place_may_run(const mp_Config *c, const mp_Rule *r, const char *dc) {
   unsigned i;
-  if (r == NULL || place_dc(c, dc) == NULL)
+  if (r == NULL || place_find_dc(c, dc) == NULL)
     return 0;
   for (i = 0; i < r->run_in_count; i++) {
     if (strcmp(r->run_in[i], dc) == 0)
@@ -47,9 +47,9 @@
   return 0;
 }
 
-int place_moves(const mp_Config *c, const mp_Rule *r, const char *from,
-                const char *to) {
-  if (!place_runs(c, r, from) || !place_runs(c, r, to))
+int place_may_move_kv(const mp_Config *c, const mp_Rule *r, const char *from,
+                      const char *to) {
+  if (!place_may_run(c, r, from) || !place_may_run(c, r, to))
     return 0;
   if (strcmp(from, to) == 0)
     return 1;
@@ -57,13 +57,14 @@
   case MP_KV_ANY:
     return 1;
   case MP_KV_REGION:
-    return strcmp(place_dc(c, from)->region, place_dc(c, to)->region) == 0;
+    return strcmp(place_find_dc(c, from)->region,
+                  place_find_dc(c, to)->region) == 0;
   default:
     return 0;
   }
 }
 
-int place_drained(const mp_Config *c, const char *name) {
+int place_is_drained(const mp_Config *c, const char *name) {
   unsigned i;
   for (i = 0; c != NULL && i < c->drained_count; i++) {
     if (strcmp(c->drained[i], name) == 0)
@@ -77,14 +78,14 @@
   const mp_Rule *r;
   if (c == NULL)
     return "no configuration is in force";
-  r = place_rule(c, class_name, account);
+  r = place_find_rule(c, class_name, account);
   if (r == NULL)
     return "no rule names this class; without a rule nothing may run";
-  if (place_dc(c, dc) == NULL)
+  if (place_find_dc(c, dc) == NULL)
     return "the data centre is not configured";
-  if (!place_runs(c, r, dc))
+  if (!place_may_run(c, r, dc))
     return "the rule's run_in does not list this data centre";
-  if (place_drained(c, dc))
+  if (place_is_drained(c, dc))
     return "the data centre is drained";
   return NULL;
 }
--- a/core/place.h
+++ b/core/place.h
@@ -12,19 +12,19 @@
 #include "madderpier.h"
 
 /* the rule for a class and account, or NULL: then nothing is allowed */
-const mp_Rule *place_rule(const mp_Config *c, const char *class_name,
-                          const char *account);
+const mp_Rule *place_find_rule(const mp_Config *c, const char *class_name,
+                               const char *account);
 
 /* may work under this rule run in data centre 'dc'? */
-int place_runs(const mp_Config *c, const mp_Rule *r, const char *dc);
+int place_may_run(const mp_Config *c, const mp_Rule *r, const char *dc);
 
 /* may KV made under this rule move between these data centres? */
-int place_moves(const mp_Config *c, const mp_Rule *r, const char *from,
-                const char *to);
+int place_may_move_kv(const mp_Config *c, const mp_Rule *r, const char *from,
+                      const char *to);
 
 /* is the data centre or endpoint named as drained? */
-int place_drained(const mp_Config *c, const char *name);
+int place_is_drained(const mp_Config *c, const char *name);
 
-const mp_Dc *place_dc(const mp_Config *c, const char *name);
+const mp_Dc *place_find_dc(const mp_Config *c, const char *name);
 
 #endif
--- a/core/plan.c
+++ b/core/plan.c
@@ -19,7 +19,7 @@
   char to[MP_MAXNAME + 1];
   mp_Time until;
   int open;
-  PlanFn fn;
+  LinkStartFn fn;
   void *ud;
 } Move;
 
@@ -37,8 +37,8 @@
   return MP_LINK_MBYTES;
 }
 
-mp_Time link_time(const mp_State *state, const char *from, const char *to,
-                  uint64_t bytes) {
+mp_Time link_transfer_time(const mp_State *state, const char *from,
+                           const char *to, uint64_t bytes) {
   /* bytes by megabytes a second are microseconds */
   return (mp_Time)(bytes / MAX(rate(state, from, to), 1));
 }
@@ -68,12 +68,12 @@
   m->fn(state, m->ud);
 }
 
-void link_ask(mp_State *state, const char *from, const char *to,
-              uint64_t bytes, mp_Time until, PlanFn fn, void *ud) {
+void link_request(mp_State *state, const char *from, const char *to,
+                  uint64_t bytes, mp_Time until, LinkStartFn fn, void *ud) {
   Move *m = g_new0(Move, 1);
   g_strlcpy(m->from, from, sizeof m->from);
   g_strlcpy(m->to, to, sizeof m->to);
-  m->until = until - link_time(state, from, to, bytes);
+  m->until = until - link_transfer_time(state, from, to, bytes);
   m->fn = fn;
   m->ud = ud;
   g_ptr_array_add(state->links->moves, m);
@@ -81,7 +81,7 @@
     start(state, m);
 }
 
-void link_done(mp_State *state, void *ud) {
+void link_release(mp_State *state, void *ud) {
   GPtrArray *a = state->links->moves;
   guint i;
   for (i = 0; i < a->len; i++) {
--- a/core/quota.c
+++ b/core/quota.c
@@ -50,7 +50,7 @@
   unsigned i;
   for (i = 0; state->config != NULL && i < state->config->accounts_count;
        i++) {
-    if (state_hash(state->config->accounts[i].name) == hash)
+    if (state_name_hash(state->config->accounts[i].name) == hash)
       return &state->config->accounts[i];
   }
   return NULL;
@@ -61,14 +61,14 @@
   uint32_t dc = 0;
   unsigned i;
   for (i = 0; i < state->config->data_centres_count; i++) {
-    uint32_t d = state_hash(state->config->data_centres[i].name);
-    uint64_t w = member_weight(d, hash);
+    uint32_t d = state_name_hash(state->config->data_centres[i].name);
+    uint64_t w = member_hash_weight(d, hash);
     if (dc == 0 || w > top) {
       dc = d;
       top = w;
     }
   }
-  return member_reach(state, dc) ? member_home(state, dc, hash) : 0;
+  return member_is_dc_reachable(state, dc) ? member_home(state, dc, hash) : 0;
 }
 
 static void refill(const mp_State *state, Bucket *b, const mp_Account *a) {
@@ -76,29 +76,29 @@
                 state->now);
 }
 
-void quota_onquota(mp_State *state, mp_Addr from, const mp_Msg *m) {
+void quota_handle_message(mp_State *state, mp_Addr from, const mp_Msg *m) {
   const mp_Account *a = account(state, m->u.quota.account);
   mp_Msg r = {0};
   Bucket *b;
   r.u.quota = m->u.quota;
   if (a == NULL || homeof(state, m->u.quota.account) != state->self) {
     r.u.quota.verdict = MP_WRONG_HOME;
-    effect_answer(state, from, m, &r);
+    effect_rpc_reply(state, from, m, &r);
     return;
   }
-  b = state_get(state->quotas->buckets, m->u.quota.account);
+  b = state_table_get(state->quotas->buckets, m->u.quota.account);
   if (b == NULL) {
     b = g_new0(Bucket, 1);
     b->level = a->requests_per_s; /* a new home starts without the burst */
     b->at = state->now;
-    state_set(state->quotas->buckets, m->u.quota.account, b);
+    state_table_set(state->quotas->buckets, m->u.quota.account, b);
   }
   refill(state, b, a);
   r.u.quota.given = (uint32_t)MIN((double)m->u.quota.want, b->level);
   b->level -= r.u.quota.given;
   r.u.quota.for_ms = MP_SLICE_TIME / MP_MS;
   r.u.quota.verdict = r.u.quota.given > 0 ? MP_GRANTED : MP_DENIED;
-  effect_answer(state, from, m, &r);
+  effect_rpc_reply(state, from, m, &r);
 }
 
 /* }================================================================== */
@@ -116,14 +116,14 @@
 }
 
 static Slice *slice(mp_State *state, const mp_Account *a) {
-  uint32_t h = state_hash(a->name);
-  Slice *s = state_get(state->quotas->slices, h);
+  uint32_t h = state_name_hash(a->name);
+  Slice *s = state_table_get(state->quotas->slices, h);
   if (s == NULL) {
     s = g_new0(Slice, 1);
     s->state = state;
     s->account = h;
     s->waiters = g_array_new(FALSE, FALSE, sizeof(Waiter));
-    state_set(state->quotas->slices, h, s);
+    state_table_set(state->quotas->slices, h, s);
   }
   s->copy.requests_per_s = a->requests_per_s;
   s->copy.burst = a->burst;
@@ -146,7 +146,7 @@
   const mp_Quota *q = m != NULL ? &m->u.quota : NULL;
   s->rpc = 0;
   if (q == NULL)
-    member_silent(state, from);
+    member_mark_unresponsive(state, from);
   if (q == NULL || q->verdict == MP_WRONG_HOME) {
     /* the home is out of reach: an even share of the limit */
     double share = (double)s->copy.requests_per_s / member_count(state, 1);
@@ -175,7 +175,7 @@
   m.kind = MP_MSG_QUOTA;
   m.u.quota.account = s->account;
   m.u.quota.want = (uint32_t)MAX(want, s->waiters->len + SLICE_LEAST);
-  s->rpc = effect_rpc(state, home, &m, 3 * MP_RPC_WAIT, lent, s);
+  s->rpc = effect_rpc_call(state, home, &m, 3 * MP_RPC_WAIT, lent, s);
 }
 
 /* requests a second of late, for the size of the next slice */
@@ -204,7 +204,7 @@
   return -1;
 }
 
-void quota_forget(mp_State *state, void *ud) {
+void quota_cancel_wait(mp_State *state, void *ud) {
   GHashTableIter it;
   gpointer v;
   guint i;
@@ -224,8 +224,8 @@
 
 void quota_init(mp_State *state) {
   state->quotas = g_new0(Quotas, 1);
-  state->quotas->slices = state_table(freeslice);
-  state->quotas->buckets = state_table(g_free);
+  state->quotas->slices = state_table_new(freeslice);
+  state->quotas->buckets = state_table_new(g_free);
 }
 
 void quota_free(mp_State *state) {
--- a/core/quota.h
+++ b/core/quota.h
@@ -26,9 +26,9 @@
 int quota_admit(mp_State *state, const mp_Account *a, QuotaFn fn, void *ud);
 
 /* the one that waits is gone */
-void quota_forget(mp_State *state, void *ud);
+void quota_cancel_wait(mp_State *state, void *ud);
 
 /* handle QUOTA */
-void quota_onquota(mp_State *state, mp_Addr from, const mp_Msg *m);
+void quota_handle_message(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 #endif
--- a/core/retry.h
+++ b/core/retry.h
@@ -11,12 +11,12 @@
 #include "state.h"
 
 /* a fresh request came: it earns a share of a retry */
-void retry_earn(mp_State *state);
+void retry_budget_deposit(mp_State *state);
 
 /* take one retry out of the budget; 0 when there is none */
-int retry_spend(mp_State *state);
+int retry_budget_try_withdraw(mp_State *state);
 
 /* how long to wait before the n-th retry, with jitter */
-mp_Time retry_wait(mp_State *state, unsigned n);
+mp_Time retry_backoff(mp_State *state, unsigned n);
 
 #endif
--- a/core/route.c
+++ b/core/route.c
@@ -66,12 +66,13 @@
   return 0;
 }
 
-int choice_allowed(const mp_State *state, const Request *r,
-                   const Endpoint *e) {
-  const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
+int choice_is_allowed(const mp_State *state, const Request *r,
+                      const Endpoint *e) {
+  const mp_Rule *rule =
+      place_find_rule(state->config, r->class_name, r->account);
   if (strcmp(e->service, r->service) != 0)
     return 0;
-  if (!place_runs(state->config, rule, e->dc))
+  if (!place_may_run(state->config, rule, e->dc))
     return 0;
   return holds(state, r, e->role);
 }
@@ -81,12 +82,12 @@
   const mp_Config *c = state->config;
   Scope s;
   unsigned i;
-  s.rule = place_rule(c, r->class_name, r->account);
+  s.rule = place_find_rule(c, r->class_name, r->account);
   s.n = 0;
   for (i = 0; i < c->data_centres_count; i++) {
     const char *dc = c->data_centres[i].name;
-    uint32_t h = state_hash(dc);
-    if (!place_runs(c, s.rule, dc) || !member_reach(state, h))
+    uint32_t h = state_name_hash(dc);
+    if (!place_may_run(c, s.rule, dc) || !member_is_dc_reachable(state, h))
       continue;
     s.name[s.n] = dc;
     s.dc[s.n++] = h;
@@ -105,7 +106,7 @@
 
 static int avoided(const Request *r, const Endpoint *e) {
   unsigned i;
-  for (i = 0; i < r->navoid; i++) {
+  for (i = 0; i < r->avoid_count; i++) {
     if (r->avoid[i] == e->addr)
       return 1;
   }
@@ -114,8 +115,9 @@
 
 static int fit(const mp_State *state, const Request *r, const Scope *s,
                const Endpoint *e, mp_Role role) {
-  return e->role == role && inscope(s, e->dchash) && fleet_open(state, e) &&
-         !avoided(r, e) && strcmp(e->service, r->service) == 0;
+  return e->role == role && inscope(s, e->dc_hash) &&
+         fleet_is_open(state, e) && !avoided(r, e) &&
+         strcmp(e->service, r->service) == 0;
 }
 
 static GPtrArray *candidates(const mp_State *state, const Request *r,
@@ -146,8 +148,8 @@
   for (i = 0; i < all.n; i++) {
     for (k = 0; k < others->len; k++) {
       const Endpoint *o = others->pdata[k];
-      if (place_moves(state->config, s->rule, to ? o->dc : all.name[i],
-                      to ? all.name[i] : o->dc))
+      if (place_may_move_kv(state->config, s->rule, to ? o->dc : all.name[i],
+                            to ? all.name[i] : o->dc))
         break;
     }
     if (k == others->len)
@@ -162,8 +164,8 @@
 static void narrowto(const mp_State *state, Scope *s, const char *dc, int to) {
   unsigned i = 0;
   while (i < s->n) {
-    if (place_moves(state->config, s->rule, to ? dc : s->name[i],
-                    to ? s->name[i] : dc)) {
+    if (place_may_move_kv(state->config, s->rule, to ? dc : s->name[i],
+                          to ? s->name[i] : dc)) {
       i++;
       continue;
     }
@@ -186,7 +188,7 @@
 }
 
 /* an adapter's KV is as large as that of its service's largest model */
-uint64_t choice_kvbytes(const mp_State *state, const Request *r) {
+uint64_t choice_kv_bytes(const mp_State *state, const Request *r) {
   const mp_Config *c = state->config;
   uint32_t each = 0;
   unsigned i;
@@ -201,21 +203,22 @@
   return (uint64_t)each * r->prompt_tokens;
 }
 
-uint32_t choice_prefilltime(const Endpoint *e, uint32_t tokens) {
-  uint64_t sum = (uint64_t)tokens + e->pledged;
+uint32_t choice_prefill_ms(const Endpoint *e, uint32_t tokens) {
+  uint64_t sum = (uint64_t)tokens + e->reserved_since_load;
   return e->wait + (uint32_t)(sum * 1000 / prefillrate(e));
 }
 
 /* smaller is better; about 0 to 1 for decode, milliseconds for the rest */
 static double score(const mp_State *state, const Endpoint *e) {
-  double away = e->dchash != state->dchash ? AWAY_COST : 0;
+  double away = e->dc_hash != state->dc_hash ? AWAY_COST : 0;
   switch (e->role) {
   case MP_ROLE_DECODE:
-    if (state_get(state->kept, e->addr) != NULL)
+    if (state_table_get(state->kept, e->addr) != NULL)
       away -= KEPT_GAIN;
-    return ((double)e->used + e->pledged) / MAX(e->slots, 1) + away;
+    return ((double)e->used + e->reserved_since_load) / MAX(e->slots, 1) +
+           away;
   case MP_ROLE_PREFILL:
-    return choice_prefilltime(e, 0);
+    return choice_prefill_ms(e, 0);
   default:
     return e->mine + away;
   }
@@ -258,7 +261,7 @@
   guint i;
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
-    if (state_get(state->kept, e->addr) != NULL &&
+    if (state_table_get(state->kept, e->addr) != NULL &&
         score(state, e) < score(state, win))
       win = e;
   }
@@ -272,7 +275,7 @@
   case MP_PICK_RANDOM:
     return draw(state, a);
   case MP_PICK_ROUND_ROBIN:
-    return a->pdata[state->robin++ % a->len];
+    return a->pdata[state->round_robin_next++ % a->len];
   case MP_PICK_LEAST_LOADED:
     return least(state, a);
   case MP_PICK_TWO_CHOICES:
@@ -289,15 +292,16 @@
 */
 static uint32_t cost(const mp_State *state, const Request *r,
                      const Endpoint *e, const char *dc) {
-  uint32_t ms = choice_prefilltime(e, 0);
+  uint32_t ms = choice_prefill_ms(e, 0);
   if (r->prompt_tokens >= MP_LONG_PROMPT) /* long ones wait for each other */
     ms += (uint32_t)((uint64_t)e->used * r->prompt_tokens * 1000 /
                      prefillrate(e));
   if (dc != NULL && strcmp(dc, e->dc) != 0 &&
       state->config->policy->transfer_plan)
-    ms +=
-        (uint32_t)(2 * link_time(state, e->dc, dc, choice_kvbytes(state, r)) /
-                   MP_MS);
+    ms += (uint32_t)(2 *
+                     link_transfer_time(state, e->dc, dc,
+                                        choice_kv_bytes(state, r)) /
+                     MP_MS);
   return ms;
 }
 
@@ -325,7 +329,7 @@
   bound = MAX(bound + BOUND_LEAST, bound * BOUND_OVER / 100);
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
-    uint64_t w = member_weight(e->addr, r->prefix);
+    uint64_t w = member_hash_weight(e->addr, r->prefix);
     if (cost(state, r, e, dc) <= bound && (win == NULL || w > top)) {
       win = e;
       top = w;
@@ -336,8 +340,8 @@
 
 /* }================================================================== */
 
-Endpoint *choice_decode(mp_State *state, const Request *r) {
-  const Endpoint *src = r->kv != NULL ? fleet_get(state, r->kv_at) : NULL;
+Endpoint *choice_decode_endpoint(mp_State *state, const Request *r) {
+  const Endpoint *src = r->kv != NULL ? fleet_get(state, r->kv_source) : NULL;
   Scope s = scope(state, r);
   GPtrArray *a;
   Endpoint *e;
@@ -351,7 +355,8 @@
   return e;
 }
 
-Endpoint *choice_prefill(mp_State *state, const Request *r, const char *dc) {
+Endpoint *choice_prefill_endpoint(mp_State *state, const Request *r,
+                                  const char *dc) {
   const mp_Policy *p = state->config->policy;
   Scope s = scope(state, r);
   GPtrArray *a;
@@ -371,7 +376,7 @@
   return e;
 }
 
-Endpoint *choice_plain(mp_State *state, const Request *r) {
+Endpoint *choice_plain_endpoint(mp_State *state, const Request *r) {
   Scope s = scope(state, r);
   GPtrArray *a = candidates(state, r, &s, MP_ROLE_PLAIN);
   Endpoint *e = bypolicy(state, a);
--- a/core/shard.c
+++ b/core/shard.c
@@ -99,9 +99,9 @@
     ok = parserow(lines[i], &c);
     if (!ok)
       break;
-    r = claim_getrow(state, c.id);
+    r = claim_find_row(state, c.id);
     if (r == NULL)
-      r = claim_addrow(state, &c, MP_RAN_UNKNOWN);
+      r = claim_add_row(state, &c, MP_RAN_UNKNOWN);
     r->token = c.token; /* the object decides who has it */
     r->durable = 1;
   }
@@ -116,7 +116,7 @@
   g_hash_table_iter_init(&it, claim_rows(state));
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     ClaimRow *r = v;
-    if (r->durable && claim_shardof(r->id) == s->no)
+    if (r->durable && claim_shard_of(r->id) == s->no)
       g_hash_table_iter_remove(&it);
   }
 }
@@ -151,8 +151,8 @@
   char key[96];
   s->state = SH_READING;
   shardkey(s, key);
-  effect_store(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT, shardread,
-               s);
+  effect_store_call(state, MP_ST_GET, key, 0, NULL, 0, MP_STORE_TIMEOUT,
+                    shardread, s);
 }
 
 /* the claims of a write are in force */
@@ -160,7 +160,7 @@
   guint i;
   for (i = 0; i < s->writing->len; i++) {
     Pending *p = s->writing->pdata[i];
-    ClaimRow *r = claim_addrow(state, &p->call.u.claim, MP_RAN_UNKNOWN);
+    ClaimRow *r = claim_add_row(state, &p->call.u.claim, MP_RAN_UNKNOWN);
     r->durable = 1;
     claim_answer(state, p->from, &p->call, MP_GRANTED, MP_RAN_NO);
   }
@@ -208,12 +208,12 @@
   guint i = 0;
   while (i < s->pending->len) {
     Pending *p = s->pending->pdata[i];
-    const ClaimRow *r = claim_getrow(state, p->row.id);
+    const ClaimRow *r = claim_find_row(state, p->row.id);
     if (r == NULL) {
       i++;
       continue;
     }
-    if (state_sametoken(&r->token, &p->row.token))
+    if (state_token_equal(&r->token, &p->row.token))
       claim_answer(state, p->from, &p->call, MP_GRANTED, MP_RAN_NO);
     else
       claim_answer(state, p->from, &p->call, MP_DENIED, r->ran);
@@ -226,7 +226,7 @@
   guint i;
   for (i = 0; i < s->writing->len; i++) {
     const Pending *o = s->writing->pdata[i];
-    if (claim_sameid(o->row.id, p->row.id))
+    if (claim_id_equal(o->row.id, p->row.id))
       return 1;
   }
   return 0;
@@ -255,7 +255,7 @@
   g_hash_table_iter_init(&it, claim_rows(state));
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     const ClaimRow *r = v;
-    if (r->durable && claim_shardof(r->id) == s->no)
+    if (r->durable && claim_shard_of(r->id) == s->no)
       rowtext(g, r);
   }
   for (i = 0; i < s->writing->len; i++)
@@ -263,8 +263,8 @@
   s->state = SH_WRITING;
   s->dirty = 0;
   shardkey(s, key);
-  effect_store(state, MP_ST_PUT, key, s->version, g->str, g->len,
-               MP_STORE_TIMEOUT, shardwritten, s);
+  effect_store_call(state, MP_ST_PUT, key, s->version, g->str, g->len,
+                    MP_STORE_TIMEOUT, shardwritten, s);
   g_string_free(g, TRUE);
 }
 
@@ -293,8 +293,8 @@
   guint i;
   for (i = 0; i < ps->len; i++) {
     Pending *p = ps->pdata[i];
-    if (claim_sameid(p->row.id, m->u.claim.id) &&
-        state_sametoken(&p->row.token, &m->u.claim.token)) {
+    if (claim_id_equal(p->row.id, m->u.claim.id) &&
+        state_token_equal(&p->row.token, &m->u.claim.token)) {
       p->from = from;
       p->call = *m; /* answer the newest call */
       return 1;
@@ -305,7 +305,7 @@
 
 void shard_claim(mp_State *state, mp_Addr from, const mp_Msg *m,
                  const char *dc) {
-  Shard *s = &state->shards->shard[claim_shardof(m->u.claim.id)];
+  Shard *s = &state->shards->shard[claim_shard_of(m->u.claim.id)];
   Pending *p;
   if (strcmp(s->dc, dc) != 0 && s->pending->len + s->writing->len == 0 &&
       (s->state == SH_COLD || s->state == SH_WARM)) {
@@ -328,12 +328,12 @@
   work(state, s);
 }
 
-void shard_freed(mp_State *state, const ClaimRow *r) {
+void shard_mark_freed(mp_State *state, const ClaimRow *r) {
   if (r->durable)
-    state->shards->shard[claim_shardof(r->id)].dirty = 1;
+    state->shards->shard[claim_shard_of(r->id)].dirty = 1;
 }
 
-void shard_tidy(mp_State *state) {
+void shard_write_freed(mp_State *state) {
   unsigned i;
   for (i = 0; i < MP_CLAIM_SHARDS; i++) {
     Shard *s = &state->shards->shard[i];
--- a/core/slots.c
+++ b/core/slots.c
@@ -18,8 +18,8 @@
 ** ===================================================================
 */
 
-void flow_attempt(Request *r, Attempt *a, const Endpoint *e, mp_Role role,
-                  uint32_t tokens) {
+void flow_init_attempt(Request *r, Attempt *a, const Endpoint *e, mp_Role role,
+                       uint32_t tokens) {
   g_assert(a->no == 0);
   a->no = ++r->attempts;
   a->endpoint = e->addr;
@@ -32,7 +32,7 @@
   mp_Time by = r->deadline;
   mp_Time left;
   if (r->kv != NULL) /* a result that is there is used late rather than lost */
-    by = MIN(by, r->kv_until);
+    by = MIN(by, r->kv_expires_at);
   else if (flow_policy(state)->refuse_early && r->got == 0)
     by = MIN(by, r->arrived + (mp_Time)r->first_ms * MP_MS *
                                   flow_policy(state)->refuse_at / 100);
@@ -44,54 +44,55 @@
 static void full(mp_State *state, Request *r) {
   int s = MAX(mp_error_retry(MP_ERR_OVERLOAD), (int)(r->wait_ms / 1000) + 1);
   if (r->ran != MP_RAN_NO)
-    flow_giveup(state, r);
+    flow_give_up(state, r);
   else
     flow_refuse(state, r, MP_ERR_OVERLOAD, MIN(s, 30));
 }
 
-void flow_nowhere(mp_State *state, Request *r) {
+void flow_refuse_no_endpoint(mp_State *state, Request *r) {
   if (r->wait_ms > 0)
     full(state, r);
   else if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
                 mp_error_retry(MP_ERR_PLACE_AWAY));
   else
-    flow_giveup(state, r);
+    flow_give_up(state, r);
 }
 
 static void slotlate(mp_State *state, void *ud) {
   Request *r = ud;
-  Attempt *a = r->step == ST_PREFILL_SLOT ? &r->prefill : &r->decode;
-  flow_reserved(state, r, a, MP_DENIED, slack(state, r, 0));
+  Attempt *a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
+  flow_on_reservation(state, r, a, MP_DENIED, slack(state, r, 0));
 }
 
-void flow_decodeslot(mp_State *state, Request *r) {
-  Endpoint *e = choice_decode(state, r);
+void flow_reserve_decode(mp_State *state, Request *r) {
+  Endpoint *e = choice_decode_endpoint(state, r);
   uint32_t need = 0;
   if (e == NULL) {
-    flow_nowhere(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
   if (r->kv == NULL) {
-    const Endpoint *p = choice_prefill(state, r, e->dc);
-    need = p != NULL ? choice_prefilltime(p, r->prompt_tokens) : 0;
+    const Endpoint *p = choice_prefill_endpoint(state, r, e->dc);
+    need = p != NULL ? choice_prefill_ms(p, r->prompt_tokens) : 0;
   }
-  flow_attempt(r, &r->decode, e, MP_ROLE_DECODE, r->max_tokens - r->got);
+  flow_init_attempt(r, &r->decode, e, MP_ROLE_DECODE, r->max_tokens - r->got);
   holder_reserve(state, r, &r->decode, slack(state, r, need), need);
 }
 
-void flow_prefillslot(mp_State *state, Request *r) {
+void flow_reserve_prefill(mp_State *state, Request *r) {
   const Endpoint *d =
       r->decode.no != 0 ? fleet_get(state, r->decode.endpoint) : NULL;
-  Endpoint *e = choice_prefill(state, r, d != NULL ? d->dc : NULL);
+  Endpoint *e = choice_prefill_endpoint(state, r, d != NULL ? d->dc : NULL);
   uint32_t need;
   if (e == NULL) {
-    flow_nowhere(state, r);
+    flow_refuse_no_endpoint(state, r);
     return;
   }
   need = (uint32_t)((uint64_t)r->prompt_tokens * 1000 /
                     MAX(e->rate > 0 ? e->rate : MP_PREFILL_RATE, 1));
-  flow_attempt(r, &r->prefill, e, MP_ROLE_PREFILL, r->prompt_tokens + r->got);
+  flow_init_attempt(r, &r->prefill, e, MP_ROLE_PREFILL,
+                    r->prompt_tokens + r->got);
   holder_reserve(state, r, &r->prefill, slack(state, r, need), 0);
 }
 
@@ -99,18 +100,21 @@
   a->granted = 1;
   a->waiting = 0;
   a->begun = state->now;
-  r->navoid = 0;
+  r->avoid_count = 0;
   r->wait_ms = 0;
   timer_stop(&state->timers, &r->timer);
   if (a == &r->prefill)
-    flow_enter(state, r, ST_PREFILL);
+    flow_enter_step(state, r, FLOW_STEP_PREFILL);
   else
-    flow_enter(state, r, r->kv != NULL ? ST_TRANSFER : ST_PREFILL_SLOT);
+    flow_enter_step(state, r,
+                    r->kv != NULL ? FLOW_STEP_TRANSFER
+                                  : FLOW_STEP_RESERVE_PREFILL);
 }
 
-void flow_reserved(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
-                   uint32_t wait_ms) {
-  Step s = a == &r->prefill ? ST_PREFILL_SLOT : ST_DECODE_SLOT;
+void flow_on_reservation(mp_State *state, Request *r, Attempt *a, mp_Verdict v,
+                         uint32_t wait_ms) {
+  Step s =
+      a == &r->prefill ? FLOW_STEP_RESERVE_PREFILL : FLOW_STEP_RESERVE_DECODE;
   g_assert(a->no != 0);
   if (a->granted)
     return;
@@ -126,18 +130,18 @@
     return;
   }
   timer_stop(&state->timers, &r->timer);
-  holder_forget(state, r);
-  flow_avoid(r, a->endpoint);
-  flow_endattempt(state, r, a);
+  holder_cancel_call(state, r);
+  flow_avoid_endpoint(r, a->endpoint);
+  flow_end_attempt(state, r, a);
   if (v == MP_DENIED) {
     r->wait_ms = MAX(r->wait_ms, MAX(wait_ms, 1));
-    if (r->navoid >= MP_MAXTRIES)
+    if (r->avoid_count >= MP_MAXTRIES)
       full(state, r);
     else
-      flow_enter(state, r, s);
+      flow_enter_step(state, r, s);
     return;
   }
-  flow_again(state, r, s, 1); /* no keeper answered: nothing was run */
+  flow_retry_step(state, r, s, 1); /* no keeper answered: nothing was run */
 }
 
 /* }================================================================== */
--- a/core/state.c
+++ b/core/state.c
@@ -31,28 +31,28 @@
 ** ===================================================================
 */
 
-uint32_t state_hash(const char *s) {
+uint32_t state_name_hash(const char *s) {
   uint32_t h = XXH32(s, strlen(s), 0);
   return h != 0 ? h : 1; /* 0 is "none" */
 }
 
-GHashTable *state_table(GDestroyNotify freerow) {
+GHashTable *state_table_new(GDestroyNotify freerow) {
   return g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, freerow);
 }
 
-void *state_get(GHashTable *t, uint64_t key) {
+void *state_table_get(GHashTable *t, uint64_t key) {
   return g_hash_table_lookup(t, &key);
 }
 
-void state_set(GHashTable *t, uint64_t key, void *row) {
+void state_table_set(GHashTable *t, uint64_t key, void *row) {
   g_hash_table_replace(t, g_memdup2(&key, sizeof key), row);
 }
 
-void state_del(GHashTable *t, uint64_t key) {
+void state_table_remove(GHashTable *t, uint64_t key) {
   g_hash_table_remove(t, &key);
 }
 
-int state_sametoken(const mp_Token *a, const mp_Token *b) {
+int state_token_equal(const mp_Token *a, const mp_Token *b) {
   return a->owner == b->owner && a->start == b->start && a->seq == b->seq;
 }
 
@@ -70,12 +70,12 @@
 
 static void tables(mp_State *state) {
   state->members = g_ptr_array_new_with_free_func(g_free);
-  state->memberby = state_table(NULL);
+  state->member_by_addr = state_table_new(NULL);
   state->endpoints = g_ptr_array_new_with_free_func(g_free);
-  state->endpointby = state_table(NULL);
+  state->endpoint_by_addr = state_table_new(NULL);
   state->requests = g_ptr_array_new_with_free_func(freerequest);
-  state->requestby = state_table(NULL);
-  state->requestseq = state_table(NULL);
+  state->request_by_call = state_table_new(NULL);
+  state->request_by_seq = state_table_new(NULL);
   state->holds = g_ptr_array_new_with_free_func(g_free);
 }
 
@@ -87,8 +87,8 @@
       continue;
     m.kind = MP_MSG_PROBE;
     m.u.probe.start = state->start;
-    m.u.probe.dc = state->dchash;
-    member_seed(state, o->seeds[i], &m);
+    m.u.probe.dc = state->dc_hash;
+    member_probe_seed(state, o->seeds[i], &m);
   }
 }
 
@@ -100,13 +100,13 @@
   state->now = now;
   state->self = o->self;
   g_strlcpy(state->dc, o->dc, sizeof state->dc);
-  state->dchash = state_hash(o->dc);
+  state->dc_hash = state_name_hash(o->dc);
   state->start = o->start;
   state->net = o->net;
   state->mask = o->mask;
   state->codec = o->codec;
   state->rand = g_rand_new_with_seed((guint32)(o->seed ^ (o->seed >> 32)));
-  state->retryat = now;
+  state->retry_budget_updated_at = now;
   effect_init(state);
   tables(state);
   member_init(state);
@@ -138,10 +138,10 @@
   keeper_free(state);
   document_free(state);
   member_free(state);
-  g_hash_table_destroy(state->memberby);
-  g_hash_table_destroy(state->endpointby);
-  g_hash_table_destroy(state->requestby);
-  g_hash_table_destroy(state->requestseq);
+  g_hash_table_destroy(state->member_by_addr);
+  g_hash_table_destroy(state->endpoint_by_addr);
+  g_hash_table_destroy(state->request_by_call);
+  g_hash_table_destroy(state->request_by_seq);
   g_ptr_array_unref(state->members);
   g_ptr_array_unref(state->endpoints);
   g_ptr_array_unref(state->requests);
@@ -170,25 +170,25 @@
 */
 static void drained(mp_State *state, void *ud) {
   (void)ud;
-  if (state->requests->len == 0 && cancel_open(state) == 0 &&
-      state->now - state->drainsince >= MP_DRAIN_LINGER &&
-      claim_handover(state) == 0) {
+  if (state->requests->len == 0 && cancel_pending_count(state) == 0 &&
+      state->now - state->drain_started_at >= MP_DRAIN_LINGER &&
+      claim_hand_over(state) == 0) {
     effect_log(state, MP_LOG_DRAINED, "%s", "");
     effect_drained(state);
     return;
   }
-  timer_arm(&state->timers, &state->draintimer, state->now + MP_SEC / 2,
+  timer_arm(&state->timers, &state->drain_check_timer, state->now + MP_SEC / 2,
             drained, NULL);
 }
 
 static void drain(mp_State *state) {
   if (state->draining)
     return;
-  state->drainsince = state->now;
+  state->drain_started_at = state->now;
   effect_log(state, MP_LOG_DRAIN, " requests=%u", state->requests->len);
-  member_leave(state);
-  order_release(state);
-  timer_arm(&state->timers, &state->draintimer, state->now + MP_SEC / 2,
+  member_announce_leave(state);
+  order_drop_lease(state);
+  timer_arm(&state->timers, &state->drain_check_timer, state->now + MP_SEC / 2,
             drained, NULL);
 }
 
@@ -203,46 +203,46 @@
 static void stranger(mp_State *state, mp_Addr from) {
   char a[24];
   mp_addr_text(from, a);
-  mpcount(state, STRANGERS);
+  state_count(state, STRANGERS);
   effect_log(state, MP_LOG_STRANGER, " from=%s", a);
 }
 
 static void message(mp_State *state, mp_Addr from, const mp_Msg *m) {
   if (m->reply) {
-    member_heard(state, from);
-    effect_gotreply(state, from, m);
+    member_mark_responsive(state, from);
+    effect_on_rpc_reply(state, from, m);
     return;
   }
   switch (m->kind) {
   case MP_MSG_PROBE:
-    member_probe(state, from, m);
+    member_on_probe(state, from, m);
     break;
   case MP_MSG_PROBE_VIA:
-    member_probevia(state, from, m);
+    member_on_probe_via(state, from, m);
     break;
   case MP_MSG_RESERVE:
-    keeper_reserve(state, from, m);
+    keeper_on_reserve(state, from, m);
     break;
   case MP_MSG_GRANT:
-    holder_ongrant(state, from, m);
+    holder_on_grant(state, from, m);
     break;
   case MP_MSG_RENEW:
-    keeper_renew(state, from, m);
+    keeper_on_renew(state, from, m);
     break;
   case MP_MSG_RELEASE:
-    keeper_release(state, from, m);
+    keeper_on_release(state, from, m);
     break;
   case MP_MSG_CLAIM:
-    claim_onclaim(state, from, m);
+    claim_on_claim(state, from, m);
     break;
   case MP_MSG_SETTLE:
-    claim_onsettle(state, from, m);
+    claim_on_settle(state, from, m);
     break;
   case MP_MSG_QUOTA:
-    quota_onquota(state, from, m);
+    quota_handle_message(state, from, m);
     break;
   case MP_MSG_FETCH:
-    document_fetch(state, from, m);
+    document_on_fetch(state, from, m);
     break;
   case MP_MSG_LOAD_DIGEST: /* between routers of another dialect */
   case MP_MSG_LOAD_NOTE:
@@ -257,7 +257,7 @@
 }
 
 static void hangup(mp_State *state, uint64_t call) {
-  Request *r = state_get(state->requestby, call);
+  Request *r = state_table_get(state->request_by_call, call);
   if (r != NULL)
     flow_hangup(state, r);
 }
@@ -273,18 +273,18 @@
     hangup(state, e->u.hangup);
     break;
   case MP_EV_MSG:
-    mpcount(state, MSG_IN);
-    if (member_trusted(state, e->u.msg.from))
+    state_count(state, MSG_IN);
+    if (member_is_trusted(state, e->u.msg.from))
       message(state, e->u.msg.from, e->u.msg.msg);
     else
       stranger(state, e->u.msg.from);
     break;
   case MP_EV_ENDPOINT:
-    if (!effect_gotxcall(state, &e->u.endpoint))
-      mpcount(state, STALE); /* of an attempt that is over */
+    if (!effect_on_endpoint_event(state, &e->u.endpoint))
+      state_count(state, STALE); /* of an attempt that is over */
     break;
   case MP_EV_STORE:
-    effect_gotstore(state, &e->u.store);
+    effect_on_store_event(state, &e->u.store);
     break;
   case MP_EV_DRAIN:
     drain(state);
@@ -295,7 +295,7 @@
 /* what this instance sent to itself is handled before it waits again */
 static void loop(mp_State *state) {
   mp_Msg m;
-  while (effect_looped(state, &m))
+  while (effect_take_loopback(state, &m))
     message(state, state->self, &m);
 }
 
@@ -303,7 +303,8 @@
   g_assert(now >= state->now);
   if (now - state->now > PAUSED) {
     state->now = now;
-    member_paused(state); /* before any timer or message acts on what is old */
+    member_on_pause(
+        state); /* before any timer or message acts on what is old */
     order_paused(state);
   }
   state->now = now;
@@ -371,7 +372,7 @@
   out->leaving = e->leaving || e->drained;
   out->down = e->down;
   out->ejected = e->ejected > state->now;
-  out->keeper = keeper_keeper(state, e);
+  out->keeper = keeper_of_endpoint(state, e);
   return 1;
 }
 
--- a/core/step.h
+++ b/core/step.h
@@ -12,7 +12,12 @@
 #include "state.h"
 
 /* how a call to an endpoint ended */
-typedef enum Why { WHY_REFUSED, WHY_CONNECT, WHY_BROKEN, WHY_SILENT } Why;
+typedef enum CallFailure {
+  CALL_FAILURE_REFUSED,
+  CALL_FAILURE_CONNECT,
+  CALL_FAILURE_BROKEN,
+  CALL_FAILURE_TIMEOUT
+} CallFailure;
 
 const mp_Policy *flow_policy(const mp_State *state);
 
@@ -23,7 +28,7 @@
 */
 
 /* go to a step; may end */
-void flow_enter(mp_State *state, Request *r, Step s);
+void flow_enter_step(mp_State *state, Request *r, Step s);
 
 /* }================================================================== */
 
@@ -37,25 +42,25 @@
 void flow_complete(mp_State *state, Request *r);
 
 /* no way on: say what is known, and when to come back; ends */
-void flow_giveup(mp_State *state, Request *r);
+void flow_give_up(mp_State *state, Request *r);
 
 /* timer: the deadline passed; ends */
-void flow_late(mp_State *state, void *ud);
+void flow_on_deadline(mp_State *state, void *ud);
 
 /* end an attempt: close its call, free what it holds, give it back */
-void flow_endattempt(mp_State *state, Request *r, Attempt *a);
+void flow_end_attempt(mp_State *state, Request *r, Attempt *a);
 
 /* do not choose this endpoint for the step again */
-void flow_avoid(Request *r, mp_Addr a);
+void flow_avoid_endpoint(Request *r, mp_Addr a);
 
 /* enter a step after a wait */
-void flow_later(mp_State *state, Request *r, Step s, mp_Time wait);
+void flow_enter_step_after(mp_State *state, Request *r, Step s, mp_Time wait);
 
 /* back to a step after a failure, if that is allowed; may end */
-void flow_again(mp_State *state, Request *r, Step s, int clean);
+void flow_retry_step(mp_State *state, Request *r, Step s, int clean);
 
 /* where to begin again, given what is still there */
-Step flow_restart(mp_State *state, Request *r);
+Step flow_restart_step(mp_State *state, Request *r);
 
 /* }================================================================== */
 
@@ -66,15 +71,15 @@
 */
 
 /* number an attempt and give it its endpoint */
-void flow_attempt(Request *r, Attempt *a, const Endpoint *e, mp_Role role,
-                  uint32_t tokens);
+void flow_init_attempt(Request *r, Attempt *a, const Endpoint *e, mp_Role role,
+                       uint32_t tokens);
 
 /* no endpoint can be chosen; ends */
-void flow_nowhere(mp_State *state, Request *r);
+void flow_refuse_no_endpoint(mp_State *state, Request *r);
 
 /* the two steps; may end */
-void flow_decodeslot(mp_State *state, Request *r);
-void flow_prefillslot(mp_State *state, Request *r);
+void flow_reserve_decode(mp_State *state, Request *r);
+void flow_reserve_prefill(mp_State *state, Request *r);
 
 /* }================================================================== */
 
@@ -85,34 +90,37 @@
 */
 
 /* the work goes out now: from here on it may have run */
-void flow_dispatched(Request *r, Attempt *a);
+void flow_mark_dispatched(Request *r, Attempt *a);
 
 /* the call of an attempt, with all that every kind of work says */
-mp_Xcall flow_call(const Request *r, const Attempt *a, mp_XcallOp op);
+mp_Xcall flow_make_endpoint_call(const Request *r, const Attempt *a,
+                                 mp_XcallOp op);
 
 /* the endpoint certainly did not run it */
-void flow_notrun(Request *r);
+void flow_mark_not_run(Request *r);
 
-Why flow_whyof(const mp_EndpointEvent *e);
+CallFailure flow_call_failure(const mp_EndpointEvent *e);
 
 /* was the work certainly not run? */
-int flow_clean(Why w);
+int flow_is_not_run(CallFailure w);
 
 /* the attempt is over without an answer; begin again elsewhere; may end */
-void flow_failed(mp_State *state, Request *r, Attempt *a, Why why);
+void flow_attempt_failed(mp_State *state, Request *r, Attempt *a,
+                         CallFailure why);
 
 /* the endpoint found the request at fault; ends */
-void flow_rejected(mp_State *state, Request *r);
+void flow_request_rejected(mp_State *state, Request *r);
 
 /* the place gate at the instant of dispatch; NULL: forbidden */
-Endpoint *flow_gate(mp_State *state, const Request *r, const Attempt *a);
+Endpoint *flow_check_place(mp_State *state, const Request *r,
+                           const Attempt *a);
 
 /* a rule changed under way: nothing goes there any more; may end */
-void flow_gated(mp_State *state, Request *r, Attempt *a);
+void flow_place_denied(mp_State *state, Request *r, Attempt *a);
 
 /* the two steps; may end */
-void flow_prefill(mp_State *state, Request *r);
-void flow_transfer(mp_State *state, Request *r);
+void flow_start_prefill(mp_State *state, Request *r);
+void flow_start_transfer(mp_State *state, Request *r);
 
 /* }================================================================== */
 
@@ -123,8 +131,8 @@
 */
 
 /* MP_X_DECODE or MP_X_RESUME; may end */
-void flow_decode(mp_State *state, Request *r, mp_XcallOp op);
-void flow_plain(mp_State *state, Request *r);
+void flow_start_decode(mp_State *state, Request *r, mp_XcallOp op);
+void flow_start_plain(mp_State *state, Request *r);
 
 /* }================================================================== */
 
--- a/core/timer.c
+++ b/core/timer.c
@@ -5,12 +5,12 @@
 
 #include "timer.h"
 
-static void put(Timers *T, unsigned i, Timer *t) {
+static void put(TimerHeap *T, unsigned i, Timer *t) {
   T->heap[i] = t;
   t->pos = i + 1;
 }
 
-static void up(Timers *T, unsigned i) {
+static void up(TimerHeap *T, unsigned i) {
   Timer *t = T->heap[i];
   while (i > 0) {
     unsigned p = (i - 1) / 2;
@@ -22,7 +22,7 @@
   put(T, i, t);
 }
 
-static void down(Timers *T, unsigned i) {
+static void down(TimerHeap *T, unsigned i) {
   Timer *t = T->heap[i];
   for (;;) {
     unsigned c = 2 * i + 1;
@@ -38,7 +38,8 @@
   put(T, i, t);
 }
 
-void timer_arm(Timers *T, Timer *t, mp_Time when, TimerFn fn, void *ud) {
+void timer_arm(TimerHeap *T, Timer *t, mp_Time when, TimerCallback fn,
+               void *ud) {
   timer_stop(T, t);
   if (T->n == T->size) {
     T->size = T->size ? 2 * T->size : 64;
@@ -52,7 +53,7 @@
   up(T, T->n - 1);
 }
 
-void timer_stop(Timers *T, Timer *t) {
+void timer_stop(TimerHeap *T, Timer *t) {
   unsigned i;
   Timer *last;
   if (t->pos == 0)
@@ -69,7 +70,7 @@
   up(T, last->pos - 1);
 }
 
-void timer_run(mp_State *state, Timers *T, mp_Time now) {
+void timer_run(mp_State *state, TimerHeap *T, mp_Time now) {
   while (T->n > 0 && T->heap[0]->when <= now) {
     Timer *t = T->heap[0];
     timer_stop(T, t);
@@ -77,11 +78,11 @@
   }
 }
 
-mp_Time timer_next(const Timers *T) {
+mp_Time timer_next(const TimerHeap *T) {
   return T->n > 0 ? T->heap[0]->when : INT64_MAX;
 }
 
-void timer_free(Timers *T) {
+void timer_free(TimerHeap *T) {
   unsigned i;
   for (i = 0; i < T->n; i++)
     T->heap[i]->pos = 0; /* their rows are freed later */
--- a/core/work.c
+++ b/core/work.c
@@ -23,14 +23,15 @@
 */
 
 /* the work goes out now: from here on it may have run */
-void flow_dispatched(Request *r, Attempt *a) {
+void flow_mark_dispatched(Request *r, Attempt *a) {
   r->before = r->ran;
   if (r->ran == MP_RAN_NO)
     r->ran = MP_RAN_UNKNOWN;
   a->sent = 1;
 }
 
-mp_Xcall flow_call(const Request *r, const Attempt *a, mp_XcallOp op) {
+mp_Xcall flow_make_endpoint_call(const Request *r, const Attempt *a,
+                                 mp_XcallOp op) {
   mp_Xcall x = {0};
   x.op = op;
   x.endpoint = a->endpoint;
@@ -45,95 +46,99 @@
 }
 
 /* the endpoint certainly did not run it */
-void flow_notrun(Request *r) {
+void flow_mark_not_run(Request *r) {
   r->ran = r->before;
 }
 
-Why flow_whyof(const mp_EndpointEvent *e) {
+CallFailure flow_call_failure(const mp_EndpointEvent *e) {
   switch (e->fail) {
   case MP_EPF_CONNECT:
-    return WHY_CONNECT;
+    return CALL_FAILURE_CONNECT;
   case MP_EPF_REFUSED:
-    return WHY_REFUSED;
+    return CALL_FAILURE_REFUSED;
   default:
-    return WHY_BROKEN;
+    return CALL_FAILURE_BROKEN;
   }
 }
 
 /* was the work certainly not run? */
-int flow_clean(Why w) {
-  return w == WHY_REFUSED || w == WHY_CONNECT;
+int flow_is_not_run(CallFailure w) {
+  return w == CALL_FAILURE_REFUSED || w == CALL_FAILURE_CONNECT;
 }
 
 /* the attempt is over without an answer; begin again elsewhere */
-void flow_failed(mp_State *state, Request *r, Attempt *a, Why why) {
+void flow_attempt_failed(mp_State *state, Request *r, Attempt *a,
+                         CallFailure why) {
   static const char *const names[] = {"refused", "connect", "broken",
                                       "silent"};
   mp_Addr ep = a->endpoint;
-  int cleanly = flow_clean(why);
+  int cleanly = flow_is_not_run(why);
   char text[24];
   mp_addr_text(ep, text);
   effect_log(state, MP_LOG_FAILED, " seq=%08x endpoint=%s step=%d why=%s",
              r->token.seq, text, (int)r->step, names[why]);
   if (cleanly) {
-    flow_notrun(r);
-    a->sent = a->role == MP_ROLE_DECODE && r->step == ST_DECODE;
+    flow_mark_not_run(r);
+    a->sent = a->role == MP_ROLE_DECODE && r->step == FLOW_STEP_DECODE;
   }
-  if (why != WHY_REFUSED) /* one that refuses is well, but busy */
-    fleet_bad(state, ep);
-  flow_avoid(r, ep);
-  flow_endattempt(state, r, a);
-  flow_again(state, r, flow_restart(state, r), cleanly);
+  if (why != CALL_FAILURE_REFUSED) /* one that refuses is well, but busy */
+    fleet_call_failed(state, ep);
+  flow_avoid_endpoint(r, ep);
+  flow_end_attempt(state, r, a);
+  flow_retry_step(state, r, flow_restart_step(state, r), cleanly);
 }
 
-void flow_rejected(mp_State *state, Request *r) {
-  flow_notrun(r);
+void flow_request_rejected(mp_State *state, Request *r) {
+  flow_mark_not_run(r);
   flow_refuse(state, r, MP_ERR_REJECTED, 0);
 }
 
 /* the gate, asked again at the instant of dispatch */
-Endpoint *flow_gate(mp_State *state, const Request *r, const Attempt *a) {
+Endpoint *flow_check_place(mp_State *state, const Request *r,
+                           const Attempt *a) {
   Endpoint *e = fleet_get(state, a->endpoint);
-  if (e == NULL || !choice_allowed(state, r, e))
+  if (e == NULL || !choice_is_allowed(state, r, e))
     return NULL;
   return e;
 }
 
 /* the same for work that the endpoint has nothing of yet */
 static Endpoint *gatenew(mp_State *state, const Request *r, const Attempt *a) {
-  Endpoint *e = flow_gate(state, r, a);
+  Endpoint *e = flow_check_place(state, r, a);
   return e != NULL && !e->leaving && !e->drained ? e : NULL;
 }
 
 /* a rule changed under way: nothing goes there any more */
-void flow_gated(mp_State *state, Request *r, Attempt *a) {
-  flow_avoid(r, a->endpoint);
-  flow_endattempt(state, r, a);
-  flow_again(state, r, flow_restart(state, r), 1);
+void flow_place_denied(mp_State *state, Request *r, Attempt *a) {
+  flow_avoid_endpoint(r, a->endpoint);
+  flow_end_attempt(state, r, a);
+  flow_retry_step(state, r, flow_restart_step(state, r), 1);
 }
 
 /* an attempt that was asked nothing more: its endpoint is silent */
 static void prefilllate(mp_State *state, void *ud) {
   Request *r = ud;
-  flow_failed(state, r, &r->prefill, WHY_SILENT);
+  flow_attempt_failed(state, r, &r->prefill, CALL_FAILURE_TIMEOUT);
 }
 
 static void prefilled(mp_State *state, Request *r, const mp_EndpointEvent *e) {
   Attempt *a = &r->prefill;
   a->xcall = 0;
   timer_stop(&state->timers, &r->timer);
-  fleet_good(state, a->endpoint);
+  fleet_call_succeeded(state, a->endpoint);
   r->ran = MP_RAN_YES;
   r->kv = g_strndup(e->text, e->len);
-  r->kv_at = a->endpoint;
-  r->kv_until = state->now + (mp_Time)e->life_ms * MP_MS;
-  r->kv_used = 0;
+  r->kv_source = a->endpoint;
+  r->kv_expires_at = state->now + (mp_Time)e->life_ms * MP_MS;
+  r->is_kv_used = 0;
   r->kv_tokens = a->tokens - MIN(e->cached, a->tokens);
   r->tries = 0;
-  r->navoid = 0;
+  r->avoid_count = 0;
   state->count[MP_C_PREFILL_TOKENS] += r->kv_tokens;
   holder_release(state, r, a, 1);
-  flow_enter(state, r, r->decode.granted ? ST_TRANSFER : ST_DECODE_SLOT);
+  flow_enter_step(state, r,
+                  r->decode.granted ? FLOW_STEP_TRANSFER
+                                    : FLOW_STEP_RESERVE_DECODE);
 }
 
 static void onprefill(mp_State *state, void *ud, const mp_EndpointEvent *e) {
@@ -147,25 +152,25 @@
   r->prefill.xcall = 0;
   timer_stop(&state->timers, &r->timer);
   if (e->fail == MP_EPF_REJECTED)
-    flow_rejected(state, r);
+    flow_request_rejected(state, r);
   else
-    flow_failed(state, r, &r->prefill, flow_whyof(e));
+    flow_attempt_failed(state, r, &r->prefill, flow_call_failure(e));
 }
 
-void flow_prefill(mp_State *state, Request *r) {
+void flow_start_prefill(mp_State *state, Request *r) {
   Attempt *a = &r->prefill;
   Endpoint *e = gatenew(state, r, a);
   mp_Xcall x;
   mp_Time expect;
   if (e == NULL) {
-    flow_gated(state, r, a);
+    flow_place_denied(state, r, a);
     return;
   }
-  x = flow_call(r, a, MP_X_PREFILL);
-  flow_dispatched(r, a);
-  mpcount(state, PREFILLS);
-  a->xcall = effect_xcall(state, &x, onprefill, r);
-  expect = (mp_Time)choice_prefilltime(e, r->prompt_tokens) * MP_MS;
+  x = flow_make_endpoint_call(r, a, MP_X_PREFILL);
+  flow_mark_dispatched(r, a);
+  state_count(state, PREFILLS);
+  a->xcall = effect_endpoint_call(state, &x, onprefill, r);
+  expect = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
   timer_arm(&state->timers, &r->timer, state->now + 4 * expect + MP_STALL_TIME,
             prefilllate, r);
 }
@@ -180,8 +185,8 @@
 
 /* the KV result ran out, or its engine is gone: prefill anew */
 static void kvlost(mp_State *state, Request *r) {
-  r->kv_until = 0;
-  flow_again(state, r, flow_restart(state, r), 0);
+  r->kv_expires_at = 0;
+  flow_retry_step(state, r, flow_restart_step(state, r), 0);
 }
 
 /*
@@ -191,24 +196,24 @@
 */
 static void noslot(mp_State *state, Request *r) {
   mp_Addr ep = r->decode.endpoint;
-  mp_Time wait = retry_wait(state, 1);
-  flow_notrun(r);
+  mp_Time wait = retry_backoff(state, 1);
+  flow_mark_not_run(r);
   r->decode.sent = 0;
-  r->navoid = 0;
-  flow_avoid(r, ep);
-  flow_endattempt(state, r, &r->decode);
+  r->avoid_count = 0;
+  flow_avoid_endpoint(r, ep);
+  flow_end_attempt(state, r, &r->decode);
   if (!flow_policy(state)->keep_prefill ||
-      state->now + wait >= MIN(r->kv_until, r->deadline)) {
-    flow_again(state, r, flow_restart(state, r), 1);
+      state->now + wait >= MIN(r->kv_expires_at, r->deadline)) {
+    flow_retry_step(state, r, flow_restart_step(state, r), 1);
     return;
   }
-  flow_later(state, r, ST_DECODE_SLOT, wait);
+  flow_enter_step_after(state, r, FLOW_STEP_RESERVE_DECODE, wait);
 }
 
 static void importlate(mp_State *state, void *ud) {
   Request *r = ud;
-  link_done(state, r);
-  flow_failed(state, r, &r->decode, WHY_SILENT);
+  link_release(state, r);
+  flow_attempt_failed(state, r, &r->decode, CALL_FAILURE_TIMEOUT);
 }
 
 static void onimport(mp_State *state, void *ud, const mp_EndpointEvent *e) {
@@ -218,17 +223,17 @@
     return;
   a->xcall = 0;
   timer_stop(&state->timers, &r->timer);
-  link_done(state, r);
+  link_release(state, r);
   if (e->what == MP_EP_DONE) {
-    mpcount(state, TRANSFERS);
-    flow_enter(state, r, ST_DECODE);
+    state_count(state, TRANSFERS);
+    flow_enter_step(state, r, FLOW_STEP_DECODE);
   } else if (e->fail == MP_EPF_REJECTED) {
     a->sent = 0; /* the source knows no such KV: nothing is held here */
     kvlost(state, r);
   } else if (e->fail == MP_EPF_REFUSED)
     noslot(state, r);
   else
-    flow_failed(state, r, a, flow_whyof(e));
+    flow_attempt_failed(state, r, a, flow_call_failure(e));
 }
 
 /* the link is free: the gate once more, for this very move */
@@ -236,42 +241,44 @@
   Request *r = ud;
   Attempt *a = &r->decode;
   const Endpoint *d = gatenew(state, r, a);
-  const Endpoint *p = fleet_get(state, r->kv_at);
-  const mp_Rule *rule = place_rule(state->config, r->class_name, r->account);
+  const Endpoint *p = fleet_get(state, r->kv_source);
+  const mp_Rule *rule =
+      place_find_rule(state->config, r->class_name, r->account);
   mp_Xcall x;
   mp_Time expect;
   if (d == NULL || p == NULL ||
-      !place_moves(state->config, rule, p->dc, d->dc)) {
-    link_done(state, r);
-    flow_gated(state, r, a);
+      !place_may_move_kv(state->config, rule, p->dc, d->dc)) {
+    link_release(state, r);
+    flow_place_denied(state, r, a);
     return;
   }
-  x = flow_call(r, a, MP_X_IMPORT);
+  x = flow_make_endpoint_call(r, a, MP_X_IMPORT);
   x.kv = r->kv;
-  x.kv_from = r->kv_at;
-  flow_dispatched(r, a);
-  a->xcall = effect_xcall(state, &x, onimport, r);
-  expect = link_time(state, p->dc, d->dc, choice_kvbytes(state, r));
+  x.kv_from = r->kv_source;
+  flow_mark_dispatched(r, a);
+  a->xcall = effect_endpoint_call(state, &x, onimport, r);
+  expect = link_transfer_time(state, p->dc, d->dc, choice_kv_bytes(state, r));
   timer_arm(&state->timers, &r->timer,
             MIN(state->now + 4 * expect + MP_STALL_TIME / 2,
-                MAX(r->kv_until, state->now) + MP_SEC / 2),
+                MAX(r->kv_expires_at, state->now) + MP_SEC / 2),
             importlate, r);
 }
 
-void flow_transfer(mp_State *state, Request *r) {
+void flow_start_transfer(mp_State *state, Request *r) {
   const Endpoint *d = fleet_get(state, r->decode.endpoint);
-  const Endpoint *p = fleet_get(state, r->kv_at);
-  uint64_t bytes = choice_kvbytes(state, r);
+  const Endpoint *p = fleet_get(state, r->kv_source);
+  uint64_t bytes = choice_kv_bytes(state, r);
   if (d == NULL) {
-    flow_gated(state, r, &r->decode);
+    flow_place_denied(state, r, &r->decode);
     return;
   }
   if (p == NULL ||
-      state->now + link_time(state, p->dc, d->dc, bytes) > r->kv_until) {
+      state->now + link_transfer_time(state, p->dc, d->dc, bytes) >
+          r->kv_expires_at) {
     kvlost(state, r);
     return;
   }
-  link_ask(state, p->dc, d->dc, bytes, r->kv_until, import, r);
+  link_request(state, p->dc, d->dc, bytes, r->kv_expires_at, import, r);
 }
 
 /* }================================================================== */
--- a/daemon/madderpierd.c
+++ b/daemon/madderpierd.c
@@ -122,7 +122,7 @@
   event_free(intr);
   event_free(hup);
   if (gateway != NULL)
-    return gateway_drained(gateway) ? 0 : EXIT_CUT;
+    return gateway_is_drained(gateway) ? 0 : EXIT_CUT;
   return node->drained ? 0 : EXIT_CUT;
 }
 
@@ -162,7 +162,7 @@
   o->retry_slack = s->retry_slack;
   o->retry_window = s->retry_window_s * MP_SEC;
   o->watch_wait = s->watch_wait_ms * MP_MS;
-  o->news_within = MIN(s->apply_ms, s->leave_ms) * MP_MS;
+  o->propagation_max = MIN(s->apply_ms, s->leave_ms) * MP_MS;
   o->lease_length = s->lease_ms * MP_MS;
   o->revoke_within = s->revoke_ms * MP_MS;
   o->limits.share = s->limit_over;
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -91,7 +91,7 @@
   g_hash_table_remove(links->calls, &link->call->dispatch);
   endpoint_call_free(link->call);
   link->call = NULL;
-  link_pool_rest(links->pool, link->endpoint, link);
+  link_pool_put_idle(links->pool, link->endpoint, link);
   start_timer(link, limit);
 }
 
@@ -154,8 +154,8 @@
   Outcome outcome = {0};
   PrefillResponse prefill = {0};
   EngineReport report = {0};
-  EndpointAnswer answer = {call->head, (const char *)call->body->data,
-                           call->body->len};
+  EndpointResponse answer = {call->head, (const char *)call->body->data,
+                             call->body->len};
   if (call->kind == DISPATCH_RELEASE) {
     rest_or_close(link);
     return;
@@ -202,7 +202,7 @@
   EndpointSignals signals = call->facts.signals;
   if (call->skip || call->facts.misdirected)
     return;
-  signals.served = endpoint_call_served(call);
+  signals.served = endpoint_call_has_served(call);
   hooks->signals(hooks->data, link->endpoint, call->life, &signals);
 }
 
@@ -233,7 +233,7 @@
 /* pass on the head and the whole events so far; FALSE: the link is gone */
 static gboolean tell_stream(Link *link) {
   EndpointCall *call = link->call;
-  EndpointAnswer answer = {call->head, NULL, 0};
+  EndpointResponse answer = {call->head, NULL, 0};
   Outcome outcome = {0};
   GString *whole;
   char *id = NULL;
@@ -429,7 +429,7 @@
 }
 
 static Link *idle_link(EndpointLinks *links, const char *endpoint) {
-  Link *link = link_pool_take(links->pool, endpoint);
+  Link *link = link_pool_take_idle(links->pool, endpoint);
   if (link != NULL)
     event_del(link->timer);
   return link;
@@ -527,12 +527,12 @@
 
 void endpoint_links_trim(EndpointLinks *links) {
   const EndpointLinksHooks *hooks = &links->hooks;
-  GPtrArray *endpoints = link_pool_endpoints(links->pool);
+  GPtrArray *endpoints = link_pool_idle_endpoints(links->pool);
   guint i;
   for (i = 0; i < endpoints->len; i++) {
     char *endpoint = g_strdup(endpoints->pdata[i]);
     Link *link;
-    while ((link = link_pool_oldest(links->pool, endpoint)) != NULL &&
+    while ((link = link_pool_longest_idle(links->pool, endpoint)) != NULL &&
            !hooks->keeps(hooks->data, endpoint))
       drop(link);
     g_free(endpoint);
@@ -540,10 +540,10 @@
   g_ptr_array_free(endpoints, TRUE);
 }
 
-unsigned endpoint_links_idle(const EndpointLinks *links) {
-  return link_pool_resting(links->pool);
+unsigned endpoint_links_idle_count(const EndpointLinks *links) {
+  return link_pool_idle_count(links->pool);
 }
 
-guint64 endpoint_links_opened(const EndpointLinks *links) {
+guint64 endpoint_links_opened_count(const EndpointLinks *links) {
   return links->opened;
 }
--- a/io/front.c
+++ b/io/front.c
@@ -342,8 +342,8 @@
   return connection != NULL ? connection->body : NULL;
 }
 
-void front_answer(Front *front, guint64 number, const HttpHead *head,
-                  const char *body, gsize size) {
+void front_send_response(Front *front, guint64 number, const HttpHead *head,
+                         const char *body, gsize size) {
   Connection *connection = find(front, number);
   gboolean close;
   if (connection == NULL)
@@ -353,7 +353,7 @@
   answer_ended(connection, close);
 }
 
-void front_begin(Front *front, guint64 number, const HttpHead *from) {
+void front_begin_response(Front *front, guint64 number, const HttpHead *from) {
   Connection *connection = find(front, number);
   HttpHead *head;
   if (connection == NULL)
@@ -365,7 +365,8 @@
   connection->state = CONNECTION_ANSWERING;
 }
 
-void front_piece(Front *front, guint64 number, const char *bytes, gsize size) {
+void front_send_piece(Front *front, guint64 number, const char *bytes,
+                      gsize size) {
   Connection *connection = find(front, number);
   struct evbuffer *out;
   if (connection == NULL || size == 0)
@@ -378,7 +379,7 @@
     shutdown(bufferevent_getfd(connection->events), SHUT_RDWR);
 }
 
-void front_end(Front *front, guint64 number) {
+void front_end_response(Front *front, guint64 number) {
   Connection *connection = find(front, number);
   if (connection == NULL)
     return;
@@ -386,7 +387,7 @@
   answer_ended(connection, closes(connection));
 }
 
-void front_break_off(Front *front, guint64 number) {
+void front_abort_response(Front *front, guint64 number) {
   Connection *connection = find(front, number);
   if (connection == NULL)
     return;
@@ -439,7 +440,7 @@
   g_free(front);
 }
 
-void front_limits(Front *front, const CallerLimits *limits) {
+void front_set_limits(Front *front, const CallerLimits *limits) {
   if (limits->max_head_bytes > 0)
     front->limits.max_head_bytes = limits->max_head_bytes;
   if (limits->max_body_bytes > 0)
--- a/io/store_link.c
+++ b/io/store_link.c
@@ -29,7 +29,7 @@
   struct event *timer;
   gboolean open;
   gint64 patience; /* of the open call */
-  gint64 heard_at; /* as store_link_heard_at */
+  gint64 heard_at; /* as store_link_received_at */
   StoreCall call;
   GString *text; /* the request, until it is written */
   HttpHead *head;
@@ -246,10 +246,10 @@
   return link->calls;
 }
 
-gint64 store_link_heard_at(const StoreLink *link) {
+gint64 store_link_received_at(const StoreLink *link) {
   return link->heard_at;
 }
 
-gsize store_link_received(const StoreLink *link) {
+gsize store_link_received_bytes(const StoreLink *link) {
   return link->body->len;
 }
--- a/test/test_bad_entries.cc
+++ b/test/test_bad_entries.cc
@@ -87,7 +87,7 @@
   EXPECT_STREQ(at(reply, 0).name, "i-1");
   EXPECT_STREQ(at(reply, reply.objects->len - 1).name, "i-1");
   EXPECT_NE(at(reply, 0).text, nullptr);
-  EXPECT_EQ(reply.nameless, bad.has_name ? 0u : 1u) << bad.what;
+  EXPECT_EQ(reply.unreadable_names, bad.has_name ? 0u : 1u) << bad.what;
   if (!bad.has_name)
     return;
   EndpointRecord record;
--- a/test/test_far_numbers.cc
+++ b/test/test_far_numbers.cc
@@ -131,8 +131,8 @@
     mp_LoadDigest digest = {};
     account_limits_write(limits, &digest);
     EXPECT_LE(digest.account[0].level, (unsigned)MP_LEVEL_UNKNOWN);
-    gboolean passed = account_limits_take(limits, account, 1e30, &both, 0.999,
-                                          101 * MP_SEC, &come_back);
+    gboolean passed = account_limits_admit(limits, account, 1e30, &both, 0.999,
+                                           101 * MP_SEC, &come_back);
     EXPECT_TRUE(passed || come_back >= 1 * MP_SEC) << rate;
     account_limits_free(limits);
     route_table_unref(table);
--- a/test/test_place.cc
+++ b/test/test_place.cc
@@ -43,8 +43,8 @@
 };
 
 TEST_F(Place, NoConfigurationForbids) {
-  EXPECT_EQ(place_rule(nullptr, "lookup", nullptr), nullptr);
-  EXPECT_FALSE(place_runs(&c, nullptr, "wien-a"));
+  EXPECT_EQ(place_find_rule(nullptr, "lookup", nullptr), nullptr);
+  EXPECT_FALSE(place_may_run(&c, nullptr, "wien-a"));
   EXPECT_NE(mp_explain(nullptr, "lookup", nullptr, "wien-a"), nullptr);
 }
 
@@ -55,21 +55,21 @@
 }
 
 TEST_F(Place, UnknownClassOrCentreForbids) {
-  EXPECT_EQ(place_rule(&c, "other", nullptr), nullptr);
-  EXPECT_FALSE(place_runs(&c, &rules[0], "nowhere"));
+  EXPECT_EQ(place_find_rule(&c, "other", nullptr), nullptr);
+  EXPECT_FALSE(place_may_run(&c, &rules[0], "nowhere"));
   c.data_centres_count = 1; /* linz-c is not configured any more */
-  EXPECT_FALSE(place_runs(&c, &rules[0], "linz-c"));
+  EXPECT_FALSE(place_may_run(&c, &rules[0], "linz-c"));
 }
 
 TEST_F(Place, KvMovesOnlyWhereBothEndsMayRunAndTheRuleSays) {
-  EXPECT_TRUE(place_moves(&c, &rules[0], "wien-a", "linz-c"));
-  EXPECT_FALSE(place_moves(&c, &rules[0], "wien-a", "graz-x"));
+  EXPECT_TRUE(place_may_move_kv(&c, &rules[0], "wien-a", "linz-c"));
+  EXPECT_FALSE(place_may_move_kv(&c, &rules[0], "wien-a", "graz-x"));
   rules[0].kv_move = MP_KV_ANY;
-  EXPECT_TRUE(place_moves(&c, &rules[0], "wien-a", "graz-x"));
+  EXPECT_TRUE(place_may_move_kv(&c, &rules[0], "wien-a", "graz-x"));
   rules[0].kv_move = MP_KV_STAY;
-  EXPECT_FALSE(place_moves(&c, &rules[0], "wien-a", "linz-c"));
-  EXPECT_TRUE(place_moves(&c, &rules[0], "wien-a", "wien-a"));
-  EXPECT_FALSE(place_moves(&c, &rules[1], "wien-a", "wien-a"));
+  EXPECT_FALSE(place_may_move_kv(&c, &rules[0], "wien-a", "linz-c"));
+  EXPECT_TRUE(place_may_move_kv(&c, &rules[0], "wien-a", "wien-a"));
+  EXPECT_FALSE(place_may_move_kv(&c, &rules[1], "wien-a", "wien-a"));
 }
 
 } // namespace
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -416,22 +416,22 @@
       platform_read_configuration(configuration, nullptr, nullptr);
   ASSERT_NE(table, nullptr);
   EXPECT_EQ(table->version, 7u);
-  const Route *route = route_table_find(table, "h.example", "/a/x");
+  const Route *route = route_table_find_route(table, "h.example", "/a/x");
   ASSERT_NE(route, nullptr);
   EXPECT_EQ(route->kind, ROUTE_STREAM);
-  EXPECT_TRUE(route_repeatable(route));
+  EXPECT_TRUE(route_is_repeatable(route));
   EXPECT_EQ(route->timeout, 14 * MP_SEC);
-  route = route_table_find(table, "H.example", "/a/b/x");
+  route = route_table_find_route(table, "H.example", "/a/b/x");
   ASSERT_NE(route, nullptr);
   EXPECT_EQ(route->kind, ROUTE_UNSAFE);
   EXPECT_STREQ(route_choose_service(route, 0), "s");
   EXPECT_STREQ(route_choose_service(route, G_MAXUINT32), "t");
-  EXPECT_EQ(route_table_find(table, "h.example", "/b/"), nullptr);
-  EXPECT_EQ(route_table_find(table, "other", "/a/"), nullptr);
-  const Service *service = route_table_service(table, "s");
+  EXPECT_EQ(route_table_find_route(table, "h.example", "/b/"), nullptr);
+  EXPECT_EQ(route_table_find_route(table, "other", "/a/"), nullptr);
+  const Service *service = route_table_find_service(table, "s");
   ASSERT_NE(service, nullptr);
   EXPECT_TRUE(service->is_engine);
-  EXPECT_EQ(service->event_tokens, 12u);
+  EXPECT_EQ(service->tokens_per_event, 12u);
   EXPECT_EQ(service->handle_life, 500 * MP_MS);
   EXPECT_EQ(table->limits.max_body_bytes, 4194304u);
   route_table_unref(table);
@@ -488,7 +488,7 @@
     EXPECT_TRUE(g_error_matches(error, MP_ERROR, MP_ERR_SETTINGS)) << part;
     g_clear_error(&error);
   }
-  EXPECT_NE(route_table_find(older, "h", "/p299/x"), nullptr);
+  EXPECT_NE(route_table_find_route(older, "h", "/p299/x"), nullptr);
   route_table_unref(older);
 }
 
@@ -517,7 +517,7 @@
   EXPECT_STREQ(record.id, "i-7f");
   EXPECT_TRUE(record.ready);
   EXPECT_EQ(record.stage, STAGE_PREFILL);
-  EXPECT_EQ(record.cold_left, 20 * MP_MS);
+  EXPECT_EQ(record.warmup_left, 20 * MP_MS);
   endpoint_record_clear(&record);
   EXPECT_FALSE(platform_read_endpoint_record("i-7f", R"({"Service":"s"})",
                                              &record, nullptr));
@@ -573,7 +573,7 @@
 TEST(PlatformStore, StatusesAreTold) {
   gboolean good;
   EXPECT_EQ(reply(STORE_WATCH, 410, "", &good).status, STORE_HISTORY_GONE);
-  EXPECT_EQ(reply(STORE_CREATE, 409, "{}", &good).status, STORE_EXISTS);
+  EXPECT_EQ(reply(STORE_CREATE, 409, "{}", &good).status, STORE_CONFLICT);
   EXPECT_EQ(reply(STORE_LIST, 503, "", &good).status, STORE_FAILED);
   EXPECT_EQ(reply(STORE_LIST, 429, "", &good).status, STORE_FAILED);
   EXPECT_EQ(reply(STORE_LIST, 200, "{}", &good).status, STORE_FAILED);
@@ -642,7 +642,8 @@
       R"({"Name":"other","ApiKeys":["k3","k1"]},{"Name":"none"}])",
       &error);
   ASSERT_NE(table, nullptr);
-  const Account *account = route_table_account(table, digest_of("k2").c_str());
+  const Account *account =
+      route_table_find_account(table, digest_of("k2").c_str());
   ASSERT_NE(account, nullptr);
   EXPECT_STREQ(account->name, "hule");
   EXPECT_EQ(account->priority, 1u);
@@ -652,13 +653,13 @@
   EXPECT_EQ(account_cost(account, 5200, 73), 5273);
   EXPECT_EQ(account_cost(account, 0, 0), 200);
   /* a key that stands twice is the first one's */
-  EXPECT_EQ(route_table_account(table, digest_of("k1").c_str()), account);
-  account = route_table_account(table, digest_of("k3").c_str());
+  EXPECT_EQ(route_table_find_account(table, digest_of("k1").c_str()), account);
+  account = route_table_find_account(table, digest_of("k3").c_str());
   ASSERT_NE(account, nullptr);
   EXPECT_STREQ(account->name, "other");
   EXPECT_EQ(account->rate, 0);
   EXPECT_EQ(account_cost(account, 5200, 73), 1);
-  EXPECT_EQ(route_table_account(table, digest_of("k4").c_str()), nullptr);
+  EXPECT_EQ(route_table_find_account(table, digest_of("k4").c_str()), nullptr);
   EXPECT_TRUE(static_cast<Route *>(table->routes->pdata[0])->is_public);
   route_table_unref(table);
 }
@@ -761,7 +762,7 @@
   for (int status : {200, 409}) {
     ASSERT_TRUE(platform_read_store_reply(&call, status, object.data(),
                                           object.size(), &out, nullptr));
-    EXPECT_EQ(out.status, status == 200 ? STORE_OK : STORE_EXISTS);
+    EXPECT_EQ(out.status, status == 200 ? STORE_OK : STORE_CONFLICT);
     ASSERT_EQ(out.objects->len, 1u);
     const StoreObject *one = &g_array_index(out.objects, StoreObject, 0);
     EXPECT_EQ(one->position.revision, 412);
@@ -777,7 +778,7 @@
   EXPECT_EQ(body, nullptr);
   http_head_free(head);
   platform_read_store_reply(&call, 404, "{}", 2, &out, nullptr);
-  EXPECT_EQ(out.status, STORE_ABSENT);
+  EXPECT_EQ(out.status, STORE_NOT_FOUND);
   EXPECT_FALSE(platform_read_lease("{}", &read, nullptr));
 }
 
