--- a/dialect/dialect.c
+++ b/dialect/dialect.c
@@ -1,6 +1,6 @@
 /*
 ** dialect.c
-** What every dialect's records share
+** Errors and heads that are common to all dialects
 */
 
 #include <string.h>
--- a/http/head.c
+++ b/http/head.c
@@ -84,28 +84,30 @@
   }
 }
 
-static gboolean list_has(const char *list, const char *word) {
+/* Is it an element of this comma-separated list? */
+static gboolean list_has_token(const char *list, const char *token) {
   gchar **parts = g_strsplit(list, ",", -1);
   gboolean found = FALSE;
   guint i;
   for (i = 0; parts[i] != NULL && !found; i++)
-    found = g_ascii_strcasecmp(g_strstrip(parts[i]), word) == 0;
+    found = g_ascii_strcasecmp(g_strstrip(parts[i]), token) == 0;
   g_strfreev(parts);
   return found;
 }
 
 gboolean http_head_has_token(const HttpHead *head, const char *name,
-                             const char *word) {
+                             const char *token) {
   guint i;
   for (i = 0; i < head->fields->len; i++) {
     const HttpField *field = field_at(head, i);
     if (g_ascii_strcasecmp(field->name, name) == 0 &&
-        list_has(field->value, word))
+        list_has_token(field->value, token))
       return TRUE;
   }
   return FALSE;
 }
 
+/* Does the field concern one connection alone, or the framing of the body? */
 static gboolean is_hop_by_hop(const HttpHead *head, const char *name) {
   static const char *const names[] = {
       "Connection",          "Keep-Alive", "Proxy-Connection",
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -269,8 +269,7 @@
 /*
 ** The set of instances has changed. When there are few, each sends its loads
 ** to all others. When there are many (relay_group_uses_summaries), each sends
-*them
-** within its data centre, and relays send sums to the other data centres.
+** them within its data centre, and relays send sums to the other data centres.
 */
 static void on_instances(void *data, const GArray *all, const GArray *near) {
   Gateway *gateway = data;
--- a/io/relays.h
+++ b/io/relays.h
@@ -1,6 +1,5 @@
 /*
-** relays.h
-** The messages of the relays of a data centre (router/relay_group.h)
+** relays.h The messages of the relays of a data centre (router/relay_group.h)
 **
 ** A relay is an instance that watches the store for others of its data centre.
 ** Heartbeats: this module sends those of this instance, receives the others',
@@ -8,9 +7,8 @@
 ** Summaries: when there are many instances, each receives the load digests
 ** (load_exchange.h) of its own data centre only. With each heartbeat, the
 ** first relay (relay_group_is_first_relay) sends their sums to the relays of
-*the
-** other data centres, and it forwards the sums that it receives from there to
-** its own data centre. Used by gateway.c.
+** the other data centres, and it forwards the sums that it receives from there
+** to its own data centre. Used by gateway.c.
 */
 
 #ifndef RELAYS_H
@@ -44,8 +42,7 @@
 void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message);
 /*
 ** The relay group has got its members, or they have changed. With
-*'uses_summaries',
-** data centres exchange loads as summaries.
+** 'uses_summaries', data centres exchange loads as summaries.
 */
 void relays_set_members(Relays *relays, gboolean uses_summaries);
 /*
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -1,13 +1,11 @@
 /*
-** accounts.c
-** Client accounts: finds the account of a request by its key, checks that it
-** may run, and charges the account's limit
+** accounts.c Client accounts: finds the account of a request by its key,
+** checks that it may run, and charges the account's limit
 **
 ** Invariant: no dispatch of a request with a key leaves unless the newest
 ** configuration known here has the key, and was certainly the newest one at
 ** most RouterOptions.proof_age_max ago (router/config_proof.h). A
-*proof_age_max
-** of 0 sets no bound.
+** proof_age_max of 0 sets no bound.
 */
 
 #include <string.h>
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -1,11 +1,9 @@
 /*
-** suspects.c
-** Requests under which endpoints end: holds or defers them
+** suspects.c Requests under which endpoints end: holds or defers them
 **
 ** A request is held by the quarantine (router/quarantine.h) and deferred by
 ** strikes and suspicions together (router/suspicions.h). suspects_may_dispatch
-*is
-** asked before every dispatch for a caller, so a request that becomes held
+** is asked before every dispatch for a caller, so a request that becomes held
 ** while it waits or while its prompt is read is not sent either.
 */
 
--- a/scripts/fields.sh
+++ b/scripts/fields.sh
@@ -41,7 +41,7 @@
   done
 }
 
-compare 'ANSWER|BODY' platform/endpoints.c
+compare 'RESPONSE|BODY' platform/endpoints.c
 compare CALLER platform/callers.c
 compare 'STORE|OPERATOR' platform/records.c platform/store.c \
   platform/broken_list.c
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -164,7 +164,7 @@
 
 /*
 ** {"kill": MILLISECONDS, "freeze": 1 | 0, "leaving": 1 | 0, "lose_reply": N,
-*"lose_cancel": N,
+** "lose_cancel": N,
 **  "break_after": N, "refuse": N, "slow": PERCENT}
 */
 static void fault(Engine *e, struct evhttp_request *r) {
