--- a/io/relays.h
+++ b/io/relays.h
@@ -22,11 +22,11 @@
 typedef struct Relays Relays;
 
 typedef struct RelaysOptions {
-  mp_Addr self;               /* address of this instance's load exchange */
-  const char *zone;           /* its data centre */
-  gboolean bounds_config_age; /* the age of the configuration is bounded, so
-                               *that the
-                               ** clocks of relays have to be compared */
+  mp_Addr self;     /* address of this instance's load exchange */
+  const char *zone; /* its data centre */
+  /* The age of the configuration is bounded, so that the clocks of relays
+  ** have to be compared. */
+  gboolean bounds_config_age;
 } RelaysOptions;
 
 /* The pointers are borrowed, except for 'options', which is copied. */
--- a/router/follower.c
+++ b/router/follower.c
@@ -114,7 +114,7 @@
 ** Returns a digest of the names, positions and texts of all objects that
 ** exist; 0: there are none.
 */
-static guint64 request_content_digest(const Follower *follower) {
+static guint64 objects_digest(const Follower *follower) {
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
@@ -162,7 +162,7 @@
     call->operation = STORE_LIST;
     call->after = follower->after;
     if (by_instance)
-      call->digest = request_content_digest(follower);
+      call->digest = objects_digest(follower);
   }
 }
 
@@ -600,7 +600,7 @@
                      StoreReply *out) {
   gboolean is_first = store_position_is_none(query->since);
   gboolean is_same = is_first && query->digest != 0 &&
-                     query->digest == request_content_digest(follower);
+                     query->digest == objects_digest(follower);
   GHashTableIter iterator;
   gpointer name;
   gpointer value;
--- a/router/patience.c
+++ b/router/patience.c
@@ -30,8 +30,7 @@
 
 /* Matches rows whose window began two windows ago or earlier: nothing in them
 ** counts any more. */
-static gboolean open_list_is_stale(gpointer name, gpointer value,
-                                   gpointer now) {
+static gboolean is_stale(gpointer name, gpointer value, gpointer now) {
   const Row *row = value;
   (void)name;
   return *(gint64 *)now - row->began >= 2 * PATIENCE_WINDOW;
@@ -42,7 +41,7 @@
 ** and go. */
 static Row *row_new(PatienceTable *table, const char *route, gint64 now) {
   Row *row = g_new0(Row, 1);
-  g_hash_table_foreach_remove(table->rows, open_list_is_stale, &now);
+  g_hash_table_foreach_remove(table->rows, is_stale, &now);
   row->began = now;
   g_hash_table_insert(table->rows, g_strdup(route), row);
   return row;
