--- a/dialect/dialect.h
+++ b/dialect/dialect.h
@@ -3,8 +3,19 @@
 ** The interface between this system and one external protocol
 **
 ** A dialect translates between HTTP messages (heads and bodies, which io/
-** reads and writes) and the typed records of router/. platform/ is the one
-** that speaks the protocol of the users' platform.
+** reads and writes) and the typed records of router/. The only one is in
+** platform/: it speaks the protocol of the platform on which the users of this
+** system run their model servers (platform/platform.h).
+**
+** Terms (router/router.h has more):
+**   store     the platform's database of named objects. It lists the endpoints
+**             and holds the configuration and the records that the instances
+**             of this system write. Each object has a kind, a revision, which
+**             grows with each write, and a content, which is JSON.
+**   endpoint  one process that runs requests. An endpoint of a service of
+**             language models is an engine. Its stage, prefill or decode, says
+**             which part of a request it does: an engine that prefills reads
+**             the prompt into its KV cache, one that decodes generates.
 **
 ** Invariant: every function of a dialect is pure. It opens no socket, reads
 ** no clock, keeps no state, makes no routing decision and retries nothing.
@@ -24,9 +35,12 @@
 #include "router/router.h"
 
 /*
-** The field of a store object that is missing or invalid. It is the code of an
-** error of the domain RECORD_ERROR, and a label of a metric.
-** X(symbol, name in metrics)
+** What is missing or invalid in a store object: one field of its content, or
+** CONTENT (the content itself), NAME (the object's name) or CONFIGURATION (any
+** part of the operators' configuration). It is the code of an error of the
+** domain RECORD_ERROR, and the label 'field' of a metric. Operators match the
+** labels, so a label stays as it is where the symbol uses another term.
+** X(symbol, label)
 */
 #define RECORD_FIELDS(X)            \
   X(CONTENT, "content")             \
@@ -54,11 +68,11 @@
 ** records. An invalid configuration has the domain MP_ERROR. */
 #define RECORD_ERROR record_error_quark()
 GQuark record_error_quark(void);
-/* the field's name in metrics; a constant string */
+/* Returns the field's label in metrics, a constant string. */
 const char *record_field_name(RecordField field);
-/* The field that an error is about: its code in the domain RECORD_ERROR,
-** RECORD_CONFIGURATION in any other domain, RECORD_CONTENT for NULL (the
-** record can't be read, and no field is known). */
+/* Returns what an error is about: its code in the domain RECORD_ERROR,
+** RECORD_CONFIGURATION in any other domain, and RECORD_CONTENT if 'error' is
+** NULL (the content can't be read, and no field is known). */
 RecordField record_error_field(const GError *error);
 
 /*
@@ -79,35 +93,46 @@
   gboolean not_run;     /* the endpoint states that it did not run the request
                         ** (TRUE with 'misdirected', too) */
   gboolean misdirected; /* another endpoint has the address now */
-  gboolean is_signed;   /* it has the endpoint's signature field; the
+  gboolean is_signed;   /* the head has the endpoint's signature field, whose
                         ** value isn't verified */
   gboolean is_event_stream; /* the body is a text/event-stream */
-  const char *request_id;   /* the id of the request that it answers, or NULL
-                            ** when it names none; points into the HttpHead */
-  gint64 idle_limit;        /* the endpoint may close the connection after so
-                            ** long without a request; 0: not stated */
+  const char *request_id;   /* the id of the request that this answers, or
+                            ** NULL if none is named; points into the HttpHead
+                            */
+  gint64 idle_limit;        /* time without a request (us) after which the
+                            ** endpoint may close the connection; 0: not stated
+                            */
   EndpointSignals signals;  /* what the endpoint states about itself */
 } EndpointHead;
 
-/* The response of a prefill engine. */
+/* The response of an engine that has prefilled a prompt. */
 typedef struct PrefillResponse {
-  char *handle; /* id of the KV cache entry at the engine; owned */
+  char *handle; /* id of the prompt's entry in the engine's KV cache; owned */
 } PrefillResponse;
 
 /*
-** Requests to the store, or to an instance that passes its objects on, and
-** their responses.
+** Writes requests for the store's objects and reads the responses. The codec
+** of a dialect is for calls to the store itself. An instance may instead ask a
+** relay, an instance of this system that watches the store for others of its
+** data centre and passes the objects on; io/news_codec.h has the codec for
+** that.
 */
 typedef struct StoreCodec {
   /* Returns the head of the request, which the caller frees. '*body' is set to
   ** NULL or to a body that the caller frees. */
   HttpHead *(*write_call)(const StoreCall *call, char **body);
-  /* Fills 'out', which owns its objects (store_reply_clear). FALSE: the body
-  ** can't be used for this call, as the error says. */
+  /* Fills 'out', which owns its objects (store_reply_clear). FALSE, with an
+  ** error and the status STORE_FAILED: the body can't be used for this call.
+  ** TRUE doesn't mean that the call succeeded: 'out->status' tells. The codec
+  ** of a store may also return TRUE with STORE_HISTORY_GONE for the body of a
+  ** watch that it can't use, which makes the caller list the objects. */
   gboolean (*read_reply)(const StoreCall *call, int status, const char *body,
                          gsize size, StoreReply *out, GError **error);
-  /* Returns the era (generation) of the store that a response's head names; 0:
-  ** it names none. The member is NULL where bodies carry the era instead. */
+  /* Returns the store's era that a response's head names; 0: it names none.
+  ** The era is a number that grows each time the store is restored from a
+  ** backup (router/store_position.h). 'read_reply' then leaves the era of all
+  ** positions 0, and its caller sets it. NULL: the responses carry the era in
+  ** their bodies, and 'read_reply' sets it. */
   guint64 (*read_era)(const HttpHead *head);
 } StoreCodec;
 
@@ -128,8 +153,9 @@
   ** NULL. '*body' is set to a text that the caller frees. */
   HttpHead *(*write_refusal)(const Refusal *refusal, const char *request_id,
                              char **body);
-  /* The same for a request that could not be read. 'status' is the HTTP
-  ** status, 'detail' says what is wrong. */
+  /* Returns the head of the response to a request that could not be read.
+  ** 'status' is the HTTP status, and 'detail' says what is wrong. '*body' is
+  ** set to a text that the caller of this function frees. */
   HttpHead *(*write_bad_input)(int status, const char *detail, char **body);
 
   /*
@@ -137,17 +163,22 @@
   */
 
   /* Returns the head of a request to an endpoint. 'caller' is the head of the
-  ** caller's request; it may be NULL only for dispatches that no caller asked
-  ** for. '*body' is set to NULL, which means the caller's body, if any, or to
-  ** a body to send instead, which the caller of this function frees. */
+  ** caller's request. It may be NULL for the kinds that the router sends on
+  ** its own account (DISPATCH_RELEASE, _REPORT and _ORDER). '*body' is set to
+  ** NULL, which means the caller's body, if any, or to a body to send instead,
+  ** which the caller of this function frees. Not for DISPATCH_CHECK, which
+  ** sends no request. */
   HttpHead *(*write_dispatch)(const Dispatch *dispatch, const HttpHead *caller,
                               char **body);
   /* Reads the head of an endpoint's response; it can't fail. */
   void (*read_endpoint)(const HttpHead *head, EndpointHead *out);
-  /* Reads a prefill engine's response. FALSE: it names no handle. */
+  /* Reads the body of an engine's response to DISPATCH_PREFILL. FALSE: it
+  ** isn't valid JSON, or names no handle. */
   gboolean (*read_prefill)(const char *body, gsize size, PrefillResponse *out,
                            GError **error);
-  /* Reads an engine's report of its stage. FALSE: a field is missing. */
+  /* Reads the body of an engine's response to DISPATCH_REPORT. FALSE: it isn't
+  ** valid JSON, its stage is missing or unknown, or its number of orders is
+  ** missing or not an integer. 'out' is set in either case. */
   gboolean (*read_report)(const char *body, gsize size, EngineReport *out,
                           GError **error);
 
@@ -158,11 +189,13 @@
   StoreCodec store;
 
   /*
-  ** Records: each is parsed from the text of an object, as 'store' returned it
+  ** Records: each is parsed from the content of an object
+  ** (StoreObject.text, as 'store.read_reply' returned it)
   */
 
-  /* Returns a new table, or NULL when any part is invalid. 'older' may be
-  ** NULL; routes whose text is the same there are shared with it. */
+  /* Returns a new table, or NULL if any part is invalid. 'older' is the table
+  ** in force, or NULL; the routes whose text has not changed since are shared
+  ** with it. */
   RouteTable *(*read_configuration)(const char *text, const RouteTable *older,
                                     GError **error);
   /* The texts in 'out' are owned by it (instance_record_clear), also when this
@@ -173,10 +206,13 @@
   ** texts (endpoint_record_clear); it has none when this returns FALSE. */
   gboolean (*read_endpoint_record)(const char *name, const char *text,
                                    EndpointRecord *out, GError **error);
-  /* 'out' owns its texts (lease_record_clear). */
+  /* 'out' owns its text (lease_record_clear); it has none when this returns
+  ** FALSE. */
   gboolean (*read_lease)(const char *text, LeaseRecord *out, GError **error);
-  /* 'name' is the object's name, the digest of the quarantined request. The
-  ** texts for operators (request, route, account) are not read. */
+  /* 'name' is the object's name: in hexadecimal, the digest of the quarantined
+  ** request's content and client account, which is not the one of
+  ** http/content.h (router/quarantine.h). Of 'out', the texts for operators
+  ** (request, route, account) are not set. */
   gboolean (*read_quarantine)(const char *name, const char *text,
                               QuarantineRecord *out, GError **error);
 } Dialect;
