--- a/http/content.h
+++ b/http/content.h
@@ -2,12 +2,13 @@
 ** content.h
 ** A digest of the content of a request
 **
-** Two requests of one client account with the same digest count as the same
-** work, whatever ids they have: method, host, target and body are equal. The
-** other header fields are left out, because a caller that sends a request
-** again may change them (its remaining time, the last event it received).
-** io/ computes the digest for each caller's request; the router uses it to
-** find requests under which endpoints crash.
+** Requests with the same method, host, target and body have the same digest,
+** whatever ids they have: they ask for the same work. The other header fields
+** are left out, because a caller that sends a request again may change them
+** (its remaining time, the last event it received). io/ computes the digest
+** for each caller's request. The router combines it with the client account,
+** which is not hashed here, to find requests under which endpoints crash
+** (router/quarantine.h).
 */
 
 #ifndef HTTP_CONTENT_H
--- a/http/events.c
+++ b/http/events.c
@@ -17,7 +17,7 @@
   splitter->pending = NULL;
 }
 
-/* Returns the bytes of the line ending at 's'; 0: there is none. */
+/* Returns the number of bytes of the line ending at 's'; 0: there is none. */
 static gsize line_ending_size(const char *s, const char *end) {
   if (s < end && *s == '\n')
     return 1;
@@ -26,8 +26,8 @@
   return 0;
 }
 
-/* Returns the bytes of the first event with its empty line; 0: its end has not
-** arrived. */
+/* Returns the number of bytes of the first event, with the empty line that
+** ends it; 0: its end has not arrived. */
 static gsize first_event_size(const char *s, gsize size) {
   const char *end = s + size;
   const char *at = s;
@@ -41,7 +41,8 @@
   return 0;
 }
 
-/* Returns the id of one event, which the caller frees; NULL: it has none. */
+/* Returns the value of the first "id:" line of one event, without whitespace
+** around it; the caller frees it. NULL: the event has no such line. */
 static char *event_id(const char *s, gsize size) {
   const char *end = s + size;
   while (s < end) {
--- a/http/events.h
+++ b/http/events.h
@@ -2,10 +2,15 @@
 ** events.h
 ** Splits a text/event-stream into whole events
 **
-** Source: WHATWG HTML, "Server-sent events". An event ends with an empty line;
-** lines end with LF or CR LF. Bytes are passed on unchanged; only the end of
-** each event and its "id:" line are parsed. io/ passes whole events alone to
-** callers, so that a stream that breaks can be resumed after an event's id.
+** Source: WHATWG HTML, "Server-sent events". An event ends with an empty line.
+** Only the end of each event and its id are parsed; all bytes are passed on
+** unchanged. Two points differ from the standard: lines end with LF or CR LF,
+** and not with a CR alone; and if an event has several "id:" lines, the first
+** of them counts, not the last.
+**
+** io/ holds the bytes of an event back until all of it has arrived. So what a
+** caller has received always ends with a whole event, and a stream that breaks
+** can be resumed after that event's id.
 */
 
 #ifndef HTTP_EVENTS_H
@@ -22,9 +27,9 @@
 void event_splitter_clear(EventSplitter *splitter);
 
 /*
-** Adds 'size' bytes of the stream and appends all events that are now whole to
-** 'whole'. Sets '*last_id' to the id of the last of these that has one, which
-** the caller frees, or to NULL.
+** Adds 'size' bytes of the stream, and appends the events whose end has now
+** arrived to 'whole'. Sets '*last_id' to the id of the last of these events
+** that has one, or to NULL if none has; the caller frees it.
 */
 void event_splitter_feed(EventSplitter *splitter, const char *bytes,
                          gsize size, GString *whole, char **last_id);
--- a/http/head.c
+++ b/http/head.c
@@ -84,7 +84,7 @@
   }
 }
 
-/* Is it an element of this comma-separated list? */
+/* Is 'token' an element of this comma-separated list? */
 static gboolean list_has_token(const char *list, const char *token) {
   gchar **parts = g_strsplit(list, ",", -1);
   gboolean found = FALSE;
@@ -107,7 +107,9 @@
   return FALSE;
 }
 
-/* Does the field concern one connection alone, or the framing of the body? */
+/* Does the field concern one connection alone, or the framing of the body?
+** 'head' is the head that has the field, because its Connection field may name
+** more of them. */
 static gboolean is_hop_by_hop(const HttpHead *head, const char *name) {
   static const char *const names[] = {
       "Connection",          "Keep-Alive", "Proxy-Connection",
--- a/http/head.h
+++ b/http/head.h
@@ -2,10 +2,10 @@
 ** head.h
 ** The head of one HTTP/1.1 message: start line and header fields
 **
-** Plain data that io/ sends and receives and dialects read and write. Field
-** names compare without case; the order and repetitions of fields are kept.
-** A head owns all its texts. No function here fails: they don't validate what
-** they are given.
+** A head is plain data: io/ receives and sends it, and a dialect
+** (dialect/dialect.h) reads and writes it. The case of field names is ignored;
+** the order and repetitions of fields are kept. A head owns all its texts. The
+** functions don't validate what they are given, and none can fail.
 */
 
 #ifndef HTTP_HEAD_H
@@ -35,8 +35,7 @@
 HttpHead *http_head_new_request(const char *method, const char *target);
 HttpHead *http_head_new_response(int status);
 
-/* Append a field. The texts are copied; 'value' as a number is written in
-** decimal. */
+/* Append a field. The texts are copied; a number is written in decimal. */
 void http_head_add(HttpHead *head, const char *name, const char *value);
 void http_head_add_number(HttpHead *head, const char *name, gint64 value);
 
@@ -49,22 +48,24 @@
 void http_head_remove(HttpHead *head, const char *name);
 
 /* Is 'token' an element of the comma-separated list in any field of this name?
-** Tokens compare without case. */
+** Case is ignored. */
 gboolean http_head_has_token(const HttpHead *head, const char *name,
                              const char *token);
 
 /*
-** Appends the end-to-end fields of 'from': all but the hop-by-hop fields (RFC
-** 9110 section 7.6.1 and those that the Connection field names) and
-** Content-Length, because whoever sends the message frames it anew.
+** Appends the end-to-end fields of 'from' to 'to': all fields but the
+** hop-by-hop ones (those of RFC 9110 section 7.6.1, and those that the
+** Connection field names) and Content-Length. The length is left out because
+** whoever sends the message determines its framing anew.
 */
 void http_head_copy_end_to_end(HttpHead *to, const HttpHead *from);
 
 /* Returns the reason phrase of a status code, "Status" for an unknown one. */
 const char *http_reason_phrase(int status);
 
-/* Appends the head to 'out': start line, fields and the empty line after them.
-** It is a request's when 'method' is set. */
+/* Appends the text of the head to 'out': start line, fields and the empty line
+** after them. The start line is that of a request if 'method' is set, and else
+** that of a response. */
 void http_head_write(const HttpHead *head, GString *out);
 
 #endif
--- a/http/reader.c
+++ b/http/reader.c
@@ -17,8 +17,8 @@
   HttpReaderState state;
   HttpReaderError error;
   HttpHead *head; /* being read; NULL once passed to the callback */
-  GString *name, *value, *target; /* the parts read so far */
-  gboolean in_value;              /* the last part was one of a value */
+  GString *name, *value, *target; /* what was read of each so far */
+  gboolean in_value;              /* the bytes read last belong to a value */
   gboolean no_body;
   gboolean keep_alive;
   size_t head_limit, body_limit; /* 0: none */
@@ -36,7 +36,8 @@
   return parser->data;
 }
 
-/* Records why the message can't be read; returns what stops the parser. */
+/* Records why the message can't be read. Returns -1, the result by which a
+** callback stops the parser. */
 static int fail(HttpReader *reader, HttpReaderError error) {
   reader->error = error;
   return -1;
@@ -95,8 +96,8 @@
   return count_head_bytes(reader, size);
 }
 
-/* Two lengths, or a length beside chunked coding: endpoints and this reader
-** could disagree about where the message ends. */
+/* Does the head have two lengths, two transfer codings, or one of each? Then
+** endpoints and this reader could disagree about where the message ends. */
 static gboolean is_framing_ambiguous(const HttpHead *head) {
   unsigned lengths = http_head_count(head, "Content-Length");
   unsigned encodings = http_head_count(head, "Transfer-Encoding");
--- a/http/reader.h
+++ b/http/reader.h
@@ -2,11 +2,13 @@
 ** reader.h
 ** Reads HTTP/1.1 messages from a byte stream, one at a time
 **
-** A wrapper of http_parser for both ends of a connection in io/. It stops
-** exactly behind each message, so that bytes behind a whole message are never
-** taken for a part of it. A message whose length is ambiguous (more than one
-** Content-Length or Transfer-Encoding, or both) is an error, since two parties
-** could disagree about where it ends.
+** A wrapper of the library http_parser. io/ uses it on connections from
+** callers, which carry requests, and on connections to endpoints, the store
+** and other instances, which carry responses. It stops exactly behind each
+** message, so that bytes behind a whole message are never taken for a part of
+** it. A message whose length is ambiguous (more than one Content-Length or
+** Transfer-Encoding, or both) is an error, since two parties could disagree
+** about where it ends.
 **
 ** Use: http_reader_feed until the state is HTTP_READER_DONE, then
 ** http_reader_start_next and feed the bytes that were not consumed. After
@@ -55,23 +57,25 @@
 /* 'reader' may be NULL. */
 void http_reader_free(HttpReader *reader);
 
-/* Limits one message to this many bytes, inclusive; 0: no limit. A head counts
-** its target and the names and values of its fields. */
+/* Limits the head and the body of each message to so many bytes, inclusive; 0:
+** no limit. The size of a head is that of its target and of the names and
+** values of its fields. */
 void http_reader_set_limits(HttpReader *reader, size_t head_bytes,
                             size_t body_bytes);
 
-/* The message being read has no body whatever its head says, as the response
-** to a HEAD request. Holds until http_reader_start_next. */
+/* States that the message being read has no body, whatever its head says (such
+** as the response to a HEAD request). Holds until http_reader_start_next. */
 void http_reader_expect_no_body(HttpReader *reader);
 
 /* Reads bytes and returns how many were consumed. This may be fewer than
 ** 'size' when the state becomes DONE or FAILED, and is 0 from then on. */
 size_t http_reader_feed(HttpReader *reader, const char *bytes, size_t size);
 
-/* The peer closed the stream in an orderly way. This completes a response that
-** ends with the stream; any other partial message becomes FAILED, with
-** HTTP_ERROR_NONE if the parser had found no error before. An idle reader is
-** unaffected. */
+/* Handles the end of the stream, after the peer closed it in an orderly way.
+** This completes a response whose body extends to the end of the stream. With
+** any other unfinished message the state becomes FAILED, and the error is
+** HTTP_ERROR_NONE unless the parser had found one before. An idle reader is
+** not changed. */
 void http_reader_handle_eof(HttpReader *reader);
 
 /* Prepares for the next message on the same stream. The state must be DONE. */
@@ -81,7 +85,7 @@
 HttpReaderError http_reader_error(const HttpReader *reader);
 
 /* May the connection carry another message after the one that was read last?
-** Only meaningful from DONE on. */
+** Only meaningful once a message is DONE. */
 gboolean http_reader_keep_alive(const HttpReader *reader);
 
 #endif
