--- a/dialect/dialect.h
+++ b/dialect/dialect.h
@@ -97,11 +97,9 @@
                         ** value isn't verified */
   gboolean is_event_stream; /* the body is a text/event-stream */
   const char *request_id;   /* the id of the request that this answers, or
-                            ** NULL if none is named; points into the HttpHead
-                            */
-  gint64 idle_limit;        /* time without a request (us) after which the
-                            ** endpoint may close the connection; 0: not stated
-                            */
+                            ** NULL: not stated; points into the HttpHead */
+  gint64 idle_limit;        /* us without a request after which the endpoint
+                            ** may close the connection; 0: not stated */
   EndpointSignals signals;  /* what the endpoint states about itself */
 } EndpointHead;
 
@@ -163,11 +161,11 @@
   */
 
   /* Returns the head of a request to an endpoint. 'caller' is the head of the
-  ** caller's request. It may be NULL for the kinds that the router sends on
-  ** its own account (DISPATCH_RELEASE, _REPORT and _ORDER). '*body' is set to
-  ** NULL, which means the caller's body, if any, or to a body to send instead,
-  ** which the caller of this function frees. Not for DISPATCH_CHECK, which
-  ** sends no request. */
+  ** caller's request. It may be NULL for the kinds that carry no caller's
+  ** request (DISPATCH_RELEASE, _REPORT and _ORDER). '*body' is set to NULL,
+  ** which means the caller's body, if any, or to a body to send instead, which
+  ** the caller of this function frees. Not for DISPATCH_CHECK, which sends no
+  ** request. */
   HttpHead *(*write_dispatch)(const Dispatch *dispatch, const HttpHead *caller,
                               char **body);
   /* Reads the head of an endpoint's response; it can't fail. */
