--- a/http/head.h
+++ b/http/head.h
@@ -20,8 +20,8 @@
 
 typedef struct HttpHead {
   char *method;   /* of a request; NULL in a response */
-  char *target;   /* of a request: path and query, as received */
-  int status;     /* of a response */
+  char *target;   /* of a request: path and query, as received; else NULL */
+  int status;     /* of a response; 0 in a request */
   GArray *fields; /* HttpField */
 } HttpHead;
 
--- a/http/reader.c
+++ b/http/reader.c
@@ -21,8 +21,8 @@
   gboolean in_value;              /* the bytes read last belong to a value */
   gboolean no_body;
   gboolean keep_alive;
-  size_t head_limit, body_limit; /* 0: none */
-  size_t head_bytes, body_bytes; /* of the current message */
+  size_t head_limit, body_limit; /* in bytes, inclusive; 0: none */
+  size_t head_bytes, body_bytes; /* read of the current message */
 };
 
 /*
@@ -70,8 +70,8 @@
   return count_head_bytes(reader, size);
 }
 
-/* Adds the field read so far, if any, to the head. Trailer fields, which come
-** after the head was passed on, are dropped. */
+/* Adds the field that was read, if any, to the head. Trailer fields are
+** dropped, because they come after the head was passed on. */
 static void add_field(HttpReader *reader) {
   if (reader->name->len > 0 && reader->head != NULL)
     http_head_add(reader->head, reader->name->str, reader->value->str);
