--- a/account/key_table.c
+++ b/account/key_table.c
@@ -6,7 +6,9 @@
 #include "key_table.h"
 
 struct KeyTable {
-  GHashTable *accounts; /* digest -> index of the account */
+  /* SHA-256 digest of a key, hexadecimal -> index of the account that has it,
+  ** in the configuration's list of accounts */
+  GHashTable *accounts;
 };
 
 KeyTable *key_table_new(void) {
--- a/account/key_table.h
+++ b/account/key_table.h
@@ -22,15 +22,16 @@
 
 /*
 ** Adds a key. 'digest' is its SHA-256 in hexadecimal, as mp_digest writes
-** it, and is copied; 'account' is the index of its account in the
-** configuration. A key that is added twice belongs to the account that was
-** added with it first.
+** it, and is copied; 'account' is the index of the account that has the key,
+** in the configuration's list of accounts. A key that is added twice belongs
+** to the account that was added with it first.
 */
 void key_table_add(KeyTable *table, const char *digest, guint account);
 
 /*
-** Writes the index of the key's account to '*account' and returns TRUE, or
-** returns FALSE and leaves '*account' alone when no account has the key.
+** Looks up the key with this digest. Writes the index of its account to
+** '*account' and returns TRUE, or returns FALSE and leaves '*account' alone
+** when no account has the key.
 */
 gboolean key_table_find(const KeyTable *table, const char *digest,
                         guint *account);
--- a/core/answer.c
+++ b/core/answer.c
@@ -3,8 +3,9 @@
 ** The answer to the caller: decode streams and plain services
 **
 ** Invariants: a piece of a decode stream goes to the caller only when its
-** number is the one that the caller has next. The end of a stream goes there
-** only when all its tokens did.
+** index (the number of its first token, from 0) equals the number of tokens
+** that the caller already has. The end of a stream goes there only after all
+** tokens of the stream.
 */
 
 #include "fleet.h"
@@ -106,10 +107,13 @@
 }
 
 /*
-** The first token arrived: the KV was used, so the prefill's attempt ends and
-** its endpoint may free the KV.
+** Called at the first piece of a decode stream, or at its end when it has no
+** piece: the decode engine has read the KV result, so the prefill's attempt
+** ends and the prefill engine may free the KV. Ending the attempt clears
+** r->prefill.no; the callers test that number, so that this is called once for
+** each prefill.
 */
-static void on_first_token(mp_State *state, Request *r) {
+static void on_kv_used(mp_State *state, Request *r) {
   r->ran = MP_RAN_YES;
   r->is_kv_used = 1;
   r->prefill_engine = r->prefill.endpoint;
@@ -118,7 +122,8 @@
 }
 
 /*
-** Handles a piece of the stream. Its index is the number of its first token.
+** Handles a piece of the stream. e->index is the number of its first token,
+** and e->tokens is the number of tokens in the piece.
 */
 static void on_piece(mp_State *state, Request *r, const mp_EndpointEvent *e) {
   if (e->index < r->got) {
@@ -132,8 +137,8 @@
     resume_or_fail(state, r, CALL_FAILURE_BROKEN);
     return;
   }
-  if (r->prefill.no != 0)
-    on_first_token(state, r);
+  if (r->prefill.no != 0) /* nothing of this stream has come before */
+    on_kv_used(state, r);
   send_head(state, r, 200, NULL);
   r->got += e->tokens;
   r->tries = 0;
@@ -148,19 +153,22 @@
   Request *r = ud;
   switch (e->what) {
   case MP_EP_HEAD:
-    break;
+    break; /* the caller gets its head with the first piece or the end */
   case MP_EP_PIECE:
     on_piece(state, r, e);
     break;
   case MP_EP_DONE:
     r->decode.xcall = 0;
+    /*
+    ** Here e->tokens is the number of tokens of the whole answer. When it is
+    ** not what the caller got, pieces are missing.
+    */
     if (e->tokens != r->got) {
-      resume_or_fail(state, r,
-                     CALL_FAILURE_BROKEN); /* some pieces are missing */
+      resume_or_fail(state, r, CALL_FAILURE_BROKEN);
       return;
     }
-    if (r->prefill.no != 0)
-      on_first_token(state, r);
+    if (r->prefill.no != 0) /* it ended without a new piece */
+      on_kv_used(state, r);
     send_head(state, r, 200, NULL);
     flow_complete(state, r);
     break;
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -2,15 +2,17 @@
 ** fleet.c
 ** The table of endpoints, built from the instance list and configuration
 **
-** A row whose endpoint is not in the list any more stays, as leaving, while
-** this instance has attempts there.
+** A row whose endpoint is not in the instance list any more is marked as
+** leaving, and stays while this instance, the router process that runs this
+** core, has attempts there.
 **
 ** Ejection: after MP_EJECT_FAILS failures in a row an endpoint gets no new
 ** work for MP_EJECT_TIME; this time doubles with each ejection since the last
-** success, up to MP_EJECT_MAX. An endpoint is ejected only if at least
-** MP_EJECT_FLOOR percent of its pool, and at least one endpoint, stay open.
-** After the time the next request is the test: if it fails, the endpoint is
-** ejected again at once.
+** success, up to MP_EJECT_MAX. An endpoint is ejected only if, without it, at
+** least one endpoint of its pool (the same service and role) and at least
+** MP_EJECT_FLOOR percent of them are still available for new work. When the
+** time is over, the endpoint gets new work as before, not just one trial
+** request; until one call succeeds, any single failure ejects it again.
 */
 
 #include <string.h>
@@ -23,7 +25,7 @@
   return state_table_get(state->endpoint_by_addr, a);
 }
 
-int fleet_is_open(const mp_State *state, const Endpoint *e) {
+int fleet_is_available(const mp_State *state, const Endpoint *e) {
   return !e->leaving && !e->drained && !e->down &&
          e->ejected_until <= state->now;
 }
@@ -32,7 +34,7 @@
   Endpoint *e = g_new0(Endpoint, 1);
   e->addr = in->addr;
   e->role = in->role;
-  e->slots = MP_SLOTS;
+  e->slots = MP_SLOTS; /* an estimate, until the first load is known */
   g_strlcpy(e->name, in->name, sizeof e->name);
   g_strlcpy(e->dc, in->dc, sizeof e->dc);
   g_strlcpy(e->service, in->service, sizeof e->service);
@@ -42,7 +44,7 @@
   return e;
 }
 
-/* the list's entry of an endpoint, or NULL */
+/* the endpoint's row in the instance list, or NULL */
 static const mp_Instance *find_in_list(const mp_State *state,
                                        const Endpoint *e) {
   unsigned i;
@@ -61,7 +63,8 @@
   effect_log(state, MP_LOG_EP_LEAVING, " endpoint=%s", e->name);
 }
 
-/* free the rows that are not in the list, once they have no attempts */
+/* free the rows of endpoints that the instance list doesn't name, once this
+** instance has no attempts there */
 static void drop_unlisted(mp_State *state) {
   guint i = 0;
   while (i < state->endpoints->len) {
@@ -108,20 +111,20 @@
   e->ejection_count = 0;
 }
 
-/* would ejecting 'e' leave enough of its pool (service and role) open? */
+/* would enough of its pool (service and role) be available without 'e'? */
 static int may_eject(const mp_State *state, const Endpoint *e) {
   unsigned all = 0;
-  unsigned open = 0;
+  unsigned available = 0;
   guint i;
   for (i = 0; i < state->endpoints->len; i++) {
     const Endpoint *o = state->endpoints->pdata[i];
     if (o->role != e->role || strcmp(o->service, e->service) != 0)
       continue;
     all++;
-    if (o != e && fleet_is_open(state, o))
-      open++;
+    if (o != e && fleet_is_available(state, o))
+      available++;
   }
-  return open > 0 && open * 100 >= all * MP_EJECT_FLOOR;
+  return available > 0 && available * 100 >= all * MP_EJECT_FLOOR;
 }
 
 void fleet_call_failed(mp_State *state, mp_Addr a) {
--- a/core/keep.c
+++ b/core/keep.c
@@ -2,14 +2,24 @@
 ** keep.c
 ** The keeper of an endpoint: grants reservations and polls the load
 **
-** Decode: a slot is granted while fewer holds are granted than the engine has
-** slots, or when enough of them are expected to end before the slot is
-** needed. Prefill: more work is granted while the granted work, without long
-** prompts, takes the engine less than MP_PREFILL_AHEAD; it is this little so
-** that the order of waiting work is decided here and not by the engine. Under
-** slack_order, waiting work is ordered by the last moment at which it can
-** start and still meet its target; since that moment is absolute, work that
-** waits long moves up by itself.
+** The table of holds has one row (Hold) for each reservation at an endpoint
+** that this instance keeps.
+**
+** Decode: from the number of granted holds, that of the decodes expected to
+** end before the slot is needed is subtracted, at most OVERBOOK_SHARE_MAX of
+** all slots. A slot is granted while the result is below the number of slots.
+** With all slots granted, any expectation above 0 thus suffices for one more.
+**
+** Prefill: a prompt shorter than MP_LONG_PROMPT is granted while the granted
+** prompts that are shorter than that too take the engine less than
+** MP_PREFILL_AHEAD. This bound is small so that the order of waiting work is
+** decided here and not by the engine. Whether a long prompt is granted depends
+** only on the number of long prompts that are granted there.
+**
+** With the policy 'slack_order' on, waiting work is ordered by the last moment
+** at which it can start and still meet its target; since that moment is
+** absolute, work that waits long moves up by itself. With it off, work is
+** granted in the order in which it was queued.
 */
 
 #include <string.h>
@@ -35,11 +45,12 @@
   return state->config != NULL ? state->config->policy : NULL;
 }
 
-/* most slots granted before they are free, as a share of all slots */
+/* how many slots may be granted because decodes are expected to end, at most,
+** as a share of all slots */
 #define OVERBOOK_SHARE_MAX 0.06
 
-/* with long_cap off, another long prompt is granted on an engine while at most
-** this many are granted there */
+/* with the policy 'long_cap' off, another long prompt is granted on an engine
+** while at most this many are granted there; with it on, only while none is */
 #define LONG_PROMPTS_AHEAD_MAX 4
 
 /*
@@ -68,9 +79,10 @@
 /* what the granted holds at an endpoint use */
 typedef struct EndpointUse {
   unsigned busy;         /* granted holds */
-  uint32_t tokens;       /* their tokens, without long prompts */
+  uint32_t tokens;       /* their tokens, without those of long prompts */
   int long_prompts;      /* prefill: long prompts among them */
-  double ending_decodes; /* decode: how many are expected to end in time */
+  double ending_decodes; /* decode: how many are expected to end before the
+                         ** slot is needed */
 } EndpointUse;
 
 /* decode: us per token, measured or estimated */
@@ -83,7 +95,15 @@
   return e->rate > 0 ? e->rate : MP_PREFILL_RATE;
 }
 
-/* the probability that a running decode ends within 'within' (us) */
+/*
+** Estimates the probability that the decode of a granted hold ends within
+** 'within' (us). It takes the decode to have begun when the hold was granted
+** or learned by a renewal, though the prefill may still have to run, and to
+** make all tokens that were reserved. It is 1 when 'within' covers the time
+** that is then left; otherwise, since a decode may end with fewer tokens, it
+** grows in proportion to 'within'. A decode that is past its whole time has
+** the time of one token left.
+*/
 static double end_probability(const mp_State *state, const Endpoint *e,
                               const Hold *h, mp_Time within) {
   mp_Time all = (mp_Time)h->tokens * token_time(e);
@@ -100,7 +120,8 @@
   return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT;
 }
 
-/* 'within': time (us) by which decodes are to have ended; 0: none counted */
+/* 'within': ending_decodes counts the decodes expected to end within this time
+** (us); 0: it counts none */
 static EndpointUse endpoint_use(const mp_State *state, const Endpoint *e,
                                 mp_Time within) {
   EndpointUse u = {0};
@@ -120,17 +141,17 @@
   return u;
 }
 
-/* is this instance so new as keeper that it may not know all holds yet? It
-** does after one renewal period and half a second */
+/* is this instance so new as keeper that it may not know all reservations yet?
+** It does after one renewal period and half a second */
 static int is_rebuilding(const mp_State *state, const Endpoint *e) {
   const mp_Time *since = state_table_get(state->kept, e->addr);
   return since == NULL || state->now - *since < MP_RENEW_PERIOD + MP_SEC / 2;
 }
 
 /*
-** May work of so many tokens be granted now? 'within': decode: time (us) until
-** the slot is needed. While a keeper rebuilds its holds it takes the engine's
-** own count of used slots when that is higher.
+** May work of so many tokens be granted now? 'within' is the time (us) until a
+** decode slot is needed, and counts for decode only. While a keeper rebuilds
+** its holds it takes the engine's own count of used slots when that is higher.
 */
 static int may_start(const mp_State *state, const Endpoint *e, uint32_t tokens,
                      mp_Time within) {
@@ -236,7 +257,8 @@
 ** ===================================================================
 */
 
-/* reply to GRANT, or NULL; a holder that denies it doesn't want it any more */
+/* the holder's reply to GRANT, or NULL when none came; by MP_DENIED it says
+** that it doesn't want the reservation any more */
 static void on_grant_reply(mp_State *state, void *ud, mp_Addr from,
                            const mp_Msg *m) {
   Hold *h;
@@ -269,10 +291,11 @@
 }
 
 /*
-** The waiting hold to grant next, or NULL. Under slack_order the one with the
-** earliest start_by among those that may start now, so shorter prompts pass a
-** long one that can't start; else the one queued first. Of equals, the one
-** with the larger weight.
+** The waiting hold to grant next, or NULL. With the policy 'slack_order' on,
+** it is the one with the earliest start_by among those that may start now, so
+** shorter prompts pass a long one that can't start. With it off, it is the one
+** queued first, whether or not it may start. Of equals, the one with the
+** larger weight.
 */
 static Hold *next_waiting(const mp_State *state, const Endpoint *e) {
   int slack = policy(state)->slack_order;
@@ -319,7 +342,8 @@
   h->lease_end = state->now + MP_LEASE;
 }
 
-/* grant what may start, then update the load; 'old': the row before */
+/* grant what may start, then update the load; 'old' is the endpoint's row
+** before the event */
 static void grant_waiting(mp_State *state, Endpoint *e, const Endpoint *old) {
   if (policy(state) == NULL)
     return;
@@ -344,7 +368,7 @@
 ** ===================================================================
 */
 
-/* a new hold, waiting, with MP_QUEUE_LEASE until it is dropped */
+/* a new hold, waiting, which is dropped after MP_QUEUE_LEASE unless renewed */
 static Hold *add_hold(mp_State *state, const mp_Token *t, uint32_t attempt,
                       const Endpoint *e, uint32_t tokens) {
   Hold *h = g_new0(Hold, 1);
@@ -372,7 +396,7 @@
   if (e->role == MP_ROLE_PREFILL && r->tokens >= MP_LONG_PROMPT)
     r->wait_ms += (uint32_t)((uint64_t)count_long_prompts(state, e) *
                              r->tokens * 1000 / prefill_rate(e));
-  if (!fleet_is_open(state, e) || e->role != (mp_Role)r->role)
+  if (!fleet_is_available(state, e) || e->role != (mp_Role)r->role)
     return MP_DENIED;
   h = add_hold(state, &r->token, r->attempt, e, r->tokens);
   h->weight = r->weight;
@@ -424,7 +448,7 @@
       continue;
     h = find_hold(state, &t, w->attempt, w->endpoint);
     if (h == NULL)
-      /* an earlier keeper knew it */
+      /* it was made with an earlier keeper, or has expired here */
       h = add_hold(state, &t, w->attempt, e, w->tokens);
     if (w->state != MP_HOLD_WAIT)
       h->state = (mp_HoldState)w->state;
@@ -471,10 +495,10 @@
 }
 
 /*
-** Orphans are work that the endpoint reports and no hold covers. They are
-** cancelled MP_ORPHAN_GRACE after this keeper first saw them: a live holder
-** has renewed its reservation here by then, whichever instance was the keeper
-** before.
+** Orphans are work that the endpoint reports and no row in the table of holds
+** covers. They are cancelled MP_ORPHAN_GRACE after this keeper first saw them,
+** since a live holder has renewed its reservation here by then, whichever
+** instance was the keeper before.
 */
 static void cancel_orphans(mp_State *state, const Endpoint *e,
                            const mp_LoadAnswer *l) {
--- a/core/keep_loads.c
+++ b/core/keep_loads.c
@@ -1,7 +1,12 @@
 /*
 ** keep_loads.c
-** Gossip of endpoint loads: what keepers observed travels with probes to the
-** other instances, the least gossiped first
+** Gossip of endpoint loads between instances
+**
+** The loads that keepers observe travel with the probes of the membership
+** protocol (member.h), which go from instance to instance and never to an
+** endpoint. A load goes with at most member_gossip_limit probes from each
+** instance, counted from its last change (Endpoint.gossip_count); the one that
+** has gone with the fewest is sent first.
 */
 
 #include "fleet.h"
@@ -23,8 +28,9 @@
 }
 
 /*
-** The endpoint whose load was gossiped least and is not in 'p' yet; of equals
-** one of this data centre. NULL when all known loads have reached the limit.
+** Of the endpoints whose load is known, is not in 'p' yet and has gone with
+** fewer than member_gossip_limit probes, the one whose load has gone with the
+** fewest; of equals one of this data centre. NULL when there is none.
 */
 static Endpoint *least_gossiped(mp_State *state, const mp_Probe *p) {
   Endpoint *best = NULL;
--- a/core/order.c
+++ b/core/order.c
@@ -4,8 +4,9 @@
 **
 ** The lease is the object "lease/<dc>" in the platform's store, which names
 ** its holder. It is taken and renewed by conditional update, and its version
-** is the fence that orders carry. The instances that contend for it and do not
-** hold it watch the version: when it has not changed for more than
+** is the fence that orders carry: a number that grows, by which an engine
+** tells an older order from a newer one. The instances that contend for it and
+** do not hold it watch the version: when it has not changed for more than
 ** MP_ORDER_LEASE by the watcher's own clock, the lease has expired and may be
 ** taken.
 **
@@ -30,26 +31,31 @@
 #define CANDIDATES_MAX 2
 
 /*
-** The pressure on a pool is the mean over its open engines: for prefill the
-** seconds of work that wait, for decode the share of slots in which streams
-** run. A role needs engines when its pressure is above its HIGH bound while
-** that of the other role is below PRESSURE_LOW.
+** The pressure on a pool (the engines of one role of a service) is the mean
+** over those available for new work: for prefill the seconds of work that
+** wait, for decode the share of slots in which streams run. A role needs
+** engines when its pressure is above its HIGH bound while that of the other
+** role is below PRESSURE_LOW.
 */
 #define PREFILL_PRESSURE_HIGH 1.0
 #define PRESSURE_LOW 0.5
 #define DECODE_PRESSURE_HIGH 0.9
 
-/* The state of one instance. Times are of its own clock. */
+/*
+** What this instance knows of the lease, and its last order. Times are of its
+** own clock.
+*/
 struct Orders {
   Timer timer;
   int is_store_call_open; /* a read or write of the lease */
   int is_held;
   uint64_t version; /* of the lease object, as last seen; 0: no such object */
-  mp_Time version_seen;  /* first time 'version' was seen; 0: watch anew */
-  mp_Time valid_until;   /* own lease: not acted on from then on */
+  mp_Time version_seen;  /* first time 'version' was read; 0: not known */
+  mp_Time valid_until;   /* own lease: no orders from then on */
   mp_Time held_since;    /* own lease */
   mp_Time write_sent;    /* time of the last write of the lease */
-  mp_Time pressed_since; /* since when a role needs engines; 0: none does */
+  mp_Time pressed_since; /* since when a role needs engines; 0: none does.
+                         ** One time for all services */
   mp_Role wanted_role;   /* the role that engines are needed for */
   mp_Role old_role;      /* the role of the ordered engine before the order */
   uint64_t xcall;        /* the one order outstanding; 0: none */
@@ -81,7 +87,10 @@
 ** ===================================================================
 */
 
-/* Stops acting on the lease, if it is held. The object is left alone. */
+/*
+** Stops giving orders under the lease, if it is held. The lease object is left
+** as it is.
+*/
 static void drop_lease(mp_State *state) {
   if (state->orders->is_held)
     effect_log(state, MP_LOG_LEASE_LOST, " fence=%" G_GUINT64_FORMAT,
@@ -166,7 +175,10 @@
 ** ===================================================================
 */
 
-/* The open engines of one role of one service in this data centre. */
+/*
+** The engines of one role of one service in this data centre that are
+** available for new work.
+*/
 typedef struct PoolLoad {
   unsigned engines; /* how many */
   double pressure;  /* mean load; 0 with no engine */
@@ -192,7 +204,7 @@
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
     if (e->dc_hash != state->dc_hash || e->role != role ||
-        !fleet_is_open(state, e) || strcmp(e->service, service) != 0)
+        !fleet_is_available(state, e) || strcmp(e->service, service) != 0)
       continue;
     p.engines++;
     p.pressure += engine_load(e);
@@ -324,7 +336,8 @@
 /*
 ** Orders one engine of the service to change its role when a role has needed
 ** engines for MP_ROLE_PATIENCE, the service may be given orders, and the other
-** role's pool has more engines than it must keep.
+** role's pool has more engines than it must keep. 'pressed_since' belongs to
+** all services: one that needs no engines sets it back for the others too.
 */
 static void balance_service(mp_State *state, const mp_Service *s) {
   Orders *orders = state->orders;
@@ -391,14 +404,13 @@
     read_lease(state);
 }
 
-/* It expires by itself, and no order is given any more. */
 void order_drop_lease(mp_State *state) {
   drop_lease(state);
 }
 
 void order_paused(mp_State *state) {
   drop_lease(state);
-  state->orders->version_seen = 0; /* watch the lease anew */
+  state->orders->version_seen = 0;
 }
 
 void order_init(mp_State *state) {
--- a/core/route.c
+++ b/core/route.c
@@ -142,7 +142,7 @@
 static int is_candidate(const mp_State *state, const Request *r,
                         const Scope *s, const Endpoint *e, mp_Role role) {
   return e->role == role && is_in_scope(s, e->dc_hash) &&
-         fleet_is_open(state, e) && !is_avoided(r, e) &&
+         fleet_is_available(state, e) && !is_avoided(r, e) &&
          strcmp(e->service, r->service) == 0;
 }
 
--- a/core/timer.c
+++ b/core/timer.c
@@ -1,6 +1,9 @@
 /*
 ** timer.c
 ** The binary heap of timers
+**
+** Timer.pos is the timer's index in the heap plus 1, so that 0 can stand for
+** "not armed".
 */
 
 #include "timer.h"
@@ -68,6 +71,11 @@
   if (i == T->n)
     return;
   last = T->heap[T->n];
+  /*
+  ** The last entry takes the free place. It may come from another subtree, so
+  ** it can be later than its children there or earlier than its parent. When
+  ** it is earlier, sift_down leaves it where it is and sift_up moves it.
+  */
   set_entry(T, i, last);
   sift_down(T, i);
   sift_up(T, last->pos - 1);
