--- a/core/order.c
+++ b/core/order.c
@@ -410,7 +410,7 @@
 
 void order_paused(mp_State *state) {
   drop_lease(state);
-  state->orders->version_seen = 0;
+  state->orders->version_seen = 0; /* the next read of the lease sets it */
 }
 
 void order_init(mp_State *state) {
--- a/core/route.c
+++ b/core/route.c
@@ -2,12 +2,19 @@
 ** route.c
 ** Chooses the endpoint that takes a piece of work
 **
-** Prefill, by default: a bounded-load rendezvous hash of the prompt's prefix
-** (Mirrokni et al. 2018), so that equal prefixes meet the same cache while no
-** engine runs far ahead of the others. Decode and plain services, by default:
-** the least loaded of a few drawn at random, since all instances see the same
-** loads, and late, and would otherwise all choose the same endpoint. The other
-** policies are baselines to compare with.
+** With the policy 'pick' at its default, MP_PICK_MADDERPIER:
+**
+** - Prefill: a bounded-load rendezvous hash of the prompt's prefix (Mirrokni
+**   et al. 2018), so that equal prefixes meet the same cache while no engine
+**   is much fuller than the others. When the prefix is unknown, or the policy
+**   'prefix_affinity' is off: the engine of lowest cost.
+** - Decode and plain services: the least loaded of a few endpoints drawn at
+**   random. All instances learn the same loads, and learn them late, so that
+**   without the draw all would choose the same endpoint. An endpoint that this
+**   instance is the keeper of is chosen over the one drawn, also undrawn, when
+**   its score is lower.
+**
+** The other values of 'pick' are baselines to compare with.
 */
 
 #include <string.h>
@@ -129,6 +136,12 @@
   return 0;
 }
 
+/*
+** Returns whether the request avoids 'e'. flow_avoid_endpoint adds an endpoint
+** that failed the request's work or did not grant its reservation. The list is
+** emptied when a reservation is granted, when a prefill is done, and when a
+** decode engine had no free slot for a KV result.
+*/
 static int is_avoided(const Request *r, const Endpoint *e) {
   unsigned i;
   for (i = 0; i < r->avoid_count; i++) {
@@ -246,7 +259,10 @@
   return (uint64_t)bytes_per_token * r->prompt_tokens;
 }
 
-/* 'pledged' counts the tokens sent there since the load was last reported. */
+/*
+** 'reserved_since_load' counts the tokens that this instance asked to reserve
+** there since it last learned the load.
+*/
 uint32_t choice_prefill_ms(const Endpoint *e, uint32_t tokens) {
   uint64_t sum = (uint64_t)tokens + e->reserved_since_load;
   return e->wait + (uint32_t)(sum * 1000 / prefill_rate(e));
@@ -255,7 +271,8 @@
 /*
 ** Returns how loaded an endpoint is; smaller is better. The unit depends on
 ** the role: for decode the share of slots in use (about 0 to 1), for prefill
-** milliseconds, for plain services the number of this instance's calls there.
+** milliseconds until new work would start, for plain services the number of
+** this instance's calls there.
 */
 static double load_score(const mp_State *state, const Endpoint *e) {
   double adjustment = e->dc_hash != state->dc_hash ? REMOTE_PENALTY : 0;
@@ -304,10 +321,11 @@
 }
 
 /*
-** Returns an endpoint that this instance is the keeper of, if it is fuller by
-** less than KEPT_BONUS than the best of a few drawn at random, and otherwise
-** that best one. The few are drawn because all instances see the same loads
-** late.
+** Draws a few candidates at random and returns the best of them, unless this
+** instance is the keeper of a candidate with a lower score, drawn or not; then
+** it returns the one of those with the lowest score. The score of a kept
+** decode engine is lower by KEPT_BONUS. The few are drawn because all
+** instances learn the same loads late.
 */
 static Endpoint *own_or_best_of_random(mp_State *state, const GPtrArray *a) {
   Endpoint *best =
