--- a/core/board.h
+++ b/core/board.h
@@ -5,8 +5,13 @@
 ** A controller is a file of core/ that decides about one subject (members,
 ** reservations, claims). Controllers don't call each other for a decision:
 ** each writes its own tables and reads those of the others. Every section
-** below names the only writer of its table. The tables themselves are
-** members of mp_State (state.h).
+** below names the writers of its table. The tables themselves are members of
+** mp_State (state.h).
+**
+** An instance is a router process that runs this core. The platform is the
+** system outside of the service that stores its configuration, the list of its
+** instances and endpoints, and its durable claims; the core calls it through
+** its host (fx.h).
 **
 ** Times of type mp_Time are microseconds of the host's monotonic clock, as
 ** handed to mp_feed. A row that others refer to by pointer is freed by the
@@ -35,7 +40,8 @@
   mp_MemberState state;
   mp_Time state_since;
   mp_Time last_heard;    /* last probe or reply directly from it; 0: none */
-  unsigned gossip_count; /* probes that carried its state since the change */
+  unsigned gossip_count; /* probes of this instance that carried its state
+                         ** since that changed */
   int is_listed;         /* the platform's instance list names it */
   int is_remote;         /* belongs to another data centre */
   mp_Time avoid_until;   /* it left a call unanswered: no reservation is asked
@@ -48,7 +54,8 @@
 /*
 ** {==================================================================
 ** Endpoints (writer of the rows: fleet.c; of their loads: keep.c, from load
-** calls, keep_loads.c, from gossip, and holder.c, from keepers' replies)
+** calls, keep_loads.c, from gossip, and holder.c, from keepers' replies; of
+** own_attempts: holder.c and answer.c)
 ** ===================================================================
 */
 
@@ -74,7 +81,7 @@
   uint32_t wait;    /* ms until newly reserved work would start */
   uint32_t rate;    /* prefill: tokens a second; decode: us per token;
                     ** 0: unknown */
-  unsigned gossip_count; /* probes that carried this load */
+  unsigned gossip_count; /* probes of this instance that carried this load */
   unsigned own_attempts; /* attempts of this instance there now */
   /* work that this instance asked to reserve there since it last learned the
   ** load; prefill: tokens; decode: slots */
@@ -103,17 +110,19 @@
 
 /*
 ** {==================================================================
-** Requests (writer: flow.c and the files that step.h names)
+** Requests (writer of the rows: admit.c, which adds them, and flow.c with the
+** files that step.h names; of attempts and keeper_rpc also holder.c)
 ** ===================================================================
 */
 
-/* where a request is on its way; logged by number in " step=" fields */
+/* what a request does now; logged by number in " step=" fields */
 typedef enum Step {
   FLOW_STEP_CLAIM,           /* claiming the request ID */
   FLOW_STEP_RESERVE_DECODE,  /* reserving a decode slot */
   FLOW_STEP_RESERVE_PREFILL, /* reserving time at a prefill engine */
   FLOW_STEP_PREFILL,         /* the prefill engine computes the prompt */
-  FLOW_STEP_TRANSFER,        /* the KV result moves to the decode engine */
+  FLOW_STEP_TRANSFER,        /* the KV result (the attention keys and values
+                             ** of the prompt) moves to the decode engine */
   FLOW_STEP_DECODE,          /* the decode engine streams the answer */
   FLOW_STEP_PLAIN,           /* a plain service answers */
   FLOW_STEP_RETRY_WAIT       /* waiting before Request.next is entered */
@@ -124,7 +133,7 @@
   uint32_t no; /* number within the request, from 1; 0: no attempt */
   mp_Addr endpoint;
   mp_Role role;
-  uint32_t tokens;
+  uint32_t tokens; /* prefill: prompt tokens; decode: most output tokens */
   int granted;
   int waiting;        /* the keeper has put the reservation in its queue */
   int sent;           /* work went to the endpoint: ending it needs a cancel */
@@ -156,7 +165,8 @@
   mp_Ran ran;
   uint32_t attempts;      /* number of the newest attempt */
   unsigned tries;         /* failures since the last success */
-  uint32_t wait_ms;       /* longest wait that a keeper estimated; 0: none */
+  uint32_t wait_ms;       /* longest wait given with a denial since the last
+                          ** granted reservation; 0: none was denied */
   mp_Addr prefill_engine; /* the engine whose prefill was used */
   uint32_t keeper_rpc;    /* sequence number of the open call to a keeper; 0:
                            ** none */
@@ -167,12 +177,13 @@
   char *kv;              /* name of the KV result, owned; NULL: none */
   mp_Addr kv_source;     /* the prefill engine that holds the KV result */
   mp_Time kv_expires_at; /* the engine frees the KV result then */
-  int is_kv_used;        /* the decode engine produced a token from it */
+  int is_kv_used;        /* a decode stream from it has begun or ended */
   uint32_t kv_tokens;    /* prompt tokens computed for it, without cached */
   int head;              /* the answer's head went to the caller */
   uint32_t got;          /* tokens passed to the caller */
   GString *text;         /* text passed to the caller, to resume after it */
-  mp_Addr avoid[MP_MAXTRIES]; /* endpoints that failed in this step */
+  mp_Addr avoid[MP_MAXTRIES]; /* endpoints not to choose: they failed or gave
+                              ** no reservation since the last success */
   unsigned avoid_count;
   Timer timer;          /* timeout or retry of the step */
   Timer deadline_timer; /* the deadline */
@@ -192,8 +203,8 @@
   uint32_t attempt;
   mp_Addr endpoint;
   mp_Role role;
-  uint32_t tokens;
-  uint32_t weight;
+  uint32_t tokens; /* prefill: prompt tokens; decode: most output tokens */
+  uint32_t weight; /* of the request's class: a larger one goes first */
   mp_HoldState state;
   mp_Time lease_end;      /* dropped after this time unless renewed */
   mp_Time since;          /* when it was queued; once granted: when that was */
@@ -205,8 +216,8 @@
 
 /*
 ** {==================================================================
-** Claims on request IDs, at their home (writer: claim.c; durable ones:
-** shard.c)
+** Claims on request IDs, at their home, the one instance that grants them
+** (writer: claim.c; durable ones: shard.c)
 ** ===================================================================
 */
 
--- a/core/claim.c
+++ b/core/claim.c
@@ -9,9 +9,10 @@
 ** before until MP_HOME_SETTLE is over, which gives the holders time to
 ** announce.
 **
-** A row ends ttl_ms after its home first saw it, by the home's monotonic
+** A row ends ttl_ms after its home learned of it, by the home's monotonic
 ** clock and never by a date, so that a jump of the wall clock frees nothing.
-** Durable claims are written by shard.c.
+** For a durable row this time starts again when the platform's object is read
+** again. Durable claims are written by shard.c.
 */
 
 #include <stdio.h>
@@ -403,7 +404,8 @@
 }
 
 /* timer function: announce, drop the rows whose time is over, and have their
-** shards written; runs each third of MP_HOME_SETTLE */
+** shards written; runs each third of MP_HOME_SETTLE, and at once when the set
+** of live instances changed */
 static void run_periodic(mp_State *state, void *ud) {
   GHashTableIter it;
   gpointer v;
--- a/core/claim.h
+++ b/core/claim.h
@@ -4,12 +4,12 @@
 **
 ** An ID is the hash of a client account and the idempotency key that its
 ** caller gave. A claim ties an ID to one request. Claims are granted by the
-** ID's home: IDs are divided into MP_CLAIM_SHARDS shards; a rendezvous hash
-** picks the ID's data centre among those configured, and another one the
-** instance there for the shard. The home grants an ID once. For a class that
-** must not be repeated it writes the claim to the platform first (a durable
-** claim, shard.h). When the home can't be asked, the request is refused and
-** not run.
+** ID's home, which is one instance. IDs are divided into MP_CLAIM_SHARDS
+** shards. A rendezvous hash of the ID picks the home's data centre among those
+** configured, and one of the shard picks the instance there. The home grants
+** an ID once. For a class that must not be repeated it writes the claim to the
+** platform first (a durable claim, shard.h). When the home can't be asked, the
+** request is refused and not run.
 **
 ** Reads: members, config. Writes: claims.
 */
@@ -52,8 +52,8 @@
 ** Handle CLAIM and SETTLE as home. A CLAIM is answered MP_GRANTED, MP_DENIED,
 ** MP_WRONG_HOME when this instance is not the home, MP_QUEUED when it became
 ** the home so lately that the caller has to ask again, or as shard_claim
-** says. An announcement, a CLAIM that another home granted, is always
-** accepted.
+** says. An announcement, which is a CLAIM that tells of a claim granted by an
+** earlier home, is always accepted.
 */
 void claim_on_claim(mp_State *state, mp_Addr from, const mp_Msg *m);
 void claim_on_settle(mp_State *state, mp_Addr from, const mp_Msg *m);
--- a/core/doc.c
+++ b/core/doc.c
@@ -35,7 +35,8 @@
   GBytes *text;               /* the document itself; NULL: not complete yet */
   mp_Manifest manifest;     /* of a configuration, once its text is complete */
   uint32_t rpc;             /* open call to the peer; 0: none */
-  uint64_t highest_invalid; /* the highest version found invalid */
+  uint64_t highest_invalid; /* a version found invalid: it and lower ones are
+                            ** not fetched from peers */
 } Incoming;
 
 struct Docs {
--- a/core/doc.h
+++ b/core/doc.h
@@ -2,11 +2,12 @@
 ** doc.h
 ** Distribution of the configuration and of the instance list
 **
-** Every instance gets the newest version of both documents, from the
-** platform or from another instance. Reads: members. Writes: doc, config,
-** keys, list. A document comes into force only when it is complete, valid
-** and of a higher version than the one in force; one that is invalid is
-** logged as MP_LOG_CONFIG_BAD, and the old one stays.
+** Every instance gets the newest version of both documents, from the platform
+** (the system outside of the service that stores them) or from another
+** instance. Reads: members. Writes: doc, config, keys, list. A document comes
+** into force only when it is complete, valid and of a higher version than the
+** one in force; one that is invalid is logged as MP_LOG_CONFIG_BAD, and the
+** old one stays.
 */
 
 #ifndef DOC_H
@@ -25,8 +26,9 @@
 void document_free(mp_State *state);
 
 /*
-** Instance 'from' has these versions in force: fetch from it what is newer
-** than here. 'versions' holds MP_DOC_COUNT numbers.
+** Instance 'from' has these versions in force: fetch from it each document
+** whose version there is higher than here. 'versions' holds MP_DOC_COUNT
+** numbers.
 */
 void document_on_offer(mp_State *state, mp_Addr from,
                        const uint64_t *versions);
--- a/core/fx.h
+++ b/core/fx.h
@@ -2,13 +2,13 @@
 ** fx.h
 ** How controllers request effects from the host, and get the answers
 **
-** An effect is something that only the host can do: send a message, call an
-** endpoint or the platform, answer a caller, write a log line. The functions
-** here queue effects, which mp_take hands to the host in order; none acts
-** at once. The answer to a call comes through the callback given with it,
-** exactly once (for a call to an endpoint: once for each event up to the
-** last), unless the call is cancelled before that. 'ud' is passed to
-** the callback as it is and stays the caller's.
+** An effect is something that only the host (the program that embeds the core)
+** can do: send a message, call an endpoint or the platform, answer a caller,
+** write a log line. The functions here queue effects, which mp_take hands to
+** the host in order; none acts at once. The answer to a call comes through the
+** callback given with it, exactly once (for a call to an endpoint: once for
+** each event up to the last), unless the call is cancelled before that. 'ud'
+** is passed to the callback as it is and stays the caller's.
 */
 
 #ifndef FX_H
--- a/core/member.c
+++ b/core/member.c
@@ -259,8 +259,9 @@
   return 2 + (unsigned)g_bit_storage(state->members->len);
 }
 
-/* the member whose state was gossiped least and is not in 'p' yet; NULL: all
-** have reached the limit. The receiver 'to' is left out */
+/* of the members other than 'to', the receiver, whose state is not in 'p' yet
+** and has gone with fewer than member_gossip_limit probes since it changed,
+** the one whose state has gone with the fewest; NULL when there is none */
 static Member *least_gossiped(mp_State *state, const mp_Probe *p, mp_Addr to) {
   Member *best = NULL;
   guint i;
@@ -280,7 +281,8 @@
 
 static void fill_members(mp_State *state, mp_Probe *p, mp_Addr to) {
   Member *about = member_get(state, to);
-  /* a receiver that is not alive here must learn it, to refute it */
+  /* a receiver that is not alive here is told so: only then can it refute that
+  ** it is suspected or dead */
   if (about != NULL && about->state != MP_MEMBER_ALIVE) {
     mp_MemberNews n = {about->addr, about->start, about->incarnation,
                        about->dc, (uint8_t)about->state};
@@ -359,7 +361,8 @@
     set_member_state(state, m, MP_MEMBER_SUSPECT);
 }
 
-/* reply to PROBE_VIA, or NULL: the last one decides about the target */
+/* reply to PROBE_VIA, or NULL when none came. With the last one the target is
+** suspected if it answered none of the indirect probes */
 static void on_indirect_reply(mp_State *state, void *ud, mp_Addr from,
                               const mp_Msg *m) {
   IndirectProbe *p = ud;
@@ -557,7 +560,8 @@
   }
 }
 
-/* the live set may have changed unnoticed: as after a start */
+/* the live set may have changed unnoticed, so the count is set as after a
+** start, when no previous live set is known */
 void member_on_pause(mp_State *state) {
   state->set_changed_at = state->now;
   state->set_change_count = 2;
--- a/core/place.h
+++ b/core/place.h
@@ -2,6 +2,9 @@
 ** place.h
 ** Placement rules: where a request may run, and where its KV may go
 **
+** KV is the attention keys and values of a request's prompt, which its prefill
+** makes.
+**
 ** Pure functions over a configuration. No other function decides about
 ** place; these are called at admission, at every choice of an endpoint, and
 ** again at the instant of dispatch or transfer. What is unknown is
--- a/core/plan.h
+++ b/core/plan.h
@@ -2,13 +2,14 @@
 ** plan.h
 ** Decides when a KV transfer between data centres may start
 **
-** A link is the path from one data centre to another. The module owns this
-** instance's queue of transfers, limits how many of them are under way on a
-** link at once, and lets the one go first that must start first to be
-** through before its KV result expires. A transfer within a data centre, and
-** every transfer while the policy 'transfer_plan' is off, starts at once.
-** Reads the configuration. work.c requests and releases transfers; ending.c
-** releases that of a request that ends.
+** A KV transfer moves a KV result, the attention keys and values that a
+** prefill made, to the decode engine. A link is the path from one data centre
+** to another. The module owns this instance's queue of transfers, limits how
+** many of them are under way on a link at once, and lets the one go first that
+** must start first to be through before its KV result expires. A transfer
+** within a data centre, and every transfer while the policy 'transfer_plan' is
+** off, starts at once. Reads the configuration. work.c requests and releases
+** transfers; ending.c releases that of a request that ends.
 */
 
 #ifndef PLAN_H
--- a/core/route.c
+++ b/core/route.c
@@ -39,15 +39,15 @@
 */
 #define EXTRA_DRAWS_MAX 8
 /*
-** An engine of another data centre is taken only when it is emptier than the
-** local ones by more than this share of its slots. Between plain endpoints,
-** whose score counts calls, it only decides between equal ones.
+** A decode engine of another data centre is taken only when it is emptier than
+** the local ones by more than this share of its slots. Between plain
+** endpoints, whose score counts calls, it only decides between equal ones.
 */
 #define REMOTE_PENALTY 0.08
 /*
-** An engine that this instance is the keeper of (whose reservations it grants)
-** may be fuller than the others by this share of its slots: its load is known
-** exactly, and reserving there costs no message.
+** A decode engine that this instance is the keeper of (whose reservations it
+** grants) may be fuller than the others by this share of its slots: its load
+** is known exactly, and reserving there costs no message.
 */
 #define KEPT_BONUS 0.15
 
--- a/core/shard.h
+++ b/core/shard.h
@@ -2,6 +2,10 @@
 ** shard.h
 ** Durable claims: the platform's object of each shard (see claim.h)
 **
+** A durable claim is one that is written to the platform, the system that also
+** stores the configuration, before it is granted. The platform has one object
+** for each shard and home data centre.
+**
 ** Reads and writes: claims. Writes the platform's objects
 ** "claims/DC/SHARD".
 */
--- a/core/slots.c
+++ b/core/slots.c
@@ -51,9 +51,9 @@
 }
 
 /*
-** Keepers denied because the estimated wait is too long: refuse as overloaded
-** when nothing may have run, with a time to come back that covers the longest
-** estimate, at most 30 s; else give up. Ends.
+** Ends a request whose reservations were denied because the wait is too long.
+** When nothing may have run it is refused as overloaded, with a time to come
+** back that covers the longest wait given, at most 30 s; else it is given up.
 */
 static void refuse_overloaded(mp_State *state, Request *r) {
   int s = MAX(mp_error_retry(MP_ERR_OVERLOAD), (int)(r->wait_ms / 1000) + 1);
@@ -73,7 +73,8 @@
     flow_give_up(state, r);
 }
 
-/* timer function: the keeper neither granted nor denied in time */
+/* timer function: the keeper neither granted nor denied in time. No estimate
+** came, so the wait given is the time left until the work must start */
 static void on_queue_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   Attempt *a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
--- a/core/state.h
+++ b/core/state.h
@@ -3,8 +3,9 @@
 ** The state of one decision core: its tables, timers and open calls
 **
 ** One mp_State belongs to one instance. It does no input or output: events
-** come in through mp_feed, and controllers queue effects (fx.h) that the
-** host takes out. state.c creates, feeds and frees it.
+** come in through mp_feed, and controllers queue effects (fx.h) that the host,
+** the program which embeds the core, takes out. state.c creates, feeds and
+** frees it.
 */
 
 #ifndef STATE_H
@@ -80,7 +81,8 @@
   mp_Time set_changed_at;
   GArray *previous_live_set; /* mp_Addr: the live set before those changes */
   unsigned set_change_count; /* changes that followed each other within
-                             ** MP_HOME_SETTLE; 2 or more: unknown history */
+                             ** MP_HOME_SETTLE; 2 or more: the live set right
+                             ** before the last one is not known */
   unsigned next_local_probe, next_remote_probe; /* index into 'members' */
   unsigned probe_periods;
   struct {
@@ -92,10 +94,10 @@
   int has_announced_start;    /* the members of the first list were probed */
   Timer announce_timer, probe_timer, renew_timer, load_poll_timer,
       drain_check_timer;
-  GHashTable *kept;            /* endpoints whose keeper this instance is:
-                               ** address -> mp_Time since when */
-  GHashTable *orphans;         /* text of token and attempt -> mp_Time when the
-                               ** uncovered work was first seen */
+  GHashTable *kept;    /* endpoints whose keeper this instance is:
+                       ** address -> mp_Time since when */
+  GHashTable *orphans; /* text of token and attempt -> mp_Time when work
+                       ** with no reservation was first seen */
   GHashTable *open_load_calls; /* address of endpoint -> LoadCall (keep.c) */
   double retry_tokens;         /* retries that may be made now (retry.c) */
   mp_Time retry_budget_updated_at;
--- a/core/step.h
+++ b/core/step.h
@@ -58,7 +58,7 @@
 */
 void flow_end_attempt(mp_State *state, Request *r, Attempt *a);
 
-/* do not choose this endpoint for the step again */
+/* do not choose this endpoint again until Request.avoid is emptied */
 void flow_avoid_endpoint(Request *r, mp_Addr a);
 
 /* enter step 's' after 'wait' */
