--- a/core/board.h
+++ b/core/board.h
@@ -73,7 +73,8 @@
   /* the load: observed here when this instance is the endpoint's keeper
   ** (keep.h), else learned from gossip or from a keeper's reply */
   uint32_t stamp;           /* version of the load; 0: none is known yet */
-  mp_Time load_received_at; /* when the load was last observed or learned */
+  mp_Time load_received_at; /* when the load was last observed, or learned
+                            ** from gossip */
   uint32_t slots;           /* decode: concurrent streams that it takes */
   uint32_t used;    /* decode: slots reserved or in use; prefill: long prompts
                     ** granted or waiting */
@@ -83,8 +84,8 @@
                     ** 0: unknown */
   unsigned gossip_count; /* probes of this instance that carried this load */
   unsigned own_attempts; /* attempts of this instance there now */
-  /* work that this instance asked to reserve there since it last learned the
-  ** load; prefill: tokens; decode: slots */
+  /* work that this instance asked to reserve there since it last observed the
+  ** load or learned it from gossip; prefill: tokens; decode: slots */
   uint32_t reserved_since_load;
   unsigned consecutive_failures;
   unsigned ejection_count; /* ejections since the last success */
@@ -207,8 +208,10 @@
   uint32_t weight; /* of the request's class: a larger one goes first */
   mp_HoldState state;
   mp_Time lease_end;      /* dropped after this time unless renewed */
-  mp_Time since;          /* when it was queued; once granted: when that was */
-  mp_Time start_by;       /* last moment to start and still meet its target */
+  mp_Time since;          /* when it was queued, or learned from a renewal;
+                          ** once granted here: when that was */
+  mp_Time start_by;       /* last moment to start and still meet its target;
+                          ** INT64_MAX: unknown, learned from a renewal */
   mp_Time slot_needed_at; /* decode: when the slot is needed */
 } Hold;
 
--- a/core/keep.c
+++ b/core/keep.c
@@ -224,8 +224,11 @@
   return n;
 }
 
-/* did the load change enough to be gossiped? The wait by more than 20 ms,
-** anything else at all */
+/* did the load change enough to be gossiped? It did when it is the first one,
+** when the wait changed by more than 20 ms, or when the slots used or in all,
+** the role, 'leaving' or 'down' changed at all. A change of 'rate' or
+*'running'
+** alone does not count */
 static int is_load_changed(const Endpoint *e, const Endpoint *old) {
   uint32_t d = e->wait > old->wait ? e->wait - old->wait : old->wait - e->wait;
   return e->used != old->used || e->slots != old->slots || d > 20 ||
--- a/core/member.c
+++ b/core/member.c
@@ -5,9 +5,9 @@
 ** A member that answers neither a probe nor the indirect probes, sent through
 ** other members, is suspected. A suspect that doesn't refute this within
 ** MP_SUSPECT_TIME is dead. Updates about a member are ordered by (start,
-** incarnation, state), so they may arrive in any order and more than once.
-** Only instances of its own data centre suspect a member; for other data
-** centres it only counts whether they are reachable.
+** incarnation, state), so they may arrive in any order and more than once. A
+** member is suspected only by the probes of instances of its own data centre.
+** Of another data centre, an instance only notes whether it is reachable.
 */
 
 #include <string.h>
--- a/core/route.c
+++ b/core/route.c
@@ -261,7 +261,7 @@
 
 /*
 ** 'reserved_since_load' counts the tokens that this instance asked to reserve
-** there since it last learned the load.
+** there since it last observed the load or learned it from gossip.
 */
 uint32_t choice_prefill_ms(const Endpoint *e, uint32_t tokens) {
   uint64_t sum = (uint64_t)tokens + e->reserved_since_load;
--- a/core/shard.c
+++ b/core/shard.c
@@ -2,8 +2,8 @@
 ** shard.c
 ** Durable claims: one object in the platform for each shard
 **
-** The object holds all claims of its shard that have not expired. It is
-** written only by a conditional update on the version that was read, so a
+** The object holds all durable claims of its shard that have not expired. It
+** is written only by a conditional update on the version that was read, so a
 ** claim in it is unique even while several instances take themselves for the
 ** home. All claims that come within MP_CLAIM_WINDOW go into one write (group
 ** commit). When the reply to a write is lost, the object is read back: it
@@ -164,7 +164,7 @@
                     on_object_read, s);
 }
 
-/* the write was carried out: grant its claims */
+/* the write succeeded: grant its claims */
 static void grant_written(mp_State *state, Shard *s) {
   guint i;
   for (i = 0; i < s->in_write->len; i++) {
--- a/core/slots.c
+++ b/core/slots.c
@@ -4,8 +4,9 @@
 ** from the keeper's verdict
 **
 ** With the policy decode_first the decode slot is reserved before the
-** prefill. A request whose KV result exists queues for a decode slot again
-** until the result expires.
+** prefill. A request with a KV result (the attention keys and values that its
+** prefill made) but no decode slot asks for a slot again until the result
+** expires.
 */
 
 #include "fleet.h"
@@ -112,7 +113,7 @@
   holder_reserve(state, r, &r->prefill, slack_ms(state, r, need), 0);
 }
 
-/* go on to the step that the reservation was for; may end */
+/* enter the step that follows the granted reservation; may end */
 static void on_granted(mp_State *state, Request *r, Attempt *a) {
   a->granted = 1;
   a->waiting = 0;
--- a/core/state.c
+++ b/core/state.c
@@ -252,7 +252,7 @@
   case MP_MSG_FETCH:
     document_on_fetch(state, from, m);
     break;
-  case MP_MSG_LOAD_DIGEST: /* the rest go between routers (router/) */
+  case MP_MSG_LOAD_DIGEST: /* from here on: messages of router/ alone */
   case MP_MSG_LOAD_NOTE:
   case MP_MSG_RELAY_BEAT:
   case MP_MSG_RELAY_ASK:
