--- a/core/holder.c
+++ b/core/holder.c
@@ -66,7 +66,7 @@
       effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, on_reserve_reply, r);
 }
 
-void holder_release(mp_State *state, Request *r, Attempt *a, int kept) {
+void holder_release(mp_State *state, Request *r, Attempt *a, int keep_kv) {
   Endpoint *e;
   mp_Addr keeper;
   mp_Msg m = {0};
@@ -74,18 +74,18 @@
     return;
   e = fleet_get(state, a->endpoint);
   keeper = e != NULL ? keeper_of_endpoint(state, e) : 0;
-  if (e != NULL && !kept && e->own_attempts > 0)
+  if (e != NULL && !keep_kv && e->own_attempts > 0)
     e->own_attempts--;
   if (keeper != 0 && a->role != MP_ROLE_PLAIN) {
     m.kind = MP_MSG_RELEASE;
     m.u.release.token = r->token;
     m.u.release.attempt = a->no;
     m.u.release.endpoint = a->endpoint;
-    m.u.release.kept = (uint8_t)(kept != 0);
+    m.u.release.kept = (uint8_t)(keep_kv != 0);
     m.u.release.took_ms = (uint32_t)((state->now - a->granted_at) / MP_MS);
     effect_send(state, keeper, &m); /* if it is lost, the lease runs out */
   }
-  if (!kept)
+  if (!keep_kv)
     a->no = 0;
 }
 
--- a/core/holder.h
+++ b/core/holder.h
@@ -28,11 +28,11 @@
                     uint32_t start_ms);
 
 /*
-** Release the reservation. With 'kept', for a prefill that is done, only the
-** engine's time is given back: the memory of the KV result stays reserved,
+** Release the reservation. With 'keep_kv', for a prefill that is done, only
+** the engine's time is given back: the memory of the KV result stays reserved,
 ** and the attempt goes on.
 */
-void holder_release(mp_State *state, Request *r, Attempt *a, int kept);
+void holder_release(mp_State *state, Request *r, Attempt *a, int keep_kv);
 
 /* handle a GRANT message: a keeper's later verdict on a queued reservation,
 ** which is a grant or a denial. The answer tells the keeper whether the
--- a/core/keep.c
+++ b/core/keep.c
@@ -144,7 +144,7 @@
 /* is this instance so new as keeper that it may not know all reservations yet?
 ** It does after one renewal period and half a second */
 static int is_rebuilding(const mp_State *state, const Endpoint *e) {
-  const mp_Time *since = state_table_get(state->kept, e->addr);
+  const mp_Time *since = state_table_get(state->kept_since, e->addr);
   return since == NULL || state->now - *since < MP_RENEW_PERIOD + MP_SEC / 2;
 }
 
@@ -226,9 +226,8 @@
 
 /* did the load change enough to be gossiped? It did when it is the first one,
 ** when the wait changed by more than 20 ms, or when the slots used or in all,
-** the role, 'leaving' or 'down' changed at all. A change of 'rate' or
-*'running'
-** alone does not count */
+** the role, 'leaving' or 'down' changed at all. 'rate' and 'running' are not
+** compared */
 static int is_load_changed(const Endpoint *e, const Endpoint *old) {
   uint32_t d = e->wait > old->wait ? e->wait - old->wait : old->wait - e->wait;
   return e->used != old->used || e->slots != old->slots || d > 20 ||
@@ -465,7 +464,7 @@
   Hold *h = find_hold(state, &r->token, r->attempt, r->endpoint);
   if (from != r->token.owner)
     return;
-  if (h != NULL && r->kept)
+  if (h != NULL && r->kept) /* only the KV result stays at the engine */
     h->state = MP_HOLD_KEPT;
   else if (h != NULL)
     drop_hold(state, h);
@@ -629,11 +628,11 @@
   for (i = 0; i < state->endpoints->len; i++) {
     Endpoint *e = state->endpoints->pdata[i];
     if (!is_kept_here(state, e)) {
-      state_table_remove(state->kept, e->addr);
+      state_table_remove(state->kept_since, e->addr);
       continue;
     }
-    if (state_table_get(state->kept, e->addr) == NULL)
-      state_table_set(state->kept, e->addr,
+    if (state_table_get(state->kept_since, e->addr) == NULL)
+      state_table_set(state->kept_since, e->addr,
                       g_memdup2(&state->now, sizeof state->now));
     {
       Endpoint old = *e;
@@ -648,7 +647,7 @@
 /* }================================================================== */
 
 void keeper_init(mp_State *state) {
-  state->kept = state_table_new(g_free);
+  state->kept_since = state_table_new(g_free);
   state->open_load_calls = state_table_new(free_load_call);
   state->orphans =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -657,7 +656,7 @@
 }
 
 void keeper_free(mp_State *state) {
-  g_hash_table_destroy(state->kept);
+  g_hash_table_destroy(state->kept_since);
   g_hash_table_destroy(state->open_load_calls);
   g_hash_table_destroy(state->orphans);
 }
--- a/core/order.c
+++ b/core/order.c
@@ -48,11 +48,11 @@
 struct Orders {
   Timer timer;
   int is_store_call_open; /* a read or write of the lease */
-  int is_held;
+  int is_held;            /* this instance has the lease */
   uint64_t version; /* of the lease object, as last seen; 0: no such object */
   mp_Time version_seen;  /* first time 'version' was read; 0: not known */
   mp_Time valid_until;   /* own lease: no orders from then on */
-  mp_Time held_since;    /* own lease */
+  mp_Time held_since;    /* own lease: when it was taken */
   mp_Time write_sent;    /* time of the last write of the lease */
   mp_Time pressed_since; /* since when a role needs engines; 0: none does.
                          ** One time for all services */
--- a/core/route.c
+++ b/core/route.c
@@ -278,7 +278,7 @@
   double adjustment = e->dc_hash != state->dc_hash ? REMOTE_PENALTY : 0;
   switch (e->role) {
   case MP_ROLE_DECODE:
-    if (state_table_get(state->kept, e->addr) != NULL)
+    if (state_table_get(state->kept_since, e->addr) != NULL)
       adjustment -= KEPT_BONUS;
     return ((double)e->used + e->reserved_since_load) / MAX(e->slots, 1) +
            adjustment;
@@ -333,7 +333,7 @@
   guint i;
   for (i = 0; i < a->len; i++) {
     Endpoint *e = a->pdata[i];
-    if (state_table_get(state->kept, e->addr) != NULL &&
+    if (state_table_get(state->kept_since, e->addr) != NULL &&
         load_score(state, e) < load_score(state, best))
       best = e;
   }
--- a/core/state.h
+++ b/core/state.h
@@ -94,10 +94,10 @@
   int has_announced_start;    /* the members of the first list were probed */
   Timer announce_timer, probe_timer, renew_timer, load_poll_timer,
       drain_check_timer;
-  GHashTable *kept;    /* endpoints whose keeper this instance is:
-                       ** address -> mp_Time since when */
-  GHashTable *orphans; /* text of token and attempt -> mp_Time when work
-                       ** with no reservation was first seen */
+  GHashTable *kept_since; /* endpoints whose keeper this instance is:
+                           ** address -> mp_Time since when */
+  GHashTable *orphans;    /* text of token and attempt -> mp_Time when work
+                          ** with no reservation was first seen */
   GHashTable *open_load_calls; /* address of endpoint -> LoadCall (keep.c) */
   double retry_tokens;         /* retries that may be made now (retry.c) */
   mp_Time retry_budget_updated_at;
