--- a/core/keep.c
+++ b/core/keep.c
@@ -151,7 +151,10 @@
 /*
 ** May work of so many tokens be granted now? 'within' is the time (us) until a
 ** decode slot is needed, and counts for decode only. While a keeper rebuilds
-** its holds it takes the engine's own count of used slots when that is higher.
+** its holds, e->used counts instead of the granted holds when it is higher.
+** That is the engine's own count of used slots from the reply to a load call
+** until update_load, at the end of the same event, sets it to the granted
+** holds.
 */
 static int may_start(const mp_State *state, const Endpoint *e, uint32_t tokens,
                      mp_Time within) {
