--- a/core/slots.c
+++ b/core/slots.c
@@ -4,8 +4,9 @@
 ** from the keeper's verdict
 **
 ** With the policy decode_first the decode slot is reserved before the
-** prefill. A request whose KV result exists queues for a decode slot again
-** until the result expires.
+** prefill. A request with a KV result (the attention keys and values that its
+** prefill made) but no decode slot asks for a slot again until the result
+** expires.
 */
 
 #include "fleet.h"
@@ -51,9 +52,9 @@
 }
 
 /*
-** Keepers denied because the estimated wait is too long: refuse as overloaded
-** when nothing may have run, with a time to come back that covers the longest
-** estimate, at most 30 s; else give up. Ends.
+** Ends a request whose reservations were denied because the wait is too long.
+** When nothing may have run it is refused as overloaded, with a time to come
+** back that covers the longest wait given, at most 30 s; else it is given up.
 */
 static void refuse_overloaded(mp_State *state, Request *r) {
   int s = MAX(mp_error_retry(MP_ERR_OVERLOAD), (int)(r->wait_ms / 1000) + 1);
@@ -73,7 +74,8 @@
     flow_give_up(state, r);
 }
 
-/* timer function: the keeper neither granted nor denied in time */
+/* timer function: the keeper neither granted nor denied in time. No estimate
+** came, so the wait given is the time left until the work must start */
 static void on_queue_timeout(mp_State *state, void *ud) {
   Request *r = ud;
   Attempt *a = r->step == FLOW_STEP_RESERVE_PREFILL ? &r->prefill : &r->decode;
@@ -111,7 +113,7 @@
   holder_reserve(state, r, &r->prefill, slack_ms(state, r, need), 0);
 }
 
-/* go on to the step that the reservation was for; may end */
+/* enter the step that follows the granted reservation; may end */
 static void on_granted(mp_State *state, Request *r, Attempt *a) {
   a->granted = 1;
   a->waiting = 0;
