--- a/io/gateway.c
+++ b/io/gateway.c
@@ -1,6 +1,7 @@
 /*
 ** gateway.c
-** One instance that speaks a dialect: connects the router to its adapters
+** One instance for an external protocol: connects the router to the adapters
+** that do its input and output
 */
 
 #include <string.h>
@@ -20,20 +21,24 @@
 
 /* how often a drain checks whether it has ended */
 #define DRAIN_POLL_INTERVAL (50 * MP_MS)
-/* how long the store may stay silent in a call about the lease */
+/* how long the store may stay silent in a call about the lease on changing the
+** stages of engines (router/lease.h) */
 #define LEASE_CALL_TIMEOUT (800 * MP_MS)
-/* The bound of the configuration's age is this much below revoke_within: 1 s,
-** because a watch of the store may receive nothing for a second before the
-** store forgets its history, and 0.1 s for the way to the endpoint. */
+/* A request with a key is accepted only while the configuration is younger
+** than revoke_within less this margin. 1 s of it is for a watch of the store,
+** which may receive no changes for that long before the store discards its
+** history. 0.1 s is the time that a request may take to reach its endpoint. */
 #define REVOKE_MARGIN (1100 * MP_MS)
-/* lower limit of that bound */
+/* lower limit of that age, for short values of revoke_within */
 #define REVOKE_BOUND_MIN (500 * MP_MS)
-/* The number of watches of the configuration within revoke_within. An instance
-** that is cut off from the store must serve for 0.6 of that time, and its last
-** proof that its configuration is current is up to one watch old. */
+/* The longest wait of a watch of the configuration is revoke_within divided by
+** this. An instance that is cut off from the store must go on to accept keys
+** for 0.6 of revoke_within. The time at which its configuration was last
+** proved current, by the end of a watch, may already be one such wait ago. */
 #define WATCHES_PER_REVOKE 6
-/* minimum time between two trims of idle connections, which other instances
-** may need; digests arrive more often */
+/* Minimum time between two trims of idle connections to endpoints, which limit
+** their connections and may need them for other instances. A trim follows a
+** load digest of another instance; digests arrive more often than this. */
 #define TRIM_INTERVAL_MIN (100 * MP_MS)
 /* longest time between two calls of router_tick() */
 #define MAX_TICK_WAIT (1 * MP_SEC)
@@ -47,9 +52,9 @@
   EndpointLinks *links;
   Directory *directory;
   LoadExchange *exchange;
-  RelayGroup *group; /* which instances watch the store for others */
+  RelayGroup *group; /* knows which instances watch the store for others */
   Relays *relays;
-  StoreLink *leases; /* calls to the store about the lease */
+  StoreLink *lease_link; /* calls to the store about the lease */
   QuarantineWriter *quarantine;
   StatusServer *status_server;
   struct event *tick;
@@ -125,16 +130,16 @@
 static void host_refuse(void *data, guint64 request, const Refusal *refusal) {
   Gateway *gateway = data;
   const HttpHead *caller = front_request_head(gateway->front, request);
-  CallerHead read;
+  CallerHead parsed;
   char *body = NULL;
   HttpHead *head;
   if (caller == NULL)
-    return;
-  if (!gateway->dialect->read_caller(caller, &read, NULL))
-    return;
-  head = gateway->dialect->write_refusal(refusal, read.request.id, &body);
+    return; /* the caller has disconnected */
+  if (!gateway->dialect->read_caller(caller, &parsed, NULL))
+    return; /* does not happen: on_request() has parsed the same head */
+  head = gateway->dialect->write_refusal(refusal, parsed.request.id, &body);
   front_send_response(gateway->front, request, head, body, strlen(body));
-  caller_head_clear(&read);
+  caller_head_clear(&parsed);
   http_head_free(head);
   g_free(body);
 }
@@ -156,7 +161,7 @@
 
 static void host_lease_call(void *data, const StoreCall *call) {
   Gateway *gateway = data;
-  store_link_call(gateway->leases, call, LEASE_CALL_TIMEOUT);
+  store_link_call(gateway->lease_link, call, LEASE_CALL_TIMEOUT);
 }
 
 /* }================================================================== */
@@ -170,8 +175,8 @@
 static void on_request(void *data, guint64 number, const HttpHead *head) {
   Gateway *gateway = data;
   GError *error = NULL;
-  CallerHead read;
-  if (!gateway->dialect->read_caller(head, &read, &error)) {
+  CallerHead parsed;
+  if (!gateway->dialect->read_caller(head, &parsed, &error)) {
     char *body = NULL;
     HttpHead *refused =
         gateway->dialect->write_bad_input(400, error->message, &body);
@@ -182,13 +187,13 @@
     g_free(body);
     g_error_free(error);
   } else {
-    read.request.number = number;
-    read.request.content = request_content_digest(
+    parsed.request.number = number;
+    parsed.request.content = request_content_digest(
         head, front_request_body(gateway->front, number));
-    router_request(gateway->router, &read.request, clock_now());
+    router_request(gateway->router, &parsed.request, clock_now());
     schedule_tick(gateway);
   }
-  caller_head_clear(&read);
+  caller_head_clear(&parsed);
 }
 
 static void on_hangup(void *data, guint64 number) {
@@ -217,9 +222,9 @@
 }
 
 static void on_connections(void *data, const char *endpoint, guint connections,
-                           guint resting) {
+                           guint idle) {
   const Gateway *gateway = data;
-  router_set_connections(gateway->router, endpoint, connections, resting);
+  router_set_connections(gateway->router, endpoint, connections, idle);
 }
 
 static gboolean keeps_connection(void *data, const char *endpoint) {
@@ -229,9 +234,9 @@
 
 /*
 ** Reads the store's response about the lease. A record that cannot be read is
-** treated like another instance's lease, which is acquired when it has
-** certainly expired. If it were treated as a failed call, there would be no
-** orders at all.
+** treated like a lease that another instance holds: this instance may acquire
+** it once it has certainly expired. If it were treated as a failed call, no
+** instance could ever acquire the lease and change the stages of engines.
 */
 static void read_lease(const Gateway *gateway, const StoreReply *reply,
                        LeaseReply *out) {
@@ -257,19 +262,20 @@
 static void on_lease_reply(void *data, const StoreReply *reply,
                            const GError *error) {
   Gateway *gateway = data;
-  LeaseReply read = {0};
+  LeaseReply parsed = {0};
   (void)error;
   relay_group_observe_era(gateway->group, reply->at.era);
-  read_lease(gateway, reply, &read);
-  router_lease_reply(gateway->router, &read, clock_now());
-  lease_record_clear(&read.record);
+  read_lease(gateway, reply, &parsed);
+  router_lease_reply(gateway->router, &parsed, clock_now());
+  lease_record_clear(&parsed.record);
   schedule_tick(gateway);
 }
 
 /*
-** The set of instances has changed. When there are few, each sends its loads
-** to all others. When there are many (relay_group_uses_summaries), each sends
-** them within its data centre, and relays send sums to the other data centres.
+** The set of instances has changed. When there are few, each sends its load
+** digests (load_exchange.h) to all others. When there are many
+** (relay_group_uses_summaries), each sends them within its data centre, and
+** relays send their sums to the other data centres.
 */
 static void on_instances(void *data, const GArray *all, const GArray *near) {
   Gateway *gateway = data;
@@ -332,7 +338,7 @@
 ** ===================================================================
 */
 
-/* Shall new requests be sent to this instance? */
+/* Should load balancers send new requests to this instance? */
 static gboolean is_ready(const Gateway *gateway) {
   return gateway->drain_began == 0 &&
          router_is_configured(gateway->router, clock_now()) &&
@@ -354,7 +360,7 @@
   int field;
   counts.endpoint_connections = endpoint_links_opened_count(gateway->links);
   counts.store_calls = directory_store_calls(gateway->directory) +
-                       store_link_calls(gateway->leases) +
+                       store_link_calls(gateway->lease_link) +
                        quarantine_writer_store_calls(gateway->quarantine);
   counts.abandoned_store_calls =
       directory_abandoned_store_calls(gateway->directory);
@@ -366,8 +372,8 @@
   counts.store_era = relay_group_era(gateway->group);
   counts.news_age = relay_group_news_age(gateway->group, clock_now());
   counts.ready = is_ready(gateway);
-  router_quarantine_count(gateway->router, clock_now(), &counts.suspects,
-                          &counts.held);
+  router_quarantine_count(gateway->router, clock_now(),
+                          &counts.struck_requests, &counts.held_requests);
   counts.rate_skips = router_rate_skips(gateway->router);
   counts.limited_endpoints = router_limited_endpoints(gateway->router);
   counts.leaving_endpoints = router_leaving_endpoints(gateway->router);
@@ -378,7 +384,7 @@
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     const NewsState *news = relay_group_news(gateway->group, (StoreKind)kind);
     counts.news_lag[kind] = news_state_lag(news, clock_now());
-    counts.held_at[kind] = news->held;
+    counts.known_positions[kind] = news->held;
     for (field = 0; field < RECORD_FIELD_COUNT; field++)
       counts.bad_objects[kind][field] = directory_bad_objects(
           gateway->directory, (StoreKind)kind, (RecordField)field);
@@ -456,8 +462,8 @@
 /* }================================================================== */
 
 /*
-** How old the configuration may be for a request with a key, in microseconds;
-** 0: without a limit.
+** Returns how long ago, in microseconds, the configuration may have been
+** proved current when a request with a key is accepted; 0: without a limit.
 */
 static gint64 proof_age_max(const GatewayOptions *options) {
   if (options->revoke_within == 0)
@@ -540,8 +546,8 @@
   gateway->tick = evtimer_new(base, on_tick, gateway);
   gateway->drain_timer = evtimer_new(base, on_drain_timer, gateway);
   gateway->links = endpoint_links_new(base, dialect, &links);
-  gateway->leases = store_link_new(base, options->store, &dialect->store,
-                                   on_lease_reply, gateway);
+  gateway->lease_link = store_link_new(base, options->store, &dialect->store,
+                                       on_lease_reply, gateway);
   make_router(gateway, options);
   gateway->quarantine = quarantine_writer_new(base, dialect, options->store,
                                               gateway->router, log);
@@ -579,7 +585,7 @@
   if (gateway->exchange != NULL)
     load_exchange_free(gateway->exchange);
   endpoint_links_free(gateway->links);
-  store_link_free(gateway->leases);
+  store_link_free(gateway->lease_link);
   quarantine_writer_free(gateway->quarantine);
   router_free(gateway->router);
   event_free(gateway->tick);
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -1,9 +1,12 @@
 /*
 ** gateway.h
-** One instance of madderpierd that speaks a dialect: the router (router/) and
-** the libevent adapters that perform its effects
+** One instance of madderpierd for an external protocol: the router (router/),
+** and the adapters that do its input and output on libevent
 **
-** The daemon creates one gateway for each process. Times are in microseconds.
+** A dialect (dialect/dialect.h) translates between that protocol and the
+** records of the router. An instance with madderpier's own protocol is a Node
+** (node.h) instead, which shares none of these adapters. The daemon creates
+** one of the two in each process. Times are in microseconds.
 */
 
 #ifndef GATEWAY_H
@@ -19,28 +22,39 @@
 typedef struct GatewayOptions {
   const char *instance; /* name of this instance */
   const char *zone;     /* its data centre */
-  guint32 capacity;     /* InstanceRecord.capacity */
+  guint32 capacity;     /* of its machine; unit: InstanceRecord.capacity */
   mp_Addr callers;      /* listens for callers (HTTP) */
   mp_Addr ready;        /* listens for readiness checks of load balancers
                         ** (HTTP); 0: does not */
   mp_Addr control;      /* listens for queries of other instances (HTTP);
                         ** 0: does not */
   mp_Addr metrics;  /* listens for scrapes of metrics (HTTP); 0: does not */
-  mp_Addr exchange; /* sends and receives datagrams of instances (UDP) */
-  mp_Addr store;    /* the platform's store (HTTP) */
-  const mp_Addr *peers; /* 'control' addresses of other instances */
+  mp_Addr exchange; /* exchanges datagrams with other instances (UDP) */
+  mp_Addr store;    /* the platform's store (HTTP), a database of the
+                    ** configuration, the endpoints and the instances */
+  const mp_Addr *peers; /* 'control' addresses of some other instances, which
+                        ** are queried at the start while the store is not
+                        ** available */
   unsigned peers_count;
-  double retry_ratio; /* this and the next two: RouterOptions */
+  double retry_ratio; /* this and the next two: as in RouterOptions */
   unsigned retry_slack;
   gint64 retry_window;
-  gint64 lease_length;    /* of the lease on giving orders to engines; 0: this
-                          ** instance gives none */
-  gint64 watch_wait;      /* longest wait of one watch of the store */
-  gint64 propagation_max; /* a change of the store is known to all instances
-                           ** within this time */
-  LimitTolerance limits;  /* of client accounts */
-  gint64 revoke_within;   /* longest time for which a revoked key is accepted;
-                          ** 0: until its removal is known here */
+  gint64 lease_length;    /* duration of the lease in the store whose holder
+                          ** orders engines (endpoints that run models) to
+                          ** change between prefill and decode
+                          ** (router/stages.h); 0: this instance never takes
+                          ** the lease */
+  gint64 watch_wait;      /* longest time for which the store may hold back the
+                          ** response to one watch, a call that waits for
+                          ** changes */
+  gint64 propagation_max; /* target: all instances know a change within this
+                          ** time after the store has confirmed it; timeouts
+                          ** of relays follow from it (router/relay_group.h) */
+  LimitTolerance limits;  /* by how much the limits of client accounts may be
+                          ** exceeded over all instances */
+  gint64 revoke_within;   /* longest time for which a revoked key of a client
+                          ** account is accepted, even while the store is not
+                          ** available; 0: until its removal is known here */
   gint64 drain_least;     /* a planned stop accepts requests for this time */
   gint64 drain_most;      /* a planned stop ends after this time, even if
                           ** requests are open */
@@ -57,13 +71,16 @@
 /* Ends the instance, and closes all its connections. */
 void gateway_free(Gateway *gateway);
 
-/* Logs that the settings were reloaded. No setting can change in a process. */
+/*
+** Logs a reload (SIGHUP). The settings are not read again: a changed setting
+** takes effect when the process is restarted.
+*/
 void gateway_reload(Gateway *gateway);
 
 /*
-** Begins a planned stop. The event loop is ended when no request is open, at
-** the earliest after 'drain_least', or after 'drain_most'. It has no effect
-** when a stop has begun already.
+** Begins a planned stop. The event loop is ended once 'drain_least' has passed
+** and no request is open, and after 'drain_most' in any case. A call has no
+** effect when a stop has begun already.
 */
 void gateway_drain(Gateway *gateway);
 /* Has a planned stop ended with no request open? */
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -62,11 +62,12 @@
       counts->abandoned_store_calls, counts->log_lines_left_out,
       counts->log_lines_lost, counts->idle_endpoint_connections,
       counts->news_role, (double)counts->news_age / MP_SEC, counts->ready,
-      counts->suspects, counts->held, counts->rate_skips,
+      counts->struck_requests, counts->held_requests, counts->rate_skips,
       counts->limited_endpoints, counts->leaving_endpoints,
       counts->resting_endpoints, counts->waiting, counts->waiting_in_time);
 }
 
+/* by StoreKind */
 static const char *const kind_names[MP_RELAY_KINDS] = {
     "configuration", "endpoints", "instances", "quarantine"};
 
@@ -79,8 +80,9 @@
 }
 
 /*
-** The positions up to which the kinds are known. A kind whose era is lower
-** than the store's has not been read since the store was restored from a copy.
+** Writes the positions up to which all changes of each kind of objects are
+** known. A kind whose era is lower than the store's has not been read since
+** the store was restored from a copy.
 */
 static void write_positions(GString *text, const AdapterCounts *counts) {
   int kind;
@@ -91,11 +93,12 @@
         text,
         "madderpier_news_era{kind=\"%s\"} %" G_GUINT64_FORMAT "\n"
         "madderpier_news_revision{kind=\"%s\"} %" G_GINT64_FORMAT "\n",
-        kind_names[kind], counts->held_at[kind].era, kind_names[kind],
-        counts->held_at[kind].revision);
+        kind_names[kind], counts->known_positions[kind].era, kind_names[kind],
+        counts->known_positions[kind].revision);
 }
 
-/* One line for each field that was ever wrong, and one with their sum. */
+/* Writes a line for each field that was ever invalid, and one with their sum.
+ */
 static void write_bad_kind(GString *text, const char *kind,
                            const guint64 fields[RECORD_FIELD_COUNT]) {
   guint64 sum = 0;
--- a/io/metrics.h
+++ b/io/metrics.h
@@ -3,8 +3,18 @@
 ** The metrics of one instance as text, in the Prometheus format
 ** (version 0.0.4), with durations in seconds
 **
-** gateway.c collects the numbers, and status_server.c serves the text. The
-** names of the metrics in metrics.c are an interface to operators' tools.
+** gateway.c collects the numbers, and status_server.c serves the text.
+** Operators' tools rely on the names of the metrics and on their labels. The
+** names are in metrics.c, except for those of the router's counters and
+** durations (router_counter_name, router_duration_name). The values of the
+** label 'field' are in dialect/dialect.h (RECORD_FIELDS).
+**
+** Terms: the store is the platform's database, from which an instance learns
+** its configuration and its endpoints. A relay is an instance that watches the
+** store for others of its data centre (router/relay_group.h). The store
+** numbers its changes with revisions; its era grows by one whenever it is
+** restored from a copy, and a position is an era and a revision
+** (router/store_position.h). News are changes of the store's objects.
 */
 
 #ifndef METRICS_H
@@ -14,37 +24,50 @@
 #include "router/router.h"
 
 /*
-** The numbers that do not come from the router's own counters. A guint64 is a
-** total since the start, and any other number the present value, unless its
-** comment says otherwise.
+** The numbers that metrics_text() does not read from the router itself. A
+** guint64 is a total since the start, and any other number the present value,
+** unless its comment says otherwise. Arrays of MP_RELAY_KINDS elements have
+** one for each StoreKind, in that order.
 */
 typedef struct AdapterCounts {
   guint64 endpoint_connections;
   guint64 store_calls;
-  guint64 abandoned_store_calls; /* calls abandoned for newer news elsewhere */
-  gint64 news_lag[MP_RELAY_KINDS]; /* by StoreKind: how long this instance has
-                                   ** lagged behind a known change, us */
+  guint64 abandoned_store_calls;   /* as following_abandoned_calls() */
+  gint64 news_lag[MP_RELAY_KINDS]; /* time in us since another instance
+                                   ** announced a change that is not known
+                                   ** here; 0: there is none */
   guint64 log_lines_left_out;      /* log_left_out */
   guint64 log_lines_lost;          /* log_lost */
   unsigned idle_endpoint_connections;
   const char *news_role;   /* relay_role_name of this instance */
-  gint64 news_age;         /* us since the store has answered this instance or
-                           ** a relay that it hears */
+  gint64 news_age;         /* time in us since the store last answered this
+                           ** instance or one of the relays whose heartbeats
+                           ** it receives, whichever was last. For this
+                           ** instance, the older one of the last answers about
+                           ** the configuration and the endpoints counts. */
   gboolean ready;          /* readiness checks succeed */
-  guint suspects;          /* requests that endpoints crashed under lately */
-  guint held;              /* those of them that are not sent any more */
-  guint64 rate_skips;      /* choices that excluded an endpoint by its rate */
+  guint struck_requests;   /* requests with a strike: an endpoint crashed while
+                           ** it ran them, and the strike still counts
+                           ** (router/quarantine.h) */
+  guint held_requests;     /* those of them that are quarantined: they are not
+                           ** sent to endpoints until the hold ends */
+  guint64 rate_skips;      /* choices of an endpoint for a request that left
+                           ** another one out because of its rate limit; the
+                           ** router's running total */
   guint limited_endpoints; /* endpoints that limit the rate of requests */
-  guint leaving_endpoints; /* endpoints whose responses said that they leave */
-  guint resting_endpoints; /* endpoints that want no request from here now */
+  guint leaving_endpoints; /* endpoints whose responses announced that they
+                           ** are leaving service */
+  guint resting_endpoints; /* endpoints that have asked this instance to pause
+                           ** its requests, for a time that is not over */
   guint waiting;           /* queued requests */
   guint waiting_in_time; /* those of them that can still be answered in time */
-  /* objects of the store that could not be read, by StoreKind and by the field
-  ** that is wrong */
+  /* objects of the store that could not be read, by the field that is missing
+  ** or invalid */
   guint64 bad_objects[MP_RELAY_KINDS][RECORD_FIELD_COUNT];
-  StorePosition held_at[MP_RELAY_KINDS]; /* by StoreKind: position up to which
-                                         ** changes are known */
-  guint64 store_era; /* latest era of the store that is known; 0: none */
+  /* positions up to which this instance knows all changes */
+  StorePosition known_positions[MP_RELAY_KINDS];
+  guint64 store_era; /* latest era of the store that is known, not a total; 0:
+                     ** none */
 } AdapterCounts;
 
 /* Returns the text, which the caller frees by g_string_free. */
