--- a/io/directory.c
+++ b/io/directory.c
@@ -29,15 +29,17 @@
 ** instances, so that those that start with it can register as well: they start
 ** within 300 ms of each other */
 #define FIRST_LIST_DELAY (500 * MP_MS)
-/* pauses after news of a kind, so that each further change does not cost a
-** call */
+/* Pauses between a reply that contains changes of one kind of objects and the
+** next call about that kind. The next reply then contains all changes of the
+** pause, so that not each of them costs a call. */
 #define CONFIGURATION_PAUSE (300 * MP_MS)
 #define ENDPOINTS_PAUSE (400 * MP_MS)
 #define INSTANCES_PAUSE (2 * MP_SEC)
-/* longest wait of a watch of the instances, which change rarely */
+/* longest wait of one watch of the instances, which change rarely */
 #define INSTANCES_WAIT (12 * MP_SEC)
-/* the same for quarantine records: instances send them to each other at once,
-** and the store keeps them in case that the instances are lost */
+/* The same for quarantine records. It may be long, because instances send
+** these records to each other at once: the store only keeps them in case that
+** the instances are lost. */
 #define QUARANTINE_WAIT INSTANCES_WAIT
 #define QUARANTINE_PAUSE (300 * MP_MS)
 
@@ -49,7 +51,7 @@
   Log *log;
   DirectoryHooks hooks;
   char *instance;     /* name of this instance */
-  InstanceRecord own; /* the record of this instance to be registered */
+  InstanceRecord own; /* the record under which this instance registers */
   mp_Addr callers;    /* DirectoryOptions.callers */
   mp_Addr *seeds;
   Following *following[MP_RELAY_KINDS]; /* by StoreKind */
@@ -61,7 +63,7 @@
   gboolean is_registering;      /* a call to register is open */
   gboolean registration_failed; /* the last such call failed */
   struct event *register_timer;
-  gboolean is_started; /* the instances are followed */
+  gboolean is_started; /* the list of instances is followed */
   struct event *first_list_timer;
 };
 
@@ -110,7 +112,7 @@
   router_set_endpoint(directory->router, &record, TRUE, clock_now());
 }
 
-/* Is it an address of this instance, so that requests sent there return? */
+/* Is it an address of this instance? A request sent there would come back. */
 static gboolean is_own(const Directory *directory, mp_Addr address) {
   return address == directory->callers || address == directory->own.control ||
          address == directory->own.exchange;
@@ -186,7 +188,7 @@
     update_instance(directory, object);
     break;
   case STORE_CONFIGURATION:
-    if (!object->gone) /* after a removal, the last one stays in force */
+    if (!object->gone) /* after a removal the last configuration stays */
       update_configuration(directory, object->name, object->text);
     break;
   case STORE_QUARANTINE:
@@ -200,6 +202,7 @@
   }
 }
 
+/* Is the instance absent from the list whose names are the keys of 'names'? */
 static gboolean is_unlisted(gpointer name, gpointer instance, gpointer names) {
   (void)instance;
   return !g_hash_table_contains(names, name);
@@ -242,7 +245,10 @@
   g_free(p);
 }
 
-/* Is the instance in this data centre, and do both answer news queries? */
+/*
+** Is the instance in this data centre, and do both it and this instance answer
+** queries for the store's objects (news_codec.h)?
+*/
 static gboolean is_near(const Directory *directory,
                         const InstanceRecord *instance) {
   return instance->control != 0 && directory->own.control != 0 &&
@@ -253,9 +259,11 @@
 typedef struct Others {
   GArray *all;     /* mp_Addr: those of all data centres */
   GArray *near;    /* mp_Addr: those for which is_near() holds */
-  GArray *members; /* RelayMember: the same */
-  GArray *far;     /* RelayMember: those of other data centres that answer news
-                   ** queries, if this instance does too */
+  GArray *members; /* RelayMember: the instances of 'near', with their data
+                   ** centre and capacity */
+  GArray *far;     /* RelayMember: those of other data centres that answer
+                   ** queries for the store's objects; empty when this
+                   ** instance does not answer them */
 } Others;
 
 static void others_add(const Directory *directory, Others *others,
@@ -306,16 +314,16 @@
 }
 
 static void update_instance(Directory *directory, const StoreObject *object) {
-  InstanceRecord read = {0};
+  InstanceRecord record = {0};
   GError *error = NULL;
   if (object->gone)
     g_hash_table_remove(directory->instances, object->name);
-  else if (directory->dialect->read_instance(object->text, &read, &error)) {
+  else if (directory->dialect->read_instance(object->text, &record, &error)) {
     g_hash_table_replace(directory->instances, g_strdup(object->name),
-                         g_memdup2(&read, sizeof read));
+                         g_memdup2(&record, sizeof record));
   } else {
-    /* its owner writes it again when it sees the object (is_registered) */
-    instance_record_clear(&read);
+    /* the instance itself registers again when it receives this object */
+    instance_record_clear(&record);
     report_bad_record(directory, STORE_INSTANCES, object->name, error);
     g_hash_table_remove(directory->instances, object->name);
   }
@@ -326,7 +334,10 @@
     start_timer(directory->register_timer, REREGISTER_DELAY);
 }
 
-/* FollowingHost.control_of: the address for news queries of an instance. */
+/*
+** FollowingHost.control_of: the address at which an instance answers queries
+** for the store's objects; 0 when it is not known.
+*/
 static mp_Addr control_of(void *data, mp_Addr exchange) {
   const Directory *directory = data;
   GHashTableIter iterator;
@@ -340,7 +351,10 @@
   return 0;
 }
 
-/* The object of this instance; NULL if the store's present era lacks it. */
+/*
+** This instance's object in the store. NULL if there is none, or if it was
+** last seen before the store was restored from a copy (in an older era).
+*/
 static const FollowedObject *own_object(const Directory *directory) {
   const Follower *follower =
       following_follower(directory->following[STORE_INSTANCES]);
@@ -363,7 +377,7 @@
          strcmp(registered->zone, directory->own.zone) == 0;
 }
 
-/* The position of the object to be replaced, or none when there is none. */
+/* The position of the object that a registration replaces, if there is one. */
 static StorePosition registered_position(const Directory *directory) {
   const FollowedObject *object = own_object(directory);
   return object != NULL ? object->position : store_position_none();
@@ -403,9 +417,9 @@
 }
 
 /*
-** Begins to follow the instances after the first attempt to register: after a
-** wait when this instance is new, and at once when its object existed already
-** or the store has failed.
+** Begins to follow the list of instances after the first attempt to register:
+** after a wait when this instance is new, and at once when its object existed
+** already or the store has failed.
 */
 static void follow_after_registration(Directory *directory,
                                       StoreStatus status) {
@@ -445,7 +459,7 @@
 
 /*
 ** {==================================================================
-** Following
+** One Following (following.h) for each kind of objects
 ** ===================================================================
 */
 
@@ -461,34 +475,37 @@
   directory->hooks.news(directory->hooks.data);
 }
 
-static void follow(Directory *directory, const DirectoryOptions *options,
-                   StoreKind kind, gint64 watch_wait, gint64 pause) {
+static void make_following(Directory *directory,
+                           const DirectoryOptions *options, StoreKind kind,
+                           gint64 watch_wait, gint64 pause) {
   FollowingHost host = {
       {directory, on_object, on_listed, on_lost, on_regained},
       control_of,
       on_store_answer};
-  FollowingOptions follow = {0};
-  follow.kind = kind;
-  follow.watch_wait = watch_wait;
-  follow.pause = pause;
-  follow.proof_wait_max =
+  FollowingOptions settings = {0};
+  settings.kind = kind;
+  settings.watch_wait = watch_wait;
+  settings.pause = pause;
+  settings.proof_wait_max =
       kind == STORE_CONFIGURATION ? options->proof_wait_max : 0;
-  follow.store = options->store;
-  follow.seeds = directory->seeds;
-  follow.seeds_count = options->seeds_count;
+  settings.store = options->store;
+  settings.seeds = directory->seeds;
+  settings.seeds_count = options->seeds_count;
   directory->following[kind] =
-      following_new(directory->base, directory->dialect, &follow,
+      following_new(directory->base, directory->dialect, &settings,
                     directory->group, &host, directory->log);
 }
 
-static void follow_all(Directory *directory, const DirectoryOptions *options) {
-  follow(directory, options, STORE_CONFIGURATION, options->watch_wait,
-         CONFIGURATION_PAUSE);
-  follow(directory, options, STORE_ENDPOINTS, options->watch_wait,
-         ENDPOINTS_PAUSE);
-  follow(directory, options, STORE_INSTANCES, INSTANCES_WAIT, INSTANCES_PAUSE);
-  follow(directory, options, STORE_QUARANTINE, QUARANTINE_WAIT,
-         QUARANTINE_PAUSE);
+static void make_followings(Directory *directory,
+                            const DirectoryOptions *options) {
+  make_following(directory, options, STORE_CONFIGURATION, options->watch_wait,
+                 CONFIGURATION_PAUSE);
+  make_following(directory, options, STORE_ENDPOINTS, options->watch_wait,
+                 ENDPOINTS_PAUSE);
+  make_following(directory, options, STORE_INSTANCES, INSTANCES_WAIT,
+                 INSTANCES_PAUSE);
+  make_following(directory, options, STORE_QUARANTINE, QUARANTINE_WAIT,
+                 QUARANTINE_PAUSE);
 }
 
 /* }================================================================== */
@@ -519,7 +536,7 @@
   directory->register_timer = evtimer_new(base, on_register_timer, directory);
   directory->first_list_timer =
       evtimer_new(base, on_first_list_timer, directory);
-  follow_all(directory, options);
+  make_followings(directory, options);
   register_instance(directory);
   directory_poll(directory);
   return directory;
@@ -578,7 +595,10 @@
     changed[kind] = following_follower(directory->following[kind])->changed;
 }
 
-/* Has this kind been listed, by the store or by another instance? */
+/*
+** Have the objects of this kind been listed, by the store or by another
+** instance?
+*/
 static gboolean is_known(const Directory *directory, StoreKind kind) {
   return follower_is_synced(following_follower(directory->following[kind]));
 }
--- a/io/directory.h
+++ b/io/directory.h
@@ -3,11 +3,14 @@
 ** Keeps the router's configuration, endpoints, instances and quarantine in
 ** step with the store, and registers this instance there
 **
-** Changes of the store's objects (news) come from the store or from relays
-** (following.h), and at a start without the store from the instances that the
-** settings name. Invariant: within the life of the process, an object never
-** goes back to an older position, nor the configuration to an older version.
-** Used by gateway.c and relays.c. Times are in microseconds.
+** The store is the platform's database. Changes of its objects (news) are read
+** from the store or from relays, the instances that watch it for others
+** (following.h). At a start without the store they are read from the instances
+** that the settings name (seeds). An object's position says which of two of
+** its states is the newer one (router/store_position.h). Invariant: while the
+** process runs, an object is never replaced by an older state of itself, nor
+** the configuration by an older version. Used by gateway.c and relays.c. Times
+** are in microseconds.
 */
 
 #ifndef DIRECTORY_H
@@ -25,28 +28,33 @@
 typedef struct DirectoryOptions {
   const char *instance; /* name of this instance */
   const char *zone;     /* its data centre */
-  guint32 capacity;     /* InstanceRecord.capacity */
+  guint32 capacity;     /* of its machine; unit: InstanceRecord.capacity */
   mp_Addr exchange;     /* its address for datagrams of other instances */
   mp_Addr control; /* its address for queries of other instances; 0: none */
   mp_Addr callers; /* its address for callers */
   mp_Addr store;
-  const mp_Addr *seeds; /* 'control' addresses of the instances to query while
-                        ** the store is not available */
+  const mp_Addr *seeds; /* 'control' addresses of the instances to query at
+                        ** the start while the store is not available */
   unsigned seeds_count;
-  gint64 watch_wait;     /* longest wait of one watch of the store */
-  gint64 proof_wait_max; /* NewsSource.proof_wait_max for the configuration */
+  gint64 watch_wait;     /* longest time for which the store may hold back the
+                         ** response to one watch */
+  gint64 proof_wait_max; /* the same for watches of the configuration, if that
+                         ** is less, because each watch that ends without a
+                         ** change proves that the configuration is current
+                         ** (router/config_proof.h); 0: no proof is needed */
 } DirectoryOptions;
 
 typedef struct DirectoryHooks {
   void *data;
-  /* The router has taken over a new configuration, which is borrowed. */
+  /* The router uses a new configuration from now on. 'table' is borrowed. */
   void (*configuration)(void *data, RouteTable *table);
   /* The set of instances may have changed. 'all' are the addresses (mp_Addr,
-  ** InstanceRecord.exchange) of the other instances, and 'near' those of them
-  ** in this data centre that answer news queries, if this instance does too.
-  ** Both are valid during the callback. */
+  ** InstanceRecord.exchange) of all other instances. 'near' are those of them
+  ** that are in this data centre and answer queries for the store's objects;
+  ** it is empty when this instance does not answer such queries itself. Both
+  ** arrays are valid during the callback. */
   void (*instances)(void *data, const GArray *all, const GArray *near);
-  /* The store has answered, with or without news. */
+  /* The store has answered a call, with or without changes. */
   void (*news)(void *data);
 } DirectoryHooks;
 
@@ -61,8 +69,8 @@
 void directory_free(Directory *directory);
 
 /*
-** Polls for news. To be called when another instance may answer from now on,
-** or has news.
+** Makes the calls for changes that are due. To be called when another instance
+** may answer from now on, or has announced changes.
 */
 void directory_poll(Directory *directory);
 
@@ -72,12 +80,13 @@
 */
 void directory_answer_query(const Directory *directory, const NewsQuery *query,
                             StoreReply *out);
-/* Stores the position of the newest known change of each StoreKind. */
+/* Sets changed[K] to the position of the newest known change of StoreKind K.
+ */
 void directory_newest_changes(const Directory *directory,
                               StorePosition changed[MP_RELAY_KINDS]);
 /*
-** Have the configuration and the endpoints been read, from the store or from
-** another instance?
+** Have both the configuration and the endpoints been listed, by the store or
+** by another instance?
 */
 gboolean directory_is_loaded(const Directory *directory);
 
@@ -85,12 +94,12 @@
 gboolean directory_has_endpoints(const Directory *directory);
 /* The number of calls to the store since the start. */
 guint64 directory_store_calls(const Directory *directory);
-/* As following_abandoned_calls(), for all kinds. */
+/* The sum of following_abandoned_calls() over all kinds. */
 guint64 directory_abandoned_store_calls(const Directory *directory);
 /*
-** The number of objects of a kind that could not be read because of this
-** field. An object counts once for each revision; one without a name, each
-** time that it is listed.
+** The number of objects of a kind that could not be read because this field
+** was missing or invalid. An object counts once for each of its revisions, but
+** one without a name each time that it is listed.
 */
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
                               RecordField field);
--- a/io/following.h
+++ b/io/following.h
@@ -2,10 +2,11 @@
 ** following.h
 ** Follows one kind of the store's objects: keeps a copy of them up to date
 **
-** A NewsSource (router/news_source.h) decides which call to make next, to the
-** store or to another instance; this module makes the calls, and hands their
-** replies back. News are changes of the store's objects. directory.c has one
-** Following for each kind. Times are in microseconds.
+** News are changes of the store's objects. They are read from the store or,
+** where a relay watches the store for this instance, from that relay. A
+** NewsSource (router/news_source.h) decides which call to make next, and to
+** which of them; this module makes the calls, and hands their replies back.
+** directory.c has one Following for each kind. Times are in microseconds.
 */
 
 #ifndef FOLLOWING_H
@@ -22,8 +23,12 @@
 typedef struct FollowingOptions {
   StoreKind kind;
   gint64 watch_wait;     /* longest wait of one watch of the store */
-  gint64 pause;          /* between news and the next call */
-  gint64 proof_wait_max; /* NewsSource.proof_wait_max */
+  gint64 pause;          /* wait between a reply with changes and the next
+                         ** call */
+  gint64 proof_wait_max; /* the same as watch_wait, if that is less, for the
+                         ** configuration when its age is bounded: a watch that
+                         ** ends without a change proves that it is current;
+                         ** 0: its age is not bounded */
   mp_Addr store;
   const mp_Addr *seeds; /* instances to query when the store is not available
                         ** at the start; they outlive the Following */
@@ -49,8 +54,8 @@
 
 /*
 ** Makes the next call if one is due. To be called when another instance may
-** answer from now on, or when a relay has news; following.c itself calls it
-** after each reply and timeout.
+** answer from now on, or when a relay has announced changes; following.c
+** itself calls it after each reply and timeout.
 */
 void following_poll(Following *following);
 
@@ -62,8 +67,8 @@
 */
 guint64 following_nameless_objects(const Following *following);
 /*
-** The number of calls to the store that were abandoned, because other
-** instances had news that the call did not deliver.
+** The number of calls to the store that were abandoned, because a relay had
+** announced changes that the call did not deliver in time.
 */
 guint64 following_abandoned_calls(const Following *following);
 /* The number of calls to the store; calls to instances are not counted. */
--- a/io/quarantine_writer.h
+++ b/io/quarantine_writer.h
@@ -3,8 +3,9 @@
 ** Writes the quarantine records of this instance to the store
 **
 ** A record (router/quarantine.h) lists the endpoints that crashed while they
-** ran a request. Instances send them to each other as well, but what they
-** alone know is lost when most of them are killed at once. Used by gateway.c.
+** ran a request. Instances send records to each other as well (crash reports),
+** but records that only instances had would be lost if most of the instances
+** were killed at once. Used by gateway.c.
 */
 
 #ifndef QUARANTINE_WRITER_H
@@ -23,7 +24,7 @@
                                         Router *router, Log *log);
 void quarantine_writer_free(QuarantineWriter *writer);
 
-/* Begins the next write, if there is one and no other is in progress. */
+/* Begins the next write, if one is due and no other is in progress. */
 void quarantine_writer_poll(QuarantineWriter *writer);
 
 /* The number of calls to the store since the start. */
--- a/io/store_link.c
+++ b/io/store_link.c
@@ -1,6 +1,6 @@
 /*
 ** store_link.c
-** HTTP client for the store, which makes one call at a time
+** HTTP client for calls to the store or to another instance
 */
 
 #include <string.h>
@@ -13,7 +13,7 @@
 #include "io/store_link.h"
 #include "io/sockets.h"
 
-/* bytes of the largest response body that is accepted */
+/* size of the largest response body that is accepted, in bytes */
 #define MAX_BODY_BYTES (16 << 20)
 /* a connection fails when sent data stays unacknowledged this long */
 #define UNACKED_MS 1500
@@ -27,14 +27,14 @@
   struct bufferevent *events; /* NULL: not connected */
   HttpReader *reader;
   struct event *timer;
-  gboolean open;
+  gboolean open;      /* a call is open */
   gint64 timeout;     /* of the open call */
   gint64 received_at; /* as store_link_received_at */
   StoreCall call;     /* the newest call, without its texts */
   GString *text;      /* the request, until it is written */
-  HttpHead *head;
-  GByteArray *body;
-  guint64 calls;
+  HttpHead *head;     /* of the response; NULL until it is received */
+  GByteArray *body;   /* of the response, as far as it is received */
+  guint64 calls;      /* as store_link_calls */
 };
 
 /* Closes the connection, if there is one. */
@@ -114,7 +114,7 @@
 static void on_read(struct bufferevent *events, void *data) {
   StoreLink *link = data;
   struct evbuffer *in = bufferevent_get_input(events);
-  if (!link->open) { /* bytes without a call */
+  if (!link->open) { /* bytes that belong to no call */
     disconnect(link);
     return;
   }
--- a/io/store_link.h
+++ b/io/store_link.h
@@ -1,12 +1,14 @@
 /*
 ** store_link.h
-** HTTP client for the store, or for an instance that answers in its place
+** HTTP client for calls to the store, or to another instance that answers from
+** its copy of the store's objects
 **
-** It makes one call at a time over a connection that is kept between calls. A
-** call whose response does not arrive in time closes the connection, because
-** a store that has lost a response sends nothing more on it. Used by
-** directory.c, following.c, gateway.c and quarantine_writer.c. Times are in
-** microseconds.
+** The store is the platform's database of configuration, endpoints, instances
+** and quarantine records. A link makes one call at a time, over a connection
+** that is kept between calls. When a response does not arrive in time, the
+** link closes the connection, because a store that has lost a response sends
+** nothing more on it. Used by directory.c, following.c, gateway.c and
+** quarantine_writer.c. Times are in microseconds.
 */
 
 #ifndef STORE_LINK_H
@@ -26,14 +28,18 @@
 typedef void (*StoreLinkReply)(void *data, const StoreReply *reply,
                                const GError *error);
 
-/* No connection is made before the first call. 'codec' is borrowed. */
+/*
+** 'codec' writes the requests and reads the responses: that of the dialect for
+** the store, news_codec for an instance. It is borrowed. No connection is made
+** before the first call.
+*/
 StoreLink *store_link_new(struct event_base *base, mp_Addr address,
                           const StoreCodec *codec, StoreLinkReply on_reply,
                           void *data);
-/* Closes the connection without reporting an open call. */
+/* Closes the connection. The end of an open call is not reported. */
 void store_link_free(StoreLink *link);
 
-/* Sets the address of the calls from now on. No call may be open. */
+/* Sets the address to which calls go from now on. No call may be open. */
 void store_link_set_address(StoreLink *link, mp_Addr address);
 
 /*
@@ -54,8 +60,8 @@
 /* The number of calls begun since the start. */
 guint64 store_link_calls(const StoreLink *link);
 /*
-** When the last part of the response to the newest call was received
-** (clock_now); 0: none was.
+** The time (clock_now) at which a part of the response to the newest call was
+** last received; 0: none was.
 */
 gint64 store_link_received_at(const StoreLink *link);
 /* Bytes of the body received in the open call; 0 when none is open. */
