--- a/io/adapters.h
+++ b/io/adapters.h
@@ -1,12 +1,14 @@
 /*
 ** adapters.h
-** The adapters of a node (node.h): one for each kind of peer it talks to
+** The adapters of a node (node.h): one for each kind of program with which it
+** exchanges messages
 **
-** An adapter performs those effects of the core that concern its peers, and
-** hands what comes back to the core as events, by node_feed(). No adapter
-** calls another, with one exception: the endpoints adapter reads the request
-** bodies that the callers adapter keeps. Only node.c calls these functions,
-** except for callers_body().
+** An effect is an action that the core requests, for example a message to send
+** (include/mpeffect.h). An adapter performs the effects that concern its
+** counterparts, and hands what it receives from them to the core as events, by
+** node_feed(). No adapter calls another, with one exception: the endpoints
+** adapter reads the request bodies that the callers adapter keeps. Only node.c
+** calls these functions, except for callers_body().
 */
 
 #ifndef ADAPTERS_H
@@ -42,11 +44,11 @@
 */
 Callers *callers_new(Node *node, const NodeOptions *o, GError **err);
 void callers_free(Callers *C);
-/* Performs the effect MP_FX_REPLY: sends (a part of) a response. */
+/* Performs the effect MP_FX_REPLY: sends a response, or a part of one. */
 void callers_reply(Callers *C, const mp_Reply *r);
 /*
-** The request of the call 'call', valid until the caller's request is freed;
-** NULL when the caller has disconnected.
+** The caller's request to which the core refers by the number 'call', valid
+** until libevhtp frees that request; NULL when the caller has disconnected.
 */
 const CallBody *callers_body(Callers *C, uint64_t call);
 /* The number of connected callers that have a request in progress. */
@@ -56,7 +58,8 @@
 
 /*
 ** {==================================================================
-** Endpoints (endpoints.c): engines and plain services, by evhttp
+** Endpoints (endpoints.c): engines, which run models, and plain services, by
+** evhttp
 ** ===================================================================
 */
 
@@ -64,13 +67,14 @@
 /* Aborts all calls to endpoints without feeding events for them. */
 void endpoints_free(Endpoints *E);
 /*
-** Performs the effect MP_FX_XCALL: begins a call to an endpoint. Its outcome
-** is fed as events from the event loop.
+** Performs the effect MP_FX_XCALL: begins the call '*x' to an endpoint. What
+** comes back is fed as events from the event loop, never from within this
+** function.
 */
 void endpoints_call(Endpoints *E, const mp_Xcall *x);
 /*
-** Performs the effect MP_FX_XABORT: aborts the call 'xcall', for which no
-** further event is fed.
+** Performs the effect MP_FX_XABORT: aborts the call with the number 'xcall'
+** (mp_Xcall.xcall). No further event is fed for it.
 */
 void endpoints_abort(Endpoints *E, uint64_t xcall);
 
@@ -89,8 +93,8 @@
 Peers *peers_new(Node *node, mp_Addr rpc, GError **err);
 void peers_free(Peers *P);
 /*
-** Performs the effect MP_FX_SEND: sends one datagram, without a report of
-** whether it was delivered.
+** Performs the effect MP_FX_SEND: sends a message in one datagram, which may
+** be lost without notice.
 */
 void peers_send(Peers *P, mp_Addr to, const mp_Msg *m);
 
@@ -98,7 +102,8 @@
 
 /*
 ** {==================================================================
-** Platform (platform.c): the object API, by evhttp
+** Platform (platform.c): its object API, which stores values under keys, by
+** evhttp
 ** ===================================================================
 */
 
--- a/io/endpoint_call.h
+++ b/io/endpoint_call.h
@@ -12,7 +12,7 @@
 #include "dialect/dialect.h"
 #include "http/events.h"
 
-/* It owns what its pointers refer to. */
+/* An EndpointCall owns what its pointers refer to. */
 typedef struct EndpointCall {
   guint64 dispatch; /* Dispatch.number */
   DispatchKind kind;
@@ -33,17 +33,21 @@
 /* 'call' may be NULL. */
 void endpoint_call_free(EndpointCall *call);
 
-/* Is it a release, a report or an order, which no caller has requested? */
+/*
+** Is it a control call, one that the router makes for itself rather than for a
+** caller: a release, a report or an order (DispatchKind)?
+*/
 gboolean endpoint_call_is_control(const EndpointCall *call);
 /*
-** The outcome of a dispatch whose response is complete and not a stream.
-** OUTCOME_BROKEN means that the response cannot be used, and that it is not
-** known whether the request has run.
+** Returns the outcome of a dispatch whose response is complete and not a
+** stream. OUTCOME_BROKEN means that the response cannot be used, and that it
+** is not known whether the request has run.
 */
 OutcomeKind endpoint_call_classify(const EndpointCall *call);
 /*
-** Does the response serve a caller's request, by a status of 200 to 299? The
-** head has to have been received.
+** Is it a run or a prefill that the endpoint has carried out, as a status of
+*200
+** to 299 says? The head of the response must have been received.
 */
 gboolean endpoint_call_has_served(const EndpointCall *call);
 
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -2,9 +2,11 @@
 ** endpoint_links.c
 ** Connections to endpoints, on bufferevents and http_parser
 **
-** evhttp cannot be used here, because it passes bytes that are left over from
-** one response to the next request; docs/design/style.md says why that
-** matters.
+** The gateway (gateway.h) calls endpoints by this file, the node (node.h) by
+** endpoints.c. This file keeps connections for reuse and so cannot use evhttp:
+** evhttp takes bytes that are left over from one response for the response to
+** the next request (docs/design/style.md). endpoints.c can, because each of
+** its calls has a connection of its own.
 */
 
 #include <string.h>
@@ -28,7 +30,8 @@
 /* bytes of a response body that are buffered; the parts of the body that would
 ** exceed it are dropped */
 #define MAX_BODY_BYTES (8 << 20)
-/* how long the response to a control call is waited for */
+/* longest wait for the response to a control call, which is a release, a
+** report or an order (endpoint_call_is_control) */
 #define CONTROL_TIMEOUT (1 * MP_SEC)
 
 struct EndpointLinks {
@@ -50,7 +53,8 @@
   HttpReader *reader;
   gboolean is_connected;
   gboolean must_close; /* it is closed after its call */
-  gint64 idle_limit;   /* us, as the endpoint named it; 0: it named none */
+  gint64 idle_limit;   /* us after which the endpoint closes an idle
+                       ** connection, as it says; 0: it has not said */
   EndpointCall *call;  /* NULL while the connection is idle */
 } Link;
 
@@ -89,7 +93,10 @@
   event_add(link->timer, &time);
 }
 
-/* Ends the call. The connection is idle until the next one, or for 'limit'. */
+/*
+** Ends the call. The connection is idle until the next call, and is closed
+** after 'limit' microseconds without one.
+*/
 static void make_idle(Link *link, gint64 limit) {
   EndpointLinks *links = link->links;
   g_hash_table_remove(links->calls, &link->call->dispatch);
--- a/io/endpoint_links.h
+++ b/io/endpoint_links.h
@@ -2,9 +2,11 @@
 ** endpoint_links.h
 ** Connections to endpoints, which are kept for reuse between dispatches
 **
-** The gateway hands it the router's dispatches, and gets their outcomes.
+** A dispatch is one request to an endpoint, on behalf of a caller's request or
+** for the router itself (router/router.h). The gateway hands the router's
+** dispatches to this module, and receives their outcomes.
 **
-** Invariants. A connection is used by one dispatch at a time. It is kept only
+** Invariants: a connection is used by one dispatch at a time. It is kept only
 ** after a whole response that is not another request's, with nothing left to
 ** write and nothing more to read. Any byte or the end of the connection while
 ** it is idle closes it. A dispatch whose connection was never established has
@@ -21,8 +23,8 @@
 typedef struct EndpointLinks EndpointLinks;
 
 /*
-** Outcome.payload: what is forwarded to the caller. It is valid during the
-** callback 'outcome'.
+** What Outcome.payload refers to: the part of a response that is forwarded to
+** the caller. It is valid during the callback 'outcome'.
 */
 typedef struct EndpointResponse {
   const HttpHead *head; /* for OUTCOME_ANSWER and OUTCOME_STREAM_HEAD */
@@ -33,20 +35,22 @@
 
 typedef struct EndpointLinksHooks {
   void *data;
-  /* A dispatch has ended, or a part of a stream has arrived. It is never
-  ** called from within a function below. There is none for the end of a
-  ** DISPATCH_RELEASE. */
+  /* A dispatch has ended, or a part of a streamed response has arrived. This
+  ** is never called from within a function below, and not at all for the end
+  ** of a DISPATCH_RELEASE. */
   void (*outcome)(void *data, const Outcome *outcome);
-  /* The head of a response has told this about the incarnation 'life' of the
-  ** endpoint. The response is that of the dispatch, and from the endpoint that
-  ** was meant. No dispatch may be sent or cancelled from here. */
+  /* The head of a response contains 'signals' about the state of the endpoint.
+  ** 'life' names the endpoint's incarnation (one run of its process) to which
+  ** the dispatch was sent. There is no call for a response that names another
+  ** request, or comes from another endpoint. The callback must not send or
+  ** cancel a dispatch. */
   void (*signals)(void *data, const char *endpoint, guint32 life,
                   const EndpointSignals *signals);
-  /* As LinkPoolHooks.counted. It may be called at any time, also from within
-  ** a function below. */
+  /* As LinkPoolHooks.counted. It may also be called from within a function
+  ** below. */
   void (*counted)(void *data, const char *endpoint, guint connections,
                   guint idle);
-  /* Shall a connection to the endpoint be kept when it is not in use? */
+  /* Is a connection to the endpoint to be kept when it is not in use? */
   gboolean (*keeps)(void *data, const char *endpoint);
 } EndpointLinksHooks;
 
--- a/io/endpoints.c
+++ b/io/endpoints.c
@@ -3,9 +3,13 @@
 ** Calls to engines and plain services, by evhttp
 **
 ** The engine's HTTP interface, which docs/design/interfaces.md describes:
-**   POST /v1/completions, /v1/chat/completions   prefill and decode, which
-**        "kv_transfer_params" distinguishes, as in published engines
+**   POST /v1/completions, /v1/chat/completions   prefill and decode: the
+**        member "kv_transfer_params" says which, as it does in vLLM
 **   POST /v1/kv/import, /v1/cancel, /v1/order; GET /v1/load, /v1/streams/ID
+** Prefill computes the KV cache of a prompt (the KV result), which an import
+** copies to the engine that decodes, which generates the output. An order
+** tells an engine which of the two to do from now on.
+**
 ** The statuses 409, 429 and 503 mean that the engine refused the request and
 ** did not run it; 400, 404, 413 and 422 that the request is invalid. Any other
 ** unexpected status leaves unknown whether the request has run.
@@ -19,13 +23,14 @@
 
 struct Endpoints {
   Node *node;
-  GHashTable *open; /* xcall -> EndpointRequest, which it owns */
+  GHashTable *open; /* mp_Xcall.xcall (the core's number of a call) ->
+                    ** EndpointRequest, which it owns */
 };
 
 /* a call in progress */
 typedef struct EndpointRequest {
   Endpoints *E;
-  uint64_t xcall;
+  uint64_t xcall; /* as mp_Xcall.xcall */
   mp_XcallOp op;
   char id[64];     /* token and attempt: the request's id at the engine */
   HttpCall *call;  /* NULL once it has ended, or if it could not be made */
@@ -193,7 +198,11 @@
 ** ===================================================================
 */
 
-/* Reads the response to a prefill; 0 when it is invalid. */
+/*
+** Reads the response to a prefill: the id of its KV result, for how long the
+** engine keeps it, and the number of prompt tokens that were cached. Returns 0
+** when it is invalid.
+*/
 static int parse_prefill(const json_t *j, mp_EndpointEvent *x) {
   const json_t *kv = json_object_get(j, "kv_transfer_params");
   const char *id = json_text(kv, "kv_id");
@@ -215,9 +224,9 @@
 }
 
 /*
-** Reads the response to a load query; 0 when it is invalid. At most 'most' of
-** the reservations that it lists are stored in 'hold', which '*l' then refers
-** to.
+** Reads the response to a load query (MP_X_LOAD) into '*l'. Returns 0 when it
+** is invalid. It lists the reservations that the engine holds, of which at
+** most 'most' are stored in 'hold', which '*l' then refers to.
 */
 static int parse_load(const json_t *j, mp_LoadAnswer *l, mp_HoldNews *hold,
                       unsigned most) {
@@ -334,7 +343,7 @@
 ** ===================================================================
 */
 
-/* The caller's JSON with the members that the engine needs in addition. */
+/* The body of a prefill or decode: the caller's JSON, with further members. */
 static json_t *work_json(const EndpointRequest *c, const CallBody *b,
                          const mp_Xcall *x) {
   json_t *j = json_copy(b->json);
@@ -353,8 +362,12 @@
   return j;
 }
 
-/* The body of a request that has no caller; NULL for other operations. */
-static json_t *control_json(const EndpointRequest *c, const mp_Xcall *x) {
+/*
+** The body of an import, a cancellation or an order, which the core requests
+** for itself; NULL for the other operations, which either forward a caller's
+** request or have no body (MP_X_LOAD, MP_X_RESUME).
+*/
+static json_t *core_json(const EndpointRequest *c, const mp_Xcall *x) {
   char from[24];
   switch (x->op) {
   case MP_X_IMPORT:
@@ -402,7 +415,10 @@
                 h, (const char *)evbuffer_pullup(b->raw, -1), n, &hooks, c);
 }
 
-/* Sends a POST with the body 'j', whose reference it takes over; or a GET. */
+/*
+** Sends a POST with the body 'j', whose reference it takes over; or a GET when
+** 'j' is NULL.
+*/
 static void send_json(EndpointRequest *c, const mp_Xcall *x, const char *uri,
                       json_t *j) {
   static const HttpHeader h[] = {{"Content-Type", "application/json"},
@@ -439,16 +455,16 @@
     send_json(c, x, uri, NULL);
     break;
   case MP_X_IMPORT:
-    send_json(c, x, "/v1/kv/import", control_json(c, x));
+    send_json(c, x, "/v1/kv/import", core_json(c, x));
     break;
   case MP_X_CANCEL:
-    send_json(c, x, "/v1/cancel", control_json(c, x));
+    send_json(c, x, "/v1/cancel", core_json(c, x));
     break;
   case MP_X_LOAD:
     send_json(c, x, "/v1/load", NULL);
     break;
   case MP_X_ORDER:
-    send_json(c, x, "/v1/order", control_json(c, x));
+    send_json(c, x, "/v1/order", core_json(c, x));
     break;
   }
 }
--- a/io/http.h
+++ b/io/http.h
@@ -2,9 +2,9 @@
 ** http.h
 ** One HTTP call as a client, over evhttp
 **
-** Each call has a connection of its own. Whether a failed call may have been
-** executed then follows from whether that connection was ever established.
-** Used by platform.c, endpoints.c, the command line client, tests and
+** Each call has a connection of its own. If that connection was never
+** established, a failed call was certainly not executed; otherwise it may have
+** been. Used by platform.c, endpoints.c, the command line client, tests and
 ** benchmarks.
 */
 
@@ -43,7 +43,7 @@
 
 /*
 ** Begins a call to the address 'to', with a body of 'n' bytes that is copied.
-** 'headers' ends with an element whose name is NULL, or is itself NULL.
+** 'headers' ends with an element whose name is NULL; NULL: no headers.
 ** 'hooks' has to outlive the call, and 'ud' is passed to its callbacks.
 ** 'end' is called once, never from within this function, and the call is
 ** freed after it. Returns NULL, without calling 'end', when the call cannot
--- a/io/node.h
+++ b/io/node.h
@@ -1,11 +1,13 @@
 /*
 ** node.h
-** One instance of madderpierd: the core, and the adapters that perform its
-** effects (adapters.h)
+** One instance of madderpierd with madderpier's own HTTP interface: the core,
+** and the adapters that do its input and output (adapters.h)
 **
 ** The core is a state machine without input or output of its own. An adapter
-** hands it an event by node_feed(); the effects that the core returns are
-** performed before node_feed() returns.
+** hands it an event (include/mpevent.h) by node_feed(). The core returns the
+** actions that it wants performed, its effects (include/mpeffect.h), and they
+** are performed before node_feed() returns. An instance for an external
+** protocol is a Gateway (gateway.h) instead.
 */
 
 #ifndef NODE_H
@@ -31,17 +33,18 @@
   mp_Addr platform;     /* the platform's object API (HTTP) */
   const mp_Addr *seeds; /* RPC addresses of instances to contact first */
   unsigned nseed;
-  uint32_t net, mask;        /* network that instances belong to */
+  uint32_t net, mask;        /* IPv4 network in which all instances are */
   uint32_t max_body;         /* bytes of a request body */
   uint32_t max_headers;      /* number of header fields of a request */
-  uint32_t caller_timeout_s; /* seconds without progress of a caller */
+  uint32_t caller_timeout_s; /* seconds without progress after which a caller's
+                             ** connection is closed */
 } NodeOptions;
 
 typedef struct Node {
   struct event_base *base;
   mp_State *state;
   Log *log;
-  struct event *timer; /* next time at which the core has something to do */
+  struct event *timer; /* runs when the core next has something to do */
   int performing;      /* effects are being performed */
   int drained;         /* the core reported that its drain is complete */
   Callers *callers;
