--- a/io/caller_errors.h
+++ b/io/caller_errors.h
@@ -38,9 +38,9 @@
                        const char *detail, const char *id);
 
 /*
-** Writes an error response directly to the socket, for requests that libevhtp
-** rejects: it closes the connection without sending what is queued. The
-** response is cut off or lost when the socket buffer is full.
+** Writes an error response directly to the socket. It is for requests that
+** libevhtp rejects by closing the connection without sending what is queued.
+** The response is cut off or lost when the socket buffer is full.
 */
 void caller_send_before_close(evhtp_connection_t *c, mp_Error e,
                               const char *detail);
--- a/io/datagram.h
+++ b/io/datagram.h
@@ -18,8 +18,8 @@
 int datagram_open(mp_Addr address, const char *what, GError **error);
 
 /*
-** Sends one datagram. One that cannot be sent now is dropped, as the network
-** may drop any other.
+** Sends one datagram. It is dropped when it cannot be sent at once; the
+** network may drop datagrams as well.
 */
 void datagram_send(int fd, mp_Addr to, const char *bytes, size_t size);
 
--- a/io/front.c
+++ b/io/front.c
@@ -2,9 +2,9 @@
 ** front.c
 ** The HTTP/1.1 server for callers, on bufferevents and http_parser
 **
-** libevhtp cannot satisfy the platform's rules for callers' connections
-** (docs/design/style.md names them), so this file uses the libraries closest
-** to it.
+** The platform's rules for callers' connections cannot be satisfied with
+** libevhtp, which callers.c uses; docs/design/style.md names these rules. This
+** file therefore does without an HTTP server library.
 */
 
 #include <netinet/in.h>
@@ -22,7 +22,8 @@
 
 /* bytes of unsent response above which a connection is closed */
 #define MAX_UNREAD (4 << 20)
-/* bytes read from a caller in advance, while its request is open */
+/* bytes that are read from a caller and buffered beyond its present request,
+** while that request is open */
 #define READ_AHEAD (64 << 10)
 /* After an error response, input is read and discarded until the caller closes
 ** the connection or sends nothing for this long: closing the socket with
@@ -34,7 +35,10 @@
 /* limits that hold until a configuration sets them */
 #define DEFAULT_HEAD_BYTES (16 << 10)
 #define DEFAULT_BODY_BYTES (4 << 20)
+/* CallerLimits.head_timeout: longest time without further bytes of a request
+** that has begun to arrive, in its head or its body */
 #define DEFAULT_HEAD_TIMEOUT (3 * MP_SEC)
+/* CallerLimits.idle_timeout: longest wait for the first bytes of a request */
 #define DEFAULT_IDLE_TIMEOUT (15 * MP_SEC)
 
 struct Front {
@@ -53,8 +57,8 @@
   CONNECTION_READING,   /* waits for a request, or for the rest of one */
   CONNECTION_OPEN,      /* a request is open; no response has begun */
   CONNECTION_ANSWERING, /* a chunked response has begun */
-  CONNECTION_FLUSHING,  /* closes when all output is written */
-  CONNECTION_LINGERING  /* discards input; closes as LINGER_SECONDS says */
+  CONNECTION_FLUSHING,  /* is closed, or lingers, when all output is written */
+  CONNECTION_LINGERING /* discards input until it is closed (LINGER_SECONDS) */
 } ConnectionState;
 
 typedef struct Connection {
@@ -114,8 +118,6 @@
   g_byte_array_set_size(connection->body, 0);
 }
 
-static void read_request(Connection *connection);
-
 static void close_when_flushed(Connection *connection) {
   struct evbuffer *out = bufferevent_get_output(connection->events);
   connection->state = CONNECTION_FLUSHING;
@@ -220,7 +222,7 @@
   g_byte_array_append(connection->body, (const guint8 *)bytes, (guint)size);
 }
 
-/* Hands on a request that was received completely. */
+/* Hands a request that was received completely to the user of the server. */
 static void submit_request(Connection *connection) {
   Front *front = connection->front;
   connection->state = CONNECTION_OPEN;
@@ -231,6 +233,7 @@
                        connection->head);
 }
 
+/* Answers a request that the reader has rejected. */
 static void reject_fault(Connection *connection) {
   switch (http_reader_error(connection->reader)) {
   case HTTP_ERROR_HEAD_TOO_LARGE:
@@ -244,6 +247,10 @@
   }
 }
 
+/*
+** Parses what has been received of a request. Each call that leaves a request
+** incomplete starts the timeout anew.
+*/
 static void read_request(Connection *connection) {
   struct evbuffer *in = bufferevent_get_input(connection->events);
   HttpReader *reader = connection->reader;
--- a/io/front.h
+++ b/io/front.h
@@ -2,13 +2,14 @@
 ** front.h
 ** The frontend: the HTTP/1.1 server for callers
 **
-** It transports heads and bodies; the dialect and the router interpret them.
-** A connection carries one request at a time, which is received completely
-** before it is handed on. A request is named by a number, which is valid until
-** its response has ended or its caller has disconnected; functions that get a
-** number that is not valid do nothing. Invariants. Bytes of a response are
-** written only to the connection of their request, and a connection whose
-** response was aborted is closed. Used by gateway.c.
+** It transports heads and bodies, which the dialect and the router interpret.
+** A connection carries one request at a time. The request is received
+** completely before it is handed to the user of the server (FrontHooks). It is
+** identified by a number, which is valid until its response has ended or its
+** caller has disconnected; functions that get a number that is not valid do
+** nothing. Invariants: bytes of a response are written only to the connection
+** of their request, and a connection whose response was aborted is closed.
+** Used by gateway.c.
 */
 
 #ifndef FRONT_H
@@ -28,7 +29,8 @@
   /* The caller has disconnected before its response ended. The number is not
   ** valid any more. */
   void (*hangup)(void *data, guint64 number);
-  /* Invalid input was answered with this HTTP status. */
+  /* Invalid input was answered with this HTTP status. 'detail' says what was
+  ** wrong. */
   void (*bad_input)(void *data, int status, const char *detail);
 } FrontHooks;
 
@@ -43,8 +45,11 @@
 void front_free(Front *front);
 
 /*
-** Sets the limits that are above 0 in 'limits', and leaves the others. Limits
-** of sizes hold for connections that are accepted from then on.
+** Sets the limits that are above 0 in 'limits', and leaves the others as they
+** are. The limits of sizes apply only to connections that are accepted from
+** then on. 'head_timeout' is the longest time without further bytes of a
+** request that has begun to arrive, in its head or its body; 'idle_timeout' is
+** the longest wait for its first bytes.
 */
 void front_set_limits(Front *front, const CallerLimits *limits);
 
@@ -75,7 +80,7 @@
 ** and its connection is closed after it. New connections are still accepted.
 */
 void front_drain(Front *front);
-/* Closes the connections on which no part of a request has been received. */
+/* Closes the connections that wait for the first byte of a request. */
 void front_close_idle(Front *front);
 /* The number of requests whose responses have not ended. */
 unsigned front_open_requests(const Front *front);
--- a/io/link_pool.h
+++ b/io/link_pool.h
@@ -2,9 +2,9 @@
 ** link_pool.h
 ** The number of connections to each endpoint, and which of them are idle
 **
-** The pool owns no connection. Its user, endpoint_links.c, reports each
-** connection that it opens and closes. A 'link' is the user's pointer to a
-** connection; an endpoint is named by its id.
+** The pool does not own connections: endpoint_links.c does, and reports each
+** one that it opens, closes or ceases to use. A 'link' is the pointer by which
+** endpoint_links.c identifies a connection. An endpoint is named by its id.
 */
 
 #ifndef LINK_POOL_H
--- a/io/load_exchange.h
+++ b/io/load_exchange.h
@@ -2,15 +2,22 @@
 ** load_exchange.h
 ** Sends the loads of this instance to other instances, and receives theirs
 **
-** A load is what an instance has open at endpoints. Messages are ONC RPC calls
-** without a reply, each in one UDP datagram. A digest contains all loads of
-** an instance. It is sent soon after a change, but at most once in an interval
-** that grows with the number of receivers, so that the traffic that each
-** receives stays bounded. Without a change it is sent every 0.5 s, because
-** datagrams get lost. A note reports one reservation between two digests.
-** Crash reports (router/quarantine.h) and the rates of requests sent to
-** endpoints that limit them are exchanged in the same way. Used by gateway.c
-** and relays.c.
+** The load of an endpoint is the work that an instance has open there, in
+** requests and tokens. Messages are ONC RPC calls without a reply, each in one
+** UDP datagram:
+**   digest        all loads of an instance. It is sent soon after a change, at
+**                 most once in an interval that grows with the number of
+**                 receivers, so that the traffic that each receives stays
+**                 bounded. Without a change it is sent every 0.5 s, because
+**                 datagrams get lost.
+**   note          one reservation of tokens at an endpoint, made since the
+**                 last digest
+**   crash report  endpoints that crashed while they ran a request
+**                 (router/quarantine.h)
+**   rates         the rates at which an instance sends requests to endpoints
+**                 that limit them
+** Messages of relays (relays.h) are sent and received here as well. Used by
+** gateway.c and relays.c.
 */
 
 #ifndef LOAD_EXCHANGE_H
@@ -24,7 +31,7 @@
 
 typedef struct LoadExchangeHooks {
   void *data;
-  /* A crash report brought something new. */
+  /* A crash report contained something that was not known here. */
   void (*crashes)(void *data);
   /* Rates at endpoints that limit them were sent or received. */
   void (*rates)(void *data);
@@ -44,9 +51,10 @@
 void load_exchange_free(LoadExchange *exchange);
 
 /*
-** Sets the instances that receive the digests: an array of mp_Addr, which is
-** copied. With 'only_peers', digests, notes and rates of other instances are
-** ignored, because summaries contain them already.
+** Sets the peers, which are the instances that receive the digests: an array
+** of mp_Addr, which is copied. With 'only_peers', digests, notes and rates
+** from instances that are not peers are ignored, because the summaries of
+** other data centres (relays.h) contain them already.
 */
 void load_exchange_set_peers(LoadExchange *exchange, const GArray *addresses,
                              gboolean only_peers);
@@ -56,8 +64,8 @@
                         const mp_Msg *message);
 
 /*
-** Sends what has changed since it was last sent, or starts the timer for when
-** it may be sent. To be called when the router may have changed.
+** Sends what has changed since it was last sent, or starts a timer until it
+** may be sent. To be called when the router's state may have changed.
 */
 void load_exchange_send_changes(LoadExchange *exchange);
 /*
--- a/io/log.c
+++ b/io/log.c
@@ -13,7 +13,8 @@
 
 #include "io/log.h"
 
-/* limit of lines with one event number and a level below "warn" */
+/* limit of lines in one second of the wall clock that have the same event
+** number and a level below "warn" */
 #define LINES_PER_SECOND 100
 /* bytes of buffered output above which further lines are dropped */
 #define MAX_PENDING (256 << 10)
@@ -24,18 +25,18 @@
 typedef struct Quota {
   int number;
   time_t second;
-  unsigned written;
-  unsigned left_out;
+  unsigned lines;    /* all of them, those left out included */
+  unsigned left_out; /* those that exceeded LINES_PER_SECOND */
 } Quota;
 
 struct Log {
   int fd;
   char *path;
-  mp_Level least;
-  GString *pending;   /* output that is not written yet */
-  GHashTable *quotas; /* event number -> Quota */
-  guint64 left_out;
-  guint64 lost;
+  mp_Level least;        /* lines below this level are discarded */
+  GString *pending;      /* output that is not written yet; see MAX_PENDING */
+  GHashTable *quotas;    /* event number -> Quota */
+  guint64 left_out;      /* as log_left_out */
+  guint64 lost;          /* as log_lost */
   guint64 lost_reported; /* the part of 'lost' that a line has reported */
 };
 
@@ -153,7 +154,7 @@
                mp_event_text(MP_LOG_LINES_LEFT_OUT), fields);
   }
   quota->second = now->tv_sec;
-  quota->written = 0;
+  quota->lines = 0;
   quota->left_out = 0;
 }
 
@@ -162,7 +163,7 @@
   Quota *quota = find_or_add_quota(l, no);
   if (quota->second != now->tv_sec)
     start_second(l, quota, now);
-  if (quota->written++ < LINES_PER_SECOND)
+  if (quota->lines++ < LINES_PER_SECOND)
     return 1;
   quota->left_out++;
   l->left_out++;
--- a/io/log.h
+++ b/io/log.h
@@ -5,10 +5,10 @@
 ** Writing to a pipe or socket never blocks. What a full pipe does not accept
 ** is buffered up to a limit (MAX_PENDING in log.c); lines beyond it are
 ** dropped and counted as lost. The volume is bounded as well: of the lines
-** with one event number and a level below "warn", at most LINES_PER_SECOND
-** (100, log.c) are written in each second of the wall clock; the others are
-** counted as left out, and a later line reports their number. Lines of the
-** levels "warn" and "fault" have no such limit.
+** with the same event number and a level below "warn", at most
+** LINES_PER_SECOND (100, log.c) are written in each second of the wall clock.
+** The others are dropped and counted as left out, and a later line reports
+** their number. Lines of the levels "warn" and "fault" have no such limit.
 */
 
 #ifndef LOG_H
@@ -33,7 +33,8 @@
 */
 void log_reopen(Log *l);
 
-/* Writes one line. 'fields' begins with a space or is empty. */
+/* Writes one line for the event number 'no'. 'fields' begins with a space or
+** is empty. */
 void log_event(Log *l, int no, mp_Level level, const char *text,
                const char *fields);
 
@@ -45,7 +46,8 @@
 void log_numbered(Log *l, mp_EventNo number, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
-/* The number of lines that exceeded the limit per second, since log_new(). */
+/* The number of lines left out because of LINES_PER_SECOND, since log_new().
+ */
 guint64 log_left_out(const Log *l);
 /* The number of lines dropped because of a full pipe, since log_new(). */
 guint64 log_lost(const Log *l);
--- a/io/relays.c
+++ b/io/relays.c
@@ -1,6 +1,6 @@
 /*
 ** relays.c
-** The messages of the relays of a data centre
+** The messages of relays
 */
 
 #include <string.h>
@@ -35,12 +35,12 @@
   LoadExchange *exchange;
   Log *log;
   struct event *timer;
-  RelayRole role;
+  RelayRole role; /* of this instance, as last logged */
   StorePosition sent_changes[MP_RELAY_KINDS]; /* in the last heartbeat */
   gboolean uses_summaries; /* data centres exchange loads as summaries */
   guint32 sequence;        /* number of the last summary */
   gint64 summary_at;       /* when it was sent */
-  guint64 urgent;          /* router_urgent_set when it was sent */
+  guint64 urgent;          /* value of router_urgent_set when it was sent */
   gint64 rates_at;         /* when sums of rates were last sent */
 };
 
--- a/io/sockets.h
+++ b/io/sockets.h
@@ -16,8 +16,8 @@
 struct sockaddr_in socket_address(mp_Addr address);
 
 /*
-** Begins to connect. Returns FALSE when that fails at once; otherwise the
-** event callback of the bufferevent reports the outcome.
+** Begins to connect to 'address'. Returns FALSE when that fails at once;
+** otherwise the event callback of the bufferevent reports the outcome.
 */
 gboolean socket_connect(struct bufferevent *events, mp_Addr address);
 
--- a/io/status_server.h
+++ b/io/status_server.h
@@ -4,7 +4,8 @@
 ** ready (/readyz), operators for its metrics (/metrics), and other instances
 ** for its copy of the store's objects (news_codec.h)
 **
-** Each of them has its own address. Used by gateway.c.
+** Each of these three paths is served at an address of its own. Used by
+** gateway.c.
 */
 
 #ifndef STATUS_SERVER_H
@@ -19,7 +20,7 @@
 
 typedef struct StatusServerHooks {
   void *data;
-  /* Shall new requests be sent to this instance? */
+  /* Should load balancers send new requests to this instance? */
   gboolean (*ready)(void *data);
   /* Returns the text of the metrics, which the server frees. */
   GString *(*metrics)(void *data);
@@ -28,7 +29,7 @@
   void (*news)(void *data, const NewsQuery *query, StoreReply *out);
 } StatusServerHooks;
 
-/* addresses to listen on; 0: this is not served */
+/* The addresses to listen on; 0: the path is not served. */
 typedef struct StatusServerOptions {
   mp_Addr ready, control, metrics;
 } StatusServerOptions;
