--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -104,7 +104,8 @@
 /*
 ** Sends the rates at which this instance sends to endpoints that limit them,
 ** because the other instances count them against those limits. They follow a
-** change as soon as a digest would. Mostly there are none.
+** change as soon as a digest would. Usually there are no such endpoints, and
+** nothing is sent.
 */
 static void send_rates(LoadExchange *exchange) {
   mp_Msg message;
@@ -147,7 +148,10 @@
   return REFRESH_INTERVAL;
 }
 
-/* The same for digests. */
+/*
+** Sends a digest if loads have changed and it may be sent. Returns the time in
+** microseconds until the next check.
+*/
 static gint64 update_loads(LoadExchange *exchange) {
   const Router *router = exchange->router;
   gint64 interval = min_interval(exchange);
@@ -181,7 +185,8 @@
   return (mp_MsgKind)0;
 }
 
-/* Are loads of the instance at 'peer' handed to the router? */
+/* Are load messages of the instance at the address 'peer' used, not ignored?
+ */
 static gboolean accepts_loads_of(const LoadExchange *exchange, mp_Addr peer) {
   guint i;
   if (!exchange->only_peers)
@@ -264,7 +269,8 @@
   exchange->hooks = *hooks;
   exchange->fd = fd;
   exchange->peers = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
-  /* a restarted instance continues with other numbers */
+  /* a random start, so that a restarted instance does not use the numbers of
+  ** its previous run again */
   exchange->sequence = g_random_int();
   exchange->readable =
       event_new(base, fd, EV_READ | EV_PERSIST, on_readable, exchange);
--- a/io/peers.c
+++ b/io/peers.c
@@ -27,7 +27,8 @@
   datagram_send(P->fd, to, out, n);
 }
 
-/* The kind of the call with the number 'seq' whose reply is awaited. */
+/* The kind of the call to another instance with the number 'seq', whose reply
+** has not arrived. */
 static mp_MsgKind pending_call_kind(void *ud, uint32_t seq) {
   const Peers *P = ud;
   return mp_pending(P->node->state, seq);
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -60,7 +60,7 @@
   quarantine_writer_poll(data);
 }
 
-/* Merges an object of the store, which a write has returned. */
+/* Merges an object that the store has returned for a write. */
 static void merge_object(QuarantineWriter *writer, const StoreObject *object) {
   QuarantineRecord record = {0};
   GError *error = NULL;
@@ -80,8 +80,9 @@
 }
 
 /*
-** Has an operator removed the object that the store reports as absent? In
-** another era, the store was restored from a copy without it.
+** Has an operator removed the object that the store reports as absent? If the
+** store names another era than before, it was restored from a copy that lacks
+** the object instead.
 */
 static gboolean was_removed(const QuarantineWriter *writer,
                             const StoreReply *reply) {
--- a/io/relays.c
+++ b/io/relays.c
@@ -8,8 +8,8 @@
 #include "io/clock.h"
 #include "io/relays.h"
 
-/* number of members that are asked for a heartbeat: the relays there should
-** be, and as many that replace them when they are lost */
+/* number of members that are asked for a heartbeat: those that should be
+** relays, and as many more that take over when these are lost */
 #define ASKED_MEMBERS 4
 /* limit of relays whose clocks are asked for in one message round: all relays
 ** of a few data centres */
@@ -104,7 +104,7 @@
   send_far(relays, &message, now);
 }
 
-/* Sends the loads of this data centre to the relays of the others. */
+/* Sends the sum of this data centre's loads to the relays of the others. */
 static void send_summary(Relays *relays, gint64 now) {
   mp_Msg message;
   if (!sends_summaries(relays, now))
@@ -121,10 +121,11 @@
 }
 
 /*
-** Sends the crash reports that were learned lately to the relays of the other
-** data centres and to the members of this one. That is needed when there are
-** many instances, because each then sends its reports within its own data
-** centre only. A report is repeated with each heartbeat for some seconds.
+** Sends the recent crash reports of all instances that are known here to the
+** relays of the other data centres and to the members of this one. That is
+** needed when there are many instances, because each then sends its reports
+** within its own data centre only. A report is repeated with each heartbeat
+** for some seconds.
 */
 static void send_crashes(Relays *relays, gint64 now) {
   mp_Msg message;
@@ -179,7 +180,10 @@
     load_exchange_send(relays->exchange, asked[i], &message);
 }
 
-/* Asks for heartbeats, in an instance that has no copy of the store yet. */
+/*
+** Asks the first members for heartbeats, while this instance has no copy of
+** the store's objects yet.
+*/
 static void ask_members(Relays *relays) {
   mp_Addr asked[ASKED_MEMBERS];
   unsigned count =
@@ -187,7 +191,7 @@
   send_requests(relays, asked, count);
 }
 
-/* Asks relays for a heartbeat by which to compare their clocks again. */
+/* Asks relays for a heartbeat, by which their clocks are compared again. */
 static void ask_clocks(Relays *relays, gint64 now) {
   mp_Addr asked[CLOCKS_AT_ONCE];
   unsigned count =
@@ -195,7 +199,7 @@
   send_requests(relays, asked, count);
 }
 
-/* Takes over the present role of this instance, and logs a change. */
+/* Updates the role of this instance, and logs a change. */
 static void update_role(Relays *relays, gint64 now) {
   RelayRole role = relay_group_role(relays->group, now);
   RelaysBefore before;
@@ -210,7 +214,10 @@
                (int)(relay_group_news_age(relays->group, now) / MP_MS));
 }
 
-/* Sends all messages that are due, polls for news, and starts the timer. */
+/*
+** Sends all messages that are due, has the directory make the calls that are
+** due, and starts the timer.
+*/
 static void send_due_messages(Relays *relays) {
   gint64 now = clock_now();
   update_role(relays, now);
@@ -279,9 +286,9 @@
 }
 
 /*
-** Handles a summary of another data centre. One that was received from its
-** sender, not from a relay here, is forwarded to the members by the first
-** relay.
+** Handles a load summary of another data centre. The first relay forwards it
+** to the members, if it came from the relay that made it and was not
+** forwarded.
 */
 static void handle_summary(Relays *relays, mp_Addr from, const mp_Msg *message,
                            gint64 now) {
@@ -293,7 +300,7 @@
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
-/* The same for rates. */
+/* Handles the rates of another data centre, as handle_summary() does loads. */
 static void handle_rates(Relays *relays, mp_Addr from, const mp_Msg *message,
                          gint64 now) {
   const mp_RateNews *news = &message->u.rates;
@@ -320,7 +327,7 @@
     handle_rates(relays, from, message, now);
     break;
   default:
-    break; /* not for relays */
+    break; /* not a message of relays */
   }
 }
 
@@ -332,7 +339,8 @@
   relays->zone = g_str_hash(options->zone);
   relays->bounds_config_age = options->bounds_config_age;
   relays->router = router;
-  /* a restarted instance continues with other numbers */
+  /* a random start, so that a restarted instance does not use the numbers of
+  ** its previous run again */
   relays->sequence = g_random_int();
   relays->group = group;
   relays->directory = directory;
