--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -185,8 +185,7 @@
   return (mp_MsgKind)0;
 }
 
-/* Are load messages of the instance at the address 'peer' used, not ignored?
- */
+/* Are load messages from the instance at the address 'peer' accepted? */
 static gboolean accepts_loads_of(const LoadExchange *exchange, mp_Addr peer) {
   guint i;
   if (!exchange->only_peers)
