--- a/io/directory.h
+++ b/io/directory.h
@@ -80,8 +80,7 @@
 */
 void directory_answer_query(const Directory *directory, const NewsQuery *query,
                             StoreReply *out);
-/* Sets changed[K] to the position of the newest known change of StoreKind K.
- */
+/* Sets changed[K] to the position of the newest known change of kind K. */
 void directory_newest_changes(const Directory *directory,
                               StorePosition changed[MP_RELAY_KINDS]);
 /*
--- a/io/log.h
+++ b/io/log.h
@@ -46,8 +46,7 @@
 void log_numbered(Log *l, mp_EventNo number, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
-/* The number of lines left out because of LINES_PER_SECOND, since log_new().
- */
+/* The number of lines left out by LINES_PER_SECOND, since log_new(). */
 guint64 log_left_out(const Log *l);
 /* The number of lines dropped because of a full pipe, since log_new(). */
 guint64 log_lost(const Log *l);
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -97,8 +97,7 @@
         counts->known_positions[kind].revision);
 }
 
-/* Writes a line for each field that was ever invalid, and one with their sum.
- */
+/* Writes a line for each field that was ever invalid, and one for the sum. */
 static void write_bad_kind(GString *text, const char *kind,
                            const guint64 fields[RECORD_FIELD_COUNT]) {
   guint64 sum = 0;
