--- a/io/endpoints.c
+++ b/io/endpoints.c
@@ -4,7 +4,7 @@
 **
 ** The engine's HTTP interface, which docs/design/interfaces.md describes:
 **   POST /v1/completions, /v1/chat/completions   prefill and decode: the
-**        member "kv_transfer_params" says which, as it does in vLLM
+**        member "kv_transfer_params" says which, as published engines do
 **   POST /v1/kv/import, /v1/cancel, /v1/order; GET /v1/load, /v1/streams/ID
 ** Prefill computes the KV cache of a prompt (the KV result), which an import
 ** copies to the engine that decodes, which generates the output. An order
