--- a/core/fleet.c
+++ b/core/fleet.c
@@ -6,11 +6,13 @@
 ** leaving, and stays while this instance, the router process that runs this
 ** core, has attempts there.
 **
-** Ejection: after MP_EJECT_FAILS failures in a row an endpoint gets no new
+** Ejection: after MP_EJECT_FAILURES failures in a row an endpoint gets no new
 ** work for MP_EJECT_TIME; this time doubles with each ejection since the last
-** success, up to MP_EJECT_MAX. An endpoint is ejected only if, without it, at
+** success, up to MP_EJECT_TIME_MAX. An endpoint is ejected only if, without
+*it, at
 ** least one endpoint of its pool (the same service and role) and at least
-** MP_EJECT_FLOOR percent of them are still available for new work. When the
+** MP_EJECT_OPEN_PERCENT_MIN percent of them are still available for new work.
+*When the
 ** time is over, the endpoint gets new work as before, not just one trial
 ** request; until one call succeeds, any single failure ejects it again.
 */
@@ -34,7 +36,7 @@
   Endpoint *e = g_new0(Endpoint, 1);
   e->addr = in->addr;
   e->role = in->role;
-  e->slots = MP_SLOTS; /* an estimate, until the first load is known */
+  e->slots = MP_SLOTS_DEFAULT; /* an estimate, until the first load is known */
   g_strlcpy(e->name, in->name, sizeof e->name);
   g_strlcpy(e->dc, in->dc, sizeof e->dc);
   g_strlcpy(e->service, in->service, sizeof e->service);
@@ -124,7 +126,7 @@
     if (o != e && fleet_is_available(state, o))
       available++;
   }
-  return available > 0 && available * 100 >= all * MP_EJECT_FLOOR;
+  return available > 0 && available * 100 >= all * MP_EJECT_OPEN_PERCENT_MIN;
 }
 
 void fleet_call_failed(mp_State *state, mp_Addr a) {
@@ -133,12 +135,12 @@
   if (e == NULL)
     return;
   e->consecutive_failures++;
-  if (e->consecutive_failures < MP_EJECT_FAILS && e->ejection_count == 0)
+  if (e->consecutive_failures < MP_EJECT_FAILURES && e->ejection_count == 0)
     return;
   if (e->ejected_until > state->now || !may_eject(state, e))
     return;
   t = MP_EJECT_TIME << MIN(e->ejection_count, 4);
-  e->ejected_until = state->now + MIN(t, MP_EJECT_MAX);
+  e->ejected_until = state->now + MIN(t, MP_EJECT_TIME_MAX);
   e->ejection_count++;
   state_count(state, EJECTIONS);
   effect_log(state, MP_LOG_EJECT, " endpoint=%s seconds=%d", e->name,
--- a/core/fleet.h
+++ b/core/fleet.h
@@ -3,7 +3,8 @@
 ** The table of endpoints, built from the instance list and configuration
 **
 ** An endpoint is a server that does the work: an engine, or a server of a
-** plain service. The platform's instance list (mp_List) names the endpoints
+** plain service. The platform's instance list (mp_InstanceList) names the
+*endpoints
 ** and also the instances of this router; only the endpoints have rows here.
 ** "This instance" is the router process that runs this core.
 **
--- a/io/adapters.h
+++ b/io/adapters.h
@@ -67,14 +67,16 @@
 /* Aborts all calls to endpoints without feeding events for them. */
 void endpoints_free(Endpoints *E);
 /*
-** Performs the effect MP_FX_XCALL: begins the call '*x' to an endpoint. What
+** Performs the effect MP_FX_ENDPOINT_CALL: begins the call '*x' to an
+*endpoint. What
 ** comes back is fed as events from the event loop, never from within this
 ** function.
 */
-void endpoints_call(Endpoints *E, const mp_Xcall *x);
+void endpoints_call(Endpoints *E, const mp_EndpointCall *x);
 /*
-** Performs the effect MP_FX_XABORT: aborts the call with the number 'xcall'
-** (mp_Xcall.xcall). No further event is fed for it.
+** Performs the effect MP_FX_ENDPOINT_ABORT: aborts the call with the number
+*'xcall'
+** (mp_EndpointCall.xcall). No further event is fed for it.
 */
 void endpoints_abort(Endpoints *E, uint64_t xcall);
 
