--- a/io/adapters.h
+++ b/io/adapters.h
@@ -46,7 +46,7 @@
 
 Endpoints *endpoints_new(Node *node);
 void endpoints_free(Endpoints *E);
-void endpoints_call(Endpoints *E, const mp_Xcall *x);
+void endpoints_call(Endpoints *E, const mp_EndpointCall *x);
 void endpoints_abort(Endpoints *E, uint64_t xcall);
 
 /* }================================================================== */
--- a/io/callers.c
+++ b/io/callers.c
@@ -181,7 +181,7 @@
   if (!json_is_object(c->body.json))
     return "the body is no JSON object";
   q->model = json_string_value(json_object_get(c->body.json, "model"));
-  if (q->model == NULL || strlen(q->model) > MP_MAXNAME)
+  if (q->model == NULL || strlen(q->model) > MP_NAME_MAX)
     return "'model' must be a string of at most 63 bytes";
   prompt = json_object_get(c->body.json, c->chat ? "messages" : "prompt");
   if (c->chat ? !json_is_array(prompt) : !json_is_string(prompt))
@@ -238,7 +238,8 @@
 
 static void refuse(Caller *c, mp_Error e, const char *detail) {
   c->ended = 1;
-  caller_send_error(c->req, e, MP_RAN_NO, mp_error_retry(e), detail, NULL);
+  caller_send_error(c->req, e, MP_RAN_NO, mp_error_retry_after_s(e), detail,
+                    NULL);
 }
 
 static void onrequest(evhtp_request_t *r, void *arg) {
@@ -530,7 +531,7 @@
   case MP_REPLY_HEAD:
     onhead(c, p);
     break;
-  case MP_REPLY_PIECE:
+  case MP_REPLY_CHUNK:
     onpiece(c, p);
     break;
   case MP_REPLY_END:
--- a/io/endpoints.c
+++ b/io/endpoints.c
@@ -24,7 +24,7 @@
 typedef struct Calling {
   Endpoints *E;
   uint64_t xcall;
-  mp_XcallOp op;
+  mp_EndpointOp op;
   char id[64]; /* token and attempt, as the engine knows them */
   HttpCall *call;
   int status;
@@ -63,7 +63,7 @@
   freecalling(c);
 }
 
-static void fail(Calling *c, mp_EndpointFail f) {
+static void fail(Calling *c, mp_EndpointFailure f) {
   mp_EndpointEvent x = {0};
   x.what = MP_EP_FAIL;
   x.fail = f;
@@ -71,7 +71,7 @@
   finish(c, &x);
 }
 
-static mp_EndpointFail failof(int status) {
+static mp_EndpointFailure failof(int status) {
   switch (status) {
   case 409:
   case 429:
@@ -117,7 +117,7 @@
     c->tokens = num(usage, "completion_tokens");
   if (text == NULL)
     return 1;
-  x.what = MP_EP_PIECE;
+  x.what = MP_EP_CHUNK;
   x.index = num(j, "index");
   x.tokens = num(j, "tokens");
   x.text = text;
@@ -198,7 +198,7 @@
   return MP_ROLE_PLAIN;
 }
 
-static int load(const json_t *j, mp_LoadAnswer *l, mp_HoldNews *hold,
+static int load(const json_t *j, mp_LoadReport *l, mp_HoldReport *hold,
                 unsigned most) {
   const json_t *holds = json_object_get(j, "holds");
   size_t i;
@@ -213,7 +213,7 @@
   l->leaving = json_is_true(json_object_get(j, "leaving"));
   for (i = 0; i < json_array_size(holds) && l->nhold < most; i++) {
     const char *s = json_string_value(json_array_get(holds, i));
-    mp_HoldNews *h = &hold[l->nhold];
+    mp_HoldReport *h = &hold[l->nhold];
     if (s != NULL && mp_token_parse(s, &h->token, &h->attempt))
       l->nhold++;
   }
@@ -225,15 +225,15 @@
 
 static void whole(Calling *c) {
   mp_EndpointEvent x = {0};
-  mp_LoadAnswer l = {0};
-  mp_HoldNews *hold = NULL;
+  mp_LoadReport l = {0};
+  mp_HoldReport *hold = NULL;
   json_t *j = json_loadb(c->buf->str, c->buf->len, 0, NULL);
   int ok = 1;
   x.what = MP_EP_DONE;
   if (c->op == MP_X_PREFILL)
     ok = prefilled(j, &x);
   else if (c->op == MP_X_LOAD) {
-    hold = g_new0(mp_HoldNews, MAXHOLDS);
+    hold = g_new0(mp_HoldReport, MAXHOLDS);
     ok = load(j, &l, hold, MAXHOLDS);
     x.load = &l;
   }
@@ -268,7 +268,7 @@
   Calling *c = ud;
   mp_EndpointEvent x = {0};
   if (c->op == MP_X_PLAIN) {
-    x.what = MP_EP_PIECE;
+    x.what = MP_EP_CHUNK;
     x.text = s;
     x.len = n;
     feed(c, &x);
@@ -312,7 +312,8 @@
 */
 
 /* the caller's own JSON with what the engine needs beside it */
-static json_t *work(const Calling *c, const CallBody *b, const mp_Xcall *x) {
+static json_t *work(const Calling *c, const CallBody *b,
+                    const mp_EndpointCall *x) {
   json_t *j = json_copy(b->json);
   int prefill = x->op == MP_X_PREFILL;
   json_object_set_new(j, "request_id", json_string(c->id));
@@ -329,7 +330,7 @@
   return j;
 }
 
-static json_t *control(const Calling *c, const mp_Xcall *x) {
+static json_t *control(const Calling *c, const mp_EndpointCall *x) {
   char from[24];
   switch (x->op) {
   case MP_X_IMPORT:
@@ -364,7 +365,8 @@
 
 static const HttpHooks hooks = {onhead, ondata, onend};
 
-static void sendplain(Calling *c, const CallBody *b, const mp_Xcall *x) {
+static void sendplain(Calling *c, const CallBody *b,
+                      const mp_EndpointCall *x) {
   HttpHeader h[] = {{"X-Request-Id", c->id},
                     {"Content-Type", b->content_type},
                     {NULL, NULL}};
@@ -376,7 +378,7 @@
                 (const char *)evbuffer_pullup(b->raw, -1), n, &hooks, c);
 }
 
-static void sendjson(Calling *c, const mp_Xcall *x, const char *uri,
+static void sendjson(Calling *c, const mp_EndpointCall *x, const char *uri,
                      json_t *j) {
   static const HttpHeader h[] = {{"Content-Type", "application/json"},
                                  {NULL, NULL}};
@@ -388,7 +390,7 @@
   json_decref(j);
 }
 
-static void sendwork(Calling *c, const mp_Xcall *x) {
+static void sendwork(Calling *c, const mp_EndpointCall *x) {
   const CallBody *b = callers_body(c->E->node->callers, x->call);
   if (b == NULL)
     return; /* the caller is gone; the core hears of it by itself */
@@ -398,7 +400,7 @@
     sendjson(c, x, b->uri, work(c, b, x));
 }
 
-static void sendout(Calling *c, const mp_Xcall *x) {
+static void sendout(Calling *c, const mp_EndpointCall *x) {
   char uri[128];
   switch (x->op) {
   case MP_X_PREFILL:
@@ -442,7 +444,7 @@
   g_free(b);
 }
 
-void endpoints_call(Endpoints *E, const mp_Xcall *x) {
+void endpoints_call(Endpoints *E, const mp_EndpointCall *x) {
   Calling *c = g_new0(Calling, 1);
   c->E = E;
   c->xcall = x->xcall;
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -75,7 +75,7 @@
 /* without a key, with two, or with an unknown one there is no account */
 static const Account *find_account(Router *router, const CallerRequest *call,
                                    Refusal *refusal, gint64 now) {
-  char digest[MP_DIGEST + 1];
+  char digest[MP_SHA256_HEX + 1];
   const Account *account = NULL;
   /* an old configuration does not know which keys are new: 503, not 401 */
   if (is_too_old(router, now)) {
--- a/router/config_proof.c
+++ b/router/config_proof.c
@@ -40,7 +40,7 @@
 
 /* the relay's clock showed 'sent_us' after the question had been sent */
 static void bound_clock(ConfigProof *proof, mp_Addr relay,
-                        const mp_RelayBeat *beat, gint64 now) {
+                        const mp_RelayHeartbeat *beat, gint64 now) {
   RelayClock *clock = g_hash_table_lookup(proof->clocks, &relay);
   if (clock == NULL) {
     clock = g_new0(RelayClock, 1);
@@ -51,7 +51,7 @@
 }
 
 void config_proof_by_relay(ConfigProof *proof, mp_Addr relay,
-                           const mp_RelayBeat *beat, gint64 now) {
+                           const mp_RelayHeartbeat *beat, gint64 now) {
   const RelayClock *clock;
   gint64 at;
   if (beat->asked_us != 0 && (gint64)beat->asked_us <= now)
--- a/router/config_proof.h
+++ b/router/config_proof.h
@@ -42,7 +42,7 @@
 void config_proof_know(ConfigProof *proof, StorePosition position);
 /* a relay's heartbeat; counts when this instance knows the changes it names */
 void config_proof_by_relay(ConfigProof *proof, mp_Addr relay,
-                           const mp_RelayBeat *beat, gint64 now);
+                           const mp_RelayHeartbeat *beat, gint64 now);
 /* should this relay be asked, so that its clock is bounded? */
 gboolean config_proof_must_ask(const ConfigProof *proof, mp_Addr relay,
                                gint64 now);
--- a/router/loads.c
+++ b/router/loads.c
@@ -82,13 +82,13 @@
   ConnectionsView view = {0};
   guint i;
   out->n = 0;
-  for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
+  for (i = 0; i < all->len && out->n < MP_LOAD_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
     guint failing = share_failing(endpoint, now);
     if (is_loaded(endpoint, failing))
       write_row(endpoint, out, failing);
   }
-  for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
+  for (i = 0; i < all->len && out->n < MP_LOAD_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
     guint failing = share_failing(endpoint, now);
     if (!is_loaded(endpoint, failing) &&
@@ -104,8 +104,8 @@
   write_rows(router, out, now);
   retry_exchange_write(router, out);
   account_limits_write(router->limits, out);
-  out->changing_count =
-      stages_changing(router->stages, out->changing, MP_DIGEST_CHANGING, now);
+  out->changing_count = stages_changing(router->stages, out->changing,
+                                        MP_LOAD_DIGEST_CHANGING, now);
   signals_write(router, out, now);
 }
 
--- a/router/peer_loads.c
+++ b/router/peer_loads.c
@@ -184,7 +184,8 @@
     if (out->row[i].endpoint == row->endpoint)
       break;
   }
-  if (i == MP_DIGEST_ROWS) /* those with the most load came first, mostly */
+  if (i ==
+      MP_LOAD_DIGEST_ROWS) /* those with the most load came first, mostly */
     return;
   if (i == out->n) {
     out->row[out->n++] = *row;
@@ -201,7 +202,7 @@
     if (out->changing[i] == endpoint)
       return;
   }
-  if (out->changing_count < MP_DIGEST_CHANGING)
+  if (out->changing_count < MP_LOAD_DIGEST_CHANGING)
     out->changing[out->changing_count++] = endpoint;
 }
 
@@ -235,7 +236,7 @@
   mp_LoadRow row = {note->endpoint, note->tokens, 0, 0};
   /* a digest that is newer has it already */
   if (peer == NULL || peer->sequence != note->after ||
-      peer->notes->len >= MP_DIGEST_ROWS)
+      peer->notes->len >= MP_LOAD_DIGEST_ROWS)
     return;
   g_array_append_val(peer->notes, row);
   add(loads, &row);
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -320,14 +320,14 @@
   guint i;
   out->request = row->content;
   out->n = 0;
-  for (i = 0; i < row->count && out->n < MP_CRASHES_EACH; i++) {
+  for (i = 0; i < row->count && out->n < MP_CRASHES_PER_ROW; i++) {
     if (!row->strikes[i].off)
       out->crash[out->n++] = row->strikes[i].crash;
   }
 }
 
 /* in the place of one with fewer strikes, where there is no room */
-static void put_row(mp_CrashNews *out, const mp_CrashRow *row) {
+static void put_row(mp_CrashUpdate *out, const mp_CrashRow *row) {
   unsigned least = 0;
   unsigned i;
   if (out->n < MP_CRASH_ROWS) {
@@ -343,7 +343,7 @@
 }
 
 void quarantine_tell(const Quarantine *quarantine, gboolean all,
-                     mp_CrashNews *out, gint64 now) {
+                     mp_CrashUpdate *out, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   out->n = 0;
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -36,7 +36,7 @@
 ** chance is rare (and the platform allows three) */
 #define QUARANTINE_STRIKES 3
 /* held until an operator lifts it; the platform allows three more runs */
-#define QUARANTINE_MOST MP_CRASHES_EACH
+#define QUARANTINE_MOST MP_CRASHES_PER_ROW
 
 /* the strikes against one request, as instances tell them and the store keeps
 ** them */
@@ -95,7 +95,7 @@
 guint64 quarantine_version(const Quarantine *quarantine);
 /* what was learned lately: by this instance alone, or 'all' of it */
 void quarantine_tell(const Quarantine *quarantine, gboolean all,
-                     mp_CrashNews *out, gint64 now);
+                     mp_CrashUpdate *out, gint64 now);
 
 /*
 ** The store
--- a/router/rate_limits.c
+++ b/router/rate_limits.c
@@ -246,15 +246,16 @@
 
 static guint32 steps_of(double rate) {
   double steps = rate * STEPS_PER_UNIT;
-  return rate < 0 ? MP_RATE_ANY : (guint32)MIN(steps, MP_RATE_ANY - 1);
+  return rate < 0 ? MP_RATE_UNLIMITED
+                  : (guint32)MIN(steps, MP_RATE_UNLIMITED - 1);
 }
 
 static double rate_of_steps(guint32 steps) {
-  return steps == MP_RATE_ANY ? RATE_ANY : steps / STEPS_PER_UNIT;
+  return steps == MP_RATE_UNLIMITED ? RATE_ANY : steps / STEPS_PER_UNIT;
 }
 
 static void write_rows(const RateLimits *limits, gboolean with_near,
-                       mp_RateNews *out, gint64 now) {
+                       mp_RateUpdate *out, gint64 now) {
   GHashTableIter iterator;
   gpointer key;
   gpointer value;
@@ -275,23 +276,23 @@
   }
 }
 
-void rate_limits_write(const RateLimits *limits, mp_RateNews *out,
+void rate_limits_write(const RateLimits *limits, mp_RateUpdate *out,
                        gint64 now) {
   write_rows(limits, FALSE, out, now);
 }
 
-void rate_limits_write_sum(const RateLimits *limits, mp_RateNews *out,
+void rate_limits_write_sum(const RateLimits *limits, mp_RateUpdate *out,
                            gint64 now) {
   write_rows(limits, TRUE, out, now);
 }
 
 /* sums and a relay's own news have an address each */
-static guint64 address_of(mp_Addr peer, const mp_RateNews *news) {
+static guint64 address_of(mp_Addr peer, const mp_RateUpdate *news) {
   return news->zone != 0 ? news->relay | 1ULL << 63 : peer;
 }
 
 void rate_limits_hear(RateLimits *limits, mp_Addr peer,
-                      const mp_RateNews *news, const RateSharers *sharers,
+                      const mp_RateUpdate *news, const RateSharers *sharers,
                       gint64 now) {
   PeerTotals *totals =
       shared_totals_hear(limits->peers, address_of(peer, news), now);
--- a/router/rate_limits.h
+++ b/router/rate_limits.h
@@ -83,13 +83,14 @@
 /* grows when there is something new to tell */
 guint64 rate_limits_version(const RateLimits *limits);
 /* what this instance knows and has sent */
-void rate_limits_write(const RateLimits *limits, mp_RateNews *out, gint64 now);
+void rate_limits_write(const RateLimits *limits, mp_RateUpdate *out,
+                       gint64 now);
 /* the same and what those that it hears have sent, for other data centres */
-void rate_limits_write_sum(const RateLimits *limits, mp_RateNews *out,
+void rate_limits_write_sum(const RateLimits *limits, mp_RateUpdate *out,
                            gint64 now);
 /* another instance, or a relay for its data centre, tells */
 void rate_limits_hear(RateLimits *limits, mp_Addr peer,
-                      const mp_RateNews *news, const RateSharers *sharers,
+                      const mp_RateUpdate *news, const RateSharers *sharers,
                       gint64 now);
 
 #endif
--- a/router/rates.c
+++ b/router/rates.c
@@ -174,7 +174,7 @@
   return rate_limits_version(router->rates);
 }
 
-void router_tell_rates(const Router *router, gboolean sums, mp_RateNews *out,
+void router_tell_rates(const Router *router, gboolean sums, mp_RateUpdate *out,
                        gint64 now) {
   if (sums)
     rate_limits_write_sum(router->rates, out, now);
@@ -183,7 +183,7 @@
 }
 
 /* news of endpoints that are not listed here are left out: they come again */
-static void keep_listed(const Router *router, mp_RateNews *news,
+static void keep_listed(const Router *router, mp_RateUpdate *news,
                         double before[MP_RATE_ROWS]) {
   unsigned n = 0;
   unsigned i;
@@ -196,11 +196,11 @@
   news->n = n;
 }
 
-void router_hear_rates(Router *router, mp_Addr peer, const mp_RateNews *told,
+void router_hear_rates(Router *router, mp_Addr peer, const mp_RateUpdate *told,
                        gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
-  mp_RateNews news = *told;
+  mp_RateUpdate news = *told;
   unsigned i;
   keep_listed(router, &news, before);
   rate_limits_hear(router->rates, peer, &news, &sharers, now);
--- a/router/relay_group.c
+++ b/router/relay_group.c
@@ -54,7 +54,7 @@
   gboolean doubted;
   gint64 level_at; /* the store answered it then, or who it hears, and what it
                    ** had then is known here */
-  mp_RelayBeat beat;
+  mp_RelayHeartbeat beat;
 } Relay;
 
 struct RelayGroup {
@@ -253,7 +253,7 @@
   return MAX(relay->level_at, answered_at(relay));
 }
 
-static void name_news(RelayGroup *group, const mp_RelayBeat *beat,
+static void name_news(RelayGroup *group, const mp_RelayHeartbeat *beat,
                       gint64 now) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
@@ -261,7 +261,7 @@
 }
 
 /* the latest era that the heartbeat names */
-static guint64 era_of(const mp_RelayBeat *beat) {
+static guint64 era_of(const mp_RelayHeartbeat *beat) {
   guint64 era = 0;
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
@@ -278,7 +278,7 @@
 }
 
 void relay_group_hear(RelayGroup *group, mp_Addr from,
-                      const mp_RelayBeat *beat, gint64 now) {
+                      const mp_RelayHeartbeat *beat, gint64 now) {
   Relay *relay = g_hash_table_lookup(group->relays, &from);
   if (relay == NULL) {
     relay = g_new0(Relay, 1);
--- a/router/relay_group.h
+++ b/router/relay_group.h
@@ -95,7 +95,7 @@
 void relay_group_begin_alone(RelayGroup *group);
 /* a heartbeat came */
 void relay_group_hear(RelayGroup *group, mp_Addr from,
-                      const mp_RelayBeat *beat, gint64 now);
+                      const mp_RelayHeartbeat *beat, gint64 now);
 /* the age of the configuration known here */
 ConfigProof *relay_group_proof(RelayGroup *group);
 /* the relays heard whose clocks must be bounded, as relay_group_ask */
--- a/router/router.h
+++ b/router/router.h
@@ -284,11 +284,11 @@
 */
 
 /* another instance tells of some; TRUE: something was new */
-gboolean router_hear_crashes(Router *router, const mp_CrashNews *news,
+gboolean router_hear_crashes(Router *router, const mp_CrashUpdate *news,
                              gint64 now);
 /* what to tell the others: what this instance saw, or 'all' that it knows */
-void router_tell_crashes(const Router *router, gboolean all, mp_CrashNews *out,
-                         gint64 now);
+void router_tell_crashes(const Router *router, gboolean all,
+                         mp_CrashUpdate *out, gint64 now);
 /* grows when there is something new to tell */
 guint64 router_crash_version(const Router *router);
 /* an object of the store says so, at this position; or it is gone from there
@@ -310,10 +310,10 @@
 */
 
 /* another instance tells, or a relay for its data centre */
-void router_hear_rates(Router *router, mp_Addr peer, const mp_RateNews *news,
+void router_hear_rates(Router *router, mp_Addr peer, const mp_RateUpdate *news,
                        gint64 now);
 /* what to tell: this instance's, or the 'sums' of those it hears too */
-void router_tell_rates(const Router *router, gboolean sums, mp_RateNews *out,
+void router_tell_rates(const Router *router, gboolean sums, mp_RateUpdate *out,
                        gint64 now);
 /* grows when there is something new to tell */
 guint64 router_rates_version(const Router *router);
--- a/router/signals.c
+++ b/router/signals.c
@@ -123,13 +123,13 @@
   guint place = 0;
   guint i;
   out->leaving_count = 0;
-  if (count > MP_DIGEST_LEAVING)
-    first = (guint)(now / TURN * MP_DIGEST_LEAVING % count);
+  if (count > MP_LOAD_DIGEST_LEAVING)
+    first = (guint)(now / TURN * MP_LOAD_DIGEST_LEAVING % count);
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
     if (!is_news(endpoint))
       continue;
-    if ((place + count - first) % count < MP_DIGEST_LEAVING)
+    if ((place + count - first) % count < MP_LOAD_DIGEST_LEAVING)
       out->leaving[out->leaving_count++] = endpoint->hash;
     place++;
   }
--- a/router/stages.c
+++ b/router/stages.c
@@ -31,7 +31,7 @@
 /* the others hear of a change before it is ordered */
 #define ANNOUNCE (200 * MP_MS)
 /* most engines that change at a time: a digest names no more of them */
-#define MOST_MOVES MP_DIGEST_CHANGING
+#define MOST_MOVES MP_LOAD_DIGEST_CHANGING
 /* rest after a round of orders, until its effect shows */
 #define ROUND_REST (2 * MP_SEC)
 /* streams must have run so long before their use says anything: it lags
--- a/router/state.h
+++ b/router/state.h
@@ -81,7 +81,7 @@
   const Route *route; /* of that table */
   const Service *service;
   const Account *account; /* of that table; NULL: it needs none */
-  char key_digest[MP_DIGEST + 1];
+  char key_digest[MP_SHA256_HEX + 1];
   double cost;     /* taken of the account's limit */
   guint64 content; /* as in CallerRequest */
   guint32 prompt_tokens, output_tokens;
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -127,7 +127,7 @@
     out->crashes[i] = row->crash[i];
 }
 
-gboolean router_hear_crashes(Router *router, const mp_CrashNews *news,
+gboolean router_hear_crashes(Router *router, const mp_CrashUpdate *news,
                              gint64 now) {
   gboolean is_news = FALSE;
   unsigned i;
@@ -145,8 +145,8 @@
   return is_news;
 }
 
-void router_tell_crashes(const Router *router, gboolean all, mp_CrashNews *out,
-                         gint64 now) {
+void router_tell_crashes(const Router *router, gboolean all,
+                         mp_CrashUpdate *out, gint64 now) {
   quarantine_tell(router->quarantine, all, out, now);
   suspicions_write(router->suspicions, all, out, now);
 }
--- a/router/suspicions.h
+++ b/router/suspicions.h
@@ -41,9 +41,9 @@
 
 /* those to tell the other instances: this one's own, or 'all' */
 void suspicions_write(const Suspicions *suspicions, gboolean all,
-                      mp_CrashNews *out, gint64 now);
+                      mp_CrashUpdate *out, gint64 now);
 /* another instance suspects these; TRUE: something was new */
-gboolean suspicions_hear(Suspicions *suspicions, const mp_CrashNews *news,
+gboolean suspicions_hear(Suspicions *suspicions, const mp_CrashUpdate *news,
                          gint64 now);
 /* forget what is over */
 void suspicions_expire(Suspicions *suspicions, gint64 now);
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -164,7 +164,7 @@
 
 /*
 ** {"kill": MILLISECONDS, "freeze": 1 | 0, "leaving": 1 | 0, "lose_reply": N,
-*"lose_cancel": N,
+** "lose_cancel": N,
 **  "break_after": N, "refuse": N, "slow": PERCENT}
 */
 static void fault(Engine *e, struct evhttp_request *r) {
@@ -286,7 +286,7 @@
   GError *err = NULL;
   size_t n;
   char *s;
-  mp_List *l;
+  mp_InstanceList *l;
   unsigned i;
   struct timeval lag = {0, LOAD_LAG_US};
   if (argc < 2) {
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -9,8 +9,7 @@
 ** the store was back, and listed it as draining, it got none.
 **
 ** Cause: an answer's head was translated into seven facts, and this was none
-*of
-** them; what the list says was the only word that counted, and the list was
+** of them; what the list says was the only word that counted, and the list was
 ** 12.7 s old. Evidence: no source named the field; the endpoint's share of the
 ** requests was the same before and after it had said so, at all instances; the
 ** first list that had it as draining ended that at once. Nothing had been on
@@ -248,7 +247,7 @@
 
 /* more than a digest holds take turns */
 TEST_F(LeavingWorld, OfManyEachIsTold) {
-  constexpr unsigned many = 3 * MP_DIGEST_LEAVING + 1;
+  constexpr unsigned many = 3 * MP_LOAD_DIGEST_LEAVING + 1;
   EndpointSignals said = routing::signals_leaving();
   std::set<guint32> told;
   for (unsigned i = 0; i < many; i++) {
@@ -260,7 +259,8 @@
   for (int i = 0; i < 5; i++) {
     mp_LoadDigest digest = {};
     router_load_digest(world.router, &digest, world.now);
-    ASSERT_LE(digest.leaving_count, static_cast<unsigned>(MP_DIGEST_LEAVING));
+    ASSERT_LE(digest.leaving_count,
+              static_cast<unsigned>(MP_LOAD_DIGEST_LEAVING));
     told.insert(digest.leaving, digest.leaving + digest.leaving_count);
     world.advance(500 * ms);
   }
