--- a/include/madderpier.h
+++ b/include/madderpier.h
@@ -86,7 +86,7 @@
 
 /*
 ** X(symbol, name); all of them count from the start of the state. Metrics are
-** named after them: madderpier_NAME_total.
+** named after them: madderpier_NAME.
 **   HANGUPS: callers that closed their connection before the answer ended
 **   RETRIES_DENIED: retries that the retry budget did not allow
 **   STALE: events and chunks of attempts that were over, dropped
@@ -177,9 +177,8 @@
 /*
 ** Whether a class of request from an account may run in data centre 'dc' by
 ** the configuration's rules and drains. Returns NULL when it may, otherwise
-*the reason as
-** a constant text. 'c' may be NULL (no configuration); 'account' NULL asks for
-** the rule of accounts without one of their own.
+** the reason as a constant text. 'c' may be NULL (no configuration); 'account'
+** NULL asks for the rule of accounts without one of their own.
 */
 MP_API const char *mp_explain(const mp_Config *c, const char *class_name,
                               const char *account, const char *dc);
--- a/include/mpconf.h
+++ b/include/mpconf.h
@@ -206,8 +206,7 @@
 /* role orders (an engine is told to change between prefill and decode): the
 ** lease of the one instance that gives them, its renewal, how long an order
 ** is valid, and the margin added to both before a new holder of the lease
-*gives
-** orders to engines that do not check fences */
+** gives orders to engines that do not check fences */
 #define MP_ORDER_LEASE (6 * MP_SEC)
 #define MP_ORDER_RENEW_INTERVAL (2 * MP_SEC)
 #define MP_ORDER_TIMEOUT (2 * MP_SEC)
@@ -231,8 +230,7 @@
 #define MP_LINK_MBYTES_PER_S_DEFAULT 1000 /* rate of a link */
 
 /* a prefill engine is granted another prompt that is not long while the
- *prompts granted
- ** before take it less than this */
+** prompts granted before take it less than this */
 #define MP_PREFILL_AHEAD (250 * MP_MS)
 /* prompts of at least so many tokens count as long */
 #define MP_LONG_PROMPT_MIN 4096
--- a/include/mplog.h
+++ b/include/mplog.h
@@ -1,6 +1,11 @@
 /*
 ** mplog.h
-** The catalogue of numbered events
+** The catalogue of numbered log events
+**
+** Every line of the log has the number, the level and the text of one of these
+** events, then its fields (key=value). Operators' tools match the numbers, so
+** the number of an event never changes. docs/EVENTS.md
+** has a row for each event, with advice; scripts/events.sh compares the two.
 */
 
 #ifndef MPLOG_H
@@ -12,91 +17,91 @@
 extern "C" {
 #endif
 
-/* severity of a numbered event */
+/* severity of an event; FAULT: something has to be corrected */
 typedef enum mp_Level { MP_DEBUG, MP_INFO, MP_WARN, MP_FAULT } mp_Level;
 
-/* X(symbol, number, level, text); docs/EVENTS.md is written from this */
-#define MP_EVENTS(X)                                                       \
-  X(ACCEPT, 1001, MP_DEBUG, "request accepted")                            \
-  X(REFUSE, 1002, MP_INFO, "request refused")                              \
-  X(ANSWERED, 1003, MP_INFO, "request answered")                           \
-  X(GONE, 1004, MP_INFO, "caller gone, work cancelled")                    \
-  X(BROKE, 1005, MP_WARN, "request ended in an error after work began")    \
-  X(STEP, 1006, MP_DEBUG, "request enters a step")                         \
-  X(RETRY, 1007, MP_INFO, "step is tried again")                           \
-  X(FAILED, 1008, MP_INFO, "endpoint failed a step")                       \
-  X(GRANT, 2001, MP_DEBUG, "reservation granted")                          \
-  X(DENY, 2002, MP_DEBUG, "reservation denied")                            \
-  X(EXPIRE, 2003, MP_INFO, "reservation not renewed, dropped")             \
-  X(ORPHAN, 2004, MP_WARN, "work that nobody owns is cancelled")           \
-  X(EP_DOWN, 2005, MP_WARN, "endpoint does not answer")                    \
-  X(EP_UP, 2006, MP_INFO, "endpoint answers again")                        \
-  X(EP_LEAVING, 2007, MP_INFO, "endpoint is leaving")                      \
-  X(EP_RESTARTED, 2009, MP_WARN, "endpoint has started again")             \
-  X(EP_RATE, 2010, MP_INFO, "endpoint names the rate that it takes")       \
-  X(EP_RATE_OVER, 2011, MP_INFO, "endpoint names no rate any more")        \
-  X(EP_RATE_BAD, 2012, MP_WARN, "endpoint names an unreadable rate")       \
-  X(EP_SAYS_LEAVING, 2013, MP_INFO, "endpoint says that it leaves")        \
-  X(EP_REST, 2014, MP_INFO, "endpoint asks for rest")                      \
-  X(EP_SIGNAL_BAD, 2015, MP_WARN, "endpoint sends an unreadable signal")   \
-  X(DISPATCH_HELD_BACK, 2016, MP_FAULT, "dispatch held back at the gate")  \
-  X(EP_FIELD_UNKNOWN, 2017, MP_WARN, "endpoint sends an unknown field")    \
-  X(EJECT, 2008, MP_WARN, "endpoint ejected for a while")                  \
-  X(MEMBER_UP, 3001, MP_INFO, "instance joined")                           \
-  X(MEMBER_SUSPECT, 3002, MP_INFO, "instance suspected")                   \
-  X(MEMBER_DEAD, 3003, MP_WARN, "instance dead")                           \
-  X(MEMBER_LEAVING, 3004, MP_INFO, "instance leaving")                     \
-  X(STRANGER, 3005, MP_WARN, "message from outside the instance set")      \
-  X(CONFIG_NEW, 4001, MP_INFO, "configuration in force")                   \
-  X(CONFIG_BAD, 4002, MP_FAULT, "configuration refused")                   \
-  X(LIST_NEW, 4003, MP_INFO, "instance list taken")                        \
-  X(STORE_DOWN, 4004, MP_WARN, "platform does not answer")                 \
-  X(STORE_UP, 4005, MP_INFO, "platform answers again")                     \
-  X(CLAIM_WRITE, 5001, MP_DEBUG, "durable claims written")                 \
-  X(CLAIM_FENCED, 5002, MP_WARN, "another home wrote the claims")          \
-  X(LEASE_HELD, 6001, MP_INFO, "order lease held")                         \
-  X(LEASE_LOST, 6002, MP_WARN, "order lease lost")                         \
-  X(ORDER_SENT, 6003, MP_INFO, "role order sent")                          \
-  X(ORDER_DONE, 6004, MP_INFO, "role order done")                          \
-  X(ORDER_FAIL, 6005, MP_WARN, "role order failed")                        \
-  X(ORDER_ROUND, 6006, MP_INFO, "engines chosen for orders")               \
-  X(DRAIN, 7001, MP_INFO, "drain begins")                                  \
-  X(DRAINED, 7002, MP_INFO, "drain complete")                              \
-  X(START, 7003, MP_INFO, "instance starts")                               \
-  X(STOP, 7004, MP_INFO, "instance stops")                                 \
-  X(RELOAD, 7005, MP_INFO, "settings read again")                          \
-  X(READY, 7006, MP_INFO, "instance ready")                                \
-  X(NO_METRICS, 7007, MP_WARN, "metrics cannot be served")                 \
-  X(ROUTE_ACCEPT, 8000, MP_INFO, "routed request accepted")                \
-  X(ROUTE_REFUSED, 8001, MP_WARN, "routed request refused")                \
-  X(ROUTE_BROKEN_OFF, 8002, MP_WARN, "routed answer broken off")           \
-  X(ROUTE_HANGUP, 8003, MP_INFO, "caller of a routed request gone")        \
-  X(ROUTE_PREFILL, 8004, MP_INFO, "prompt read, or not")                   \
-  X(ROUTE_OUTCOME, 8005, MP_INFO, "endpoint answered a dispatch")          \
-  X(ROUTE_DISPATCH, 8006, MP_INFO, "dispatch sent to an endpoint")         \
-  X(ROUTE_WAIT, 8007, MP_INFO, "request waits for room")                   \
-  X(ROUTE_RETRY, 8008, MP_INFO, "request is tried again, or not")          \
-  X(EP_ENDED, 8009, MP_WARN, "endpoint ended under requests")              \
-  X(REQUEST_HELD, 8010, MP_WARN, "request held: endpoints end under it")   \
-  X(REQUEST_LIFTED, 8011, MP_INFO, "hold of a request lifted")             \
-  X(STORE_RECORD_BAD, 8101, MP_FAULT, "record of the store refused")       \
-  X(STORE_LIST, 8102, MP_INFO, "list read from the store")                 \
-  X(STORE_HISTORY_GONE, 8103, MP_WARN, "watch lost its history")           \
-  X(PEER_SNAPSHOT, 8104, MP_INFO, "objects taken from a peer")             \
-  X(INSTANCES, 8105, MP_INFO, "count of instances changed")                \
-  X(RELAY_ROLE, 8106, MP_INFO, "source of the store's news changed")       \
-  X(RELAY_FAILED, 8107, MP_WARN, "relay did not answer")                   \
-  X(NOT_ENTERED, 8108, MP_WARN, "instance could not enter itself")         \
-  X(NOT_KEPT, 8109, MP_INFO, "held request not written to the store")      \
-  X(STORE_NAMELESS, 8110, MP_FAULT, "objects of the store without a name") \
-  X(STORE_CALL_LEFT, 8111, MP_INFO, "call to the store given up")          \
-  X(NEWS_LAG, 8112, MP_WARN, "newer objects are known elsewhere")          \
-  X(NEWS_LEVEL, 8113, MP_INFO, "newest objects are known again")           \
-  X(WATCH_MISSED, 8114, MP_WARN, "watch missed a change")                  \
-  X(ANSWER_OVERTAKEN, 8115, MP_WARN, "answer is older than what is known") \
-  X(STORE_RESTORED, 8116, MP_WARN, "store was restored from a copy")       \
-  X(CALLER_BAD, 8201, MP_INFO, "caller sent a malformed request")          \
-  X(LINES_LEFT_OUT, 9001, MP_INFO, "log lines left out")                   \
+/* X(symbol, number, level, text); each entry stands on one line */
+#define MP_EVENTS(X)                                                          \
+  X(ACCEPT, 1001, MP_DEBUG, "request accepted")                               \
+  X(REFUSE, 1002, MP_INFO, "request refused")                                 \
+  X(ANSWERED, 1003, MP_INFO, "request answered")                              \
+  X(GONE, 1004, MP_INFO, "caller disconnected, request cancelled")            \
+  X(BROKE, 1005, MP_WARN, "request ended in an error after work began")       \
+  X(STEP, 1006, MP_DEBUG, "request enters a step")                            \
+  X(RETRY, 1007, MP_INFO, "step of a request is retried")                     \
+  X(FAILED, 1008, MP_INFO, "endpoint failed a step")                          \
+  X(GRANT, 2001, MP_DEBUG, "reservation granted")                             \
+  X(DENY, 2002, MP_DEBUG, "reservation denied")                               \
+  X(EXPIRE, 2003, MP_INFO, "reservation expired, not renewed")                \
+  X(ORPHAN, 2004, MP_WARN, "orphaned work at an endpoint cancelled")          \
+  X(EP_DOWN, 2005, MP_WARN, "endpoint does not answer")                       \
+  X(EP_UP, 2006, MP_INFO, "endpoint answers again")                           \
+  X(EP_LEAVING, 2007, MP_INFO, "endpoint is leaving")                         \
+  X(EP_RESTARTED, 2009, MP_WARN, "endpoint restarted")                        \
+  X(EP_RATE, 2010, MP_INFO, "endpoint announces a rate limit")                \
+  X(EP_RATE_OVER, 2011, MP_INFO, "endpoint announces no rate limit now")      \
+  X(EP_RATE_BAD, 2012, MP_WARN, "endpoint's rate limit is unreadable")        \
+  X(EP_SAYS_LEAVING, 2013, MP_INFO, "endpoint announces that it leaves")      \
+  X(EP_REST, 2014, MP_INFO, "endpoint asks for a pause")                      \
+  X(EP_SIGNAL_BAD, 2015, MP_WARN, "endpoint's signal is unreadable")          \
+  X(DISPATCH_HELD_BACK, 2016, MP_FAULT, "forbidden dispatch prevented")       \
+  X(EP_FIELD_UNKNOWN, 2017, MP_WARN, "endpoint sends an unknown field")       \
+  X(EJECT, 2008, MP_WARN, "endpoint ejected temporarily")                     \
+  X(MEMBER_UP, 3001, MP_INFO, "instance joined")                              \
+  X(MEMBER_SUSPECT, 3002, MP_INFO, "instance suspected")                      \
+  X(MEMBER_DEAD, 3003, MP_WARN, "instance dead")                              \
+  X(MEMBER_LEAVING, 3004, MP_INFO, "instance leaving")                        \
+  X(STRANGER, 3005, MP_WARN, "message from outside the instance set")         \
+  X(CONFIG_NEW, 4001, MP_INFO, "configuration in force")                      \
+  X(CONFIG_BAD, 4002, MP_FAULT, "configuration refused")                      \
+  X(LIST_NEW, 4003, MP_INFO, "instance list in force")                        \
+  X(STORE_DOWN, 4004, MP_WARN, "platform does not answer")                    \
+  X(STORE_UP, 4005, MP_INFO, "platform answers again")                        \
+  X(CLAIM_WRITE, 5001, MP_DEBUG, "durable claims written")                    \
+  X(CLAIM_FENCED, 5002, MP_WARN, "another home wrote the durable claims")     \
+  X(LEASE_HELD, 6001, MP_INFO, "lease for role orders acquired")              \
+  X(LEASE_LOST, 6002, MP_WARN, "lease for role orders lost")                  \
+  X(ORDER_SENT, 6003, MP_INFO, "role order sent")                             \
+  X(ORDER_DONE, 6004, MP_INFO, "role order completed")                        \
+  X(ORDER_FAIL, 6005, MP_WARN, "role order failed")                           \
+  X(ORDER_ROUND, 6006, MP_INFO, "engines chosen for a stage change")          \
+  X(DRAIN, 7001, MP_INFO, "drain begins")                                     \
+  X(DRAINED, 7002, MP_INFO, "drain complete")                                 \
+  X(START, 7003, MP_INFO, "instance starts")                                  \
+  X(STOP, 7004, MP_INFO, "instance stops")                                    \
+  X(RELOAD, 7005, MP_INFO, "settings reloaded")                               \
+  X(READY, 7006, MP_INFO, "instance ready")                                   \
+  X(NO_METRICS, 7007, MP_WARN, "metrics cannot be served")                    \
+  X(ROUTE_ACCEPT, 8000, MP_INFO, "routed request accepted")                   \
+  X(ROUTE_REFUSED, 8001, MP_WARN, "routed request refused")                   \
+  X(ROUTE_BROKEN_OFF, 8002, MP_WARN, "routed answer aborted")                 \
+  X(ROUTE_HANGUP, 8003, MP_INFO, "caller of a routed request disconnected")   \
+  X(ROUTE_PREFILL, 8004, MP_INFO, "prefill of a routed request ended")        \
+  X(ROUTE_OUTCOME, 8005, MP_INFO, "dispatch to an endpoint ended")            \
+  X(ROUTE_DISPATCH, 8006, MP_INFO, "dispatch sent to an endpoint")            \
+  X(ROUTE_WAIT, 8007, MP_INFO, "request waits for capacity")                  \
+  X(ROUTE_RETRY, 8008, MP_INFO, "retry of a request decided")                 \
+  X(EP_ENDED, 8009, MP_WARN, "endpoint ended while it ran requests")          \
+  X(REQUEST_HELD, 8010, MP_WARN, "request held: endpoints crash on it")       \
+  X(REQUEST_LIFTED, 8011, MP_INFO, "request is no longer held")               \
+  X(STORE_RECORD_BAD, 8101, MP_FAULT, "record of the store rejected")         \
+  X(STORE_LIST, 8102, MP_INFO, "list read from the store")                    \
+  X(STORE_HISTORY_GONE, 8103, MP_WARN, "watch position expired in the store") \
+  X(PEER_SNAPSHOT, 8104, MP_INFO, "objects read from a peer")                 \
+  X(INSTANCES, 8105, MP_INFO, "number of instances changed")                  \
+  X(RELAY_ROLE, 8106, MP_INFO, "source of store updates changed")             \
+  X(RELAY_FAILED, 8107, MP_WARN, "relay did not answer")                      \
+  X(NOT_ENTERED, 8108, MP_WARN, "instance could not register itself")         \
+  X(NOT_KEPT, 8109, MP_INFO, "held request not written to the store")         \
+  X(STORE_NAMELESS, 8110, MP_FAULT, "objects of the store lack a name")       \
+  X(STORE_CALL_LEFT, 8111, MP_INFO, "call to the store abandoned")            \
+  X(NEWS_LAG, 8112, MP_WARN, "another instance knows newer objects")          \
+  X(NEWS_LEVEL, 8113, MP_INFO, "objects are up to date again")                \
+  X(WATCH_MISSED, 8114, MP_WARN, "watch missed a change")                     \
+  X(ANSWER_OVERTAKEN, 8115, MP_WARN, "answer is older than known objects")    \
+  X(STORE_RESTORED, 8116, MP_WARN, "store was restored from a copy")          \
+  X(CALLER_BAD, 8201, MP_INFO, "caller sent a malformed request")             \
+  X(LINES_LEFT_OUT, 9001, MP_INFO, "log lines suppressed")                    \
   X(LINES_LOST, 9002, MP_WARN, "log lines lost")
 
 typedef enum mp_EventNo {
@@ -105,7 +110,7 @@
 #undef X
 } mp_EventNo;
 
-/* of the catalogue; the number must be in it */
+/* level and constant text of an event; 'number' must be in the catalogue */
 MP_API mp_Level mp_event_level(mp_EventNo number);
 MP_API const char *mp_event_text(mp_EventNo number);
 
