--- a/include/mplog.h
+++ b/include/mplog.h
@@ -4,8 +4,8 @@
 **
 ** Every line of the log has the number, the level and the text of one of these
 ** events, then its fields (key=value). Operators' tools match the numbers, so
-** the number of an event never changes. docs/EVENTS.md
-** has a row for each event, with advice; scripts/events.sh compares the two.
+** the number of an event never changes. docs/EVENTS.md has a row for each
+** event, with advice; scripts/events.sh compares the two.
 */
 
 #ifndef MPLOG_H
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -2,10 +2,10 @@
 ** rpc.c
 ** Messages between instances as ONC RPC datagrams
 **
-** Every message of the core is one procedure; call and reply have the same
-** body, but for RESERVE, whose reply is the verdict alone. Unknown programs,
-** versions and procedures and bodies that cannot be read are answered as RFC
-** 5531 says.
+** Every kind of message is one procedure. A call and its reply have the same
+** body, except for RESERVE, whose reply holds only the keeper's verdict. Calls
+** of unknown programs, versions and procedures, and calls whose body cannot be
+** decoded, are answered as RFC 5531 says.
 */
 
 #include <string.h>
@@ -17,170 +17,183 @@
 /*
 ** {==================================================================
 ** Bodies
+**
+** Each function is an XDR filter: it encodes or decodes '*x' according to the
+** direction of the stream, and returns FALSE when the datagram ends too early
+** or a value is out of range.
 ** ===================================================================
 */
 
-static bool_t u64(XDR *x, uint64_t *v) {
+static bool_t xdr_u64(XDR *x, uint64_t *v) {
   return xdr_uint64_t(x, v);
 }
 
-static bool_t u32(XDR *x, uint32_t *v) {
+static bool_t xdr_u32(XDR *x, uint32_t *v) {
   return xdr_uint32_t(x, v);
 }
 
-/* small numbers travel as 32 bits; one that is too large is an error */
-static bool_t u8(XDR *x, uint8_t *v) {
+/* a small number is encoded in 32 bits; a value above 255 is an error */
+static bool_t xdr_u8(XDR *x, uint8_t *v) {
   uint32_t w = *v;
-  if (!u32(x, &w) || w > UINT8_MAX)
+  if (!xdr_u32(x, &w) || w > UINT8_MAX)
     return FALSE;
   *v = (uint8_t)w;
   return TRUE;
 }
 
-static bool_t count(XDR *x, unsigned *n, unsigned most) {
-  return u32(x, n) && *n <= most;
+/* a number of rows; more than 'max' is an error */
+static bool_t xdr_count(XDR *x, unsigned *n, unsigned max) {
+  return xdr_u32(x, n) && *n <= max;
 }
 
-static bool_t token(XDR *x, mp_Token *t) {
-  return u64(x, &t->owner) && u32(x, &t->start) && u32(x, &t->seq);
+static bool_t xdr_token(XDR *x, mp_Token *t) {
+  return xdr_u64(x, &t->owner) && xdr_u32(x, &t->start) && xdr_u32(x, &t->seq);
 }
 
-static bool_t memberrow(XDR *x, mp_MemberUpdate *m) {
-  return u64(x, &m->addr) && u32(x, &m->start) && u32(x, &m->incarnation) &&
-         u32(x, &m->dc) && u8(x, &m->state);
+static bool_t xdr_member_update(XDR *x, mp_MemberUpdate *m) {
+  return xdr_u64(x, &m->addr) && xdr_u32(x, &m->start) &&
+         xdr_u32(x, &m->incarnation) && xdr_u32(x, &m->dc) &&
+         xdr_u8(x, &m->state);
 }
 
-/* two small numbers in one word */
-static bool_t pair(XDR *x, uint16_t *a, uint16_t *b) {
+/* two 16-bit numbers in one 32-bit word */
+static bool_t xdr_u16_pair(XDR *x, uint16_t *a, uint16_t *b) {
   uint32_t w = (uint32_t)*a << 16 | *b;
-  if (!u32(x, &w))
+  if (!xdr_u32(x, &w))
     return FALSE;
   *a = (uint16_t)(w >> 16);
   *b = (uint16_t)(w & UINT16_MAX);
   return TRUE;
 }
 
-static bool_t loadrow(XDR *x, mp_LoadUpdate *l) {
-  uint16_t what = (uint16_t)(l->flags << 8 | l->role);
-  if (!u64(x, &l->addr) || !u32(x, &l->stamp) ||
-      !pair(x, &l->slots, &l->used) || !u32(x, &l->wait) ||
-      !u32(x, &l->rate) || !pair(x, &what, &l->running))
+static bool_t xdr_load_update(XDR *x, mp_LoadUpdate *l) {
+  uint16_t flags_and_role = (uint16_t)(l->flags << 8 | l->role);
+  if (!xdr_u64(x, &l->addr) || !xdr_u32(x, &l->stamp) ||
+      !xdr_u16_pair(x, &l->slots, &l->used) || !xdr_u32(x, &l->wait) ||
+      !xdr_u32(x, &l->rate) || !xdr_u16_pair(x, &flags_and_role, &l->running))
     return FALSE;
-  l->flags = (uint8_t)(what >> 8);
-  l->role = (uint8_t)(what & UINT8_MAX);
+  l->flags = (uint8_t)(flags_and_role >> 8);
+  l->role = (uint8_t)(flags_and_role & UINT8_MAX);
   return TRUE;
 }
 
-static bool_t probe(XDR *x, mp_Probe *p) {
+static bool_t xdr_probe(XDR *x, mp_Probe *p) {
   unsigned i;
-  if (!u32(x, &p->start) || !u32(x, &p->incarnation) || !u32(x, &p->dc) ||
-      !u8(x, &p->state) || !u64(x, &p->target))
+  if (!xdr_u32(x, &p->start) || !xdr_u32(x, &p->incarnation) ||
+      !xdr_u32(x, &p->dc) || !xdr_u8(x, &p->state) || !xdr_u64(x, &p->target))
     return FALSE;
   for (i = 0; i < MP_DOC_COUNT; i++) {
-    if (!u64(x, &p->doc[i]))
+    if (!xdr_u64(x, &p->doc[i]))
       return FALSE;
   }
-  if (!count(x, &p->nmember, MP_GOSSIP_MEMBERS))
+  if (!xdr_count(x, &p->nmember, MP_GOSSIP_MEMBERS))
     return FALSE;
   for (i = 0; i < p->nmember; i++) {
-    if (!memberrow(x, &p->member[i]))
+    if (!xdr_member_update(x, &p->member[i]))
       return FALSE;
   }
-  if (!count(x, &p->nload, MP_GOSSIP_LOADS))
+  if (!xdr_count(x, &p->nload, MP_GOSSIP_LOADS))
     return FALSE;
   for (i = 0; i < p->nload; i++) {
-    if (!loadrow(x, &p->load[i]))
+    if (!xdr_load_update(x, &p->load[i]))
       return FALSE;
   }
   return TRUE;
 }
 
-static bool_t reserve(XDR *x, mp_Reserve *r) {
-  return token(x, &r->token) && u32(x, &r->attempt) && u64(x, &r->endpoint) &&
-         u8(x, &r->role) && u32(x, &r->tokens) && u32(x, &r->slack_ms) &&
-         u32(x, &r->start_ms) && u32(x, &r->weight);
+static bool_t xdr_reserve(XDR *x, mp_Reserve *r) {
+  return xdr_token(x, &r->token) && xdr_u32(x, &r->attempt) &&
+         xdr_u64(x, &r->endpoint) && xdr_u8(x, &r->role) &&
+         xdr_u32(x, &r->tokens) && xdr_u32(x, &r->slack_ms) &&
+         xdr_u32(x, &r->start_ms) && xdr_u32(x, &r->weight);
 }
 
-/* what the keeper says */
-static bool_t verdict(XDR *x, mp_Reserve *r) {
-  return u8(x, &r->verdict) && u32(x, &r->wait_ms) && u32(x, &r->slots) &&
-         u32(x, &r->used);
+/* the keeper's reply to RESERVE */
+static bool_t xdr_reserve_reply(XDR *x, mp_Reserve *r) {
+  return xdr_u8(x, &r->verdict) && xdr_u32(x, &r->wait_ms) &&
+         xdr_u32(x, &r->slots) && xdr_u32(x, &r->used);
 }
 
-/* in both directions: the holder's answer says whether it still wants it */
-static bool_t grant(XDR *x, mp_Reserve *r) {
-  return token(x, &r->token) && u32(x, &r->attempt) && u64(x, &r->endpoint) &&
-         verdict(x, r);
+/* call and reply alike: the holder's reply says whether it still wants the
+** reservation */
+static bool_t xdr_grant(XDR *x, mp_Reserve *r) {
+  return xdr_token(x, &r->token) && xdr_u32(x, &r->attempt) &&
+         xdr_u64(x, &r->endpoint) && xdr_reserve_reply(x, r);
 }
 
-static bool_t renewal(XDR *x, mp_Renewal *w) {
-  return u32(x, &w->seq) && u32(x, &w->attempt) && u64(x, &w->endpoint) &&
-         u8(x, &w->role) && u8(x, &w->state) && u32(x, &w->tokens);
+static bool_t xdr_renewal(XDR *x, mp_Renewal *w) {
+  return xdr_u32(x, &w->seq) && xdr_u32(x, &w->attempt) &&
+         xdr_u64(x, &w->endpoint) && xdr_u8(x, &w->role) &&
+         xdr_u8(x, &w->state) && xdr_u32(x, &w->tokens);
 }
 
-static bool_t renew(XDR *x, mp_Renew *r) {
+static bool_t xdr_renew(XDR *x, mp_Renew *r) {
   unsigned i;
-  if (!u64(x, &r->owner) || !u32(x, &r->start) ||
-      !count(x, &r->n, MP_RENEW_BATCH))
+  if (!xdr_u64(x, &r->owner) || !xdr_u32(x, &r->start) ||
+      !xdr_count(x, &r->n, MP_RENEW_BATCH))
     return FALSE;
   for (i = 0; i < r->n; i++) {
-    if (!renewal(x, &r->row[i]))
+    if (!xdr_renewal(x, &r->row[i]))
       return FALSE;
   }
   return TRUE;
 }
 
-static bool_t release(XDR *x, mp_Release *r) {
-  return token(x, &r->token) && u32(x, &r->attempt) && u64(x, &r->endpoint) &&
-         u8(x, &r->kept) && u32(x, &r->took_ms);
+static bool_t xdr_release(XDR *x, mp_Release *r) {
+  return xdr_token(x, &r->token) && xdr_u32(x, &r->attempt) &&
+         xdr_u64(x, &r->endpoint) && xdr_u8(x, &r->kept) &&
+         xdr_u32(x, &r->took_ms);
 }
 
-static bool_t claim(XDR *x, mp_Claim *c) {
-  return u64(x, &c->id[0]) && u64(x, &c->id[1]) && token(x, &c->token) &&
-         u32(x, &c->ttl_ms) && u8(x, &c->durable) && u8(x, &c->announce) &&
-         u8(x, &c->verdict) && u8(x, &c->ran);
+static bool_t xdr_claim(XDR *x, mp_Claim *c) {
+  return xdr_u64(x, &c->id[0]) && xdr_u64(x, &c->id[1]) &&
+         xdr_token(x, &c->token) && xdr_u32(x, &c->ttl_ms) &&
+         xdr_u8(x, &c->durable) && xdr_u8(x, &c->announce) &&
+         xdr_u8(x, &c->verdict) && xdr_u8(x, &c->ran);
 }
 
-static bool_t settle(XDR *x, mp_Settle *s) {
-  return u64(x, &s->id[0]) && u64(x, &s->id[1]) && token(x, &s->token) &&
-         u8(x, &s->ran) && u8(x, &s->durable);
+static bool_t xdr_settle(XDR *x, mp_Settle *s) {
+  return xdr_u64(x, &s->id[0]) && xdr_u64(x, &s->id[1]) &&
+         xdr_token(x, &s->token) && xdr_u8(x, &s->ran) &&
+         xdr_u8(x, &s->durable);
 }
 
-static bool_t quota(XDR *x, mp_Quota *q) {
-  return u32(x, &q->account) && u32(x, &q->want) && u32(x, &q->given) &&
-         u32(x, &q->for_ms) && u8(x, &q->verdict);
+static bool_t xdr_quota(XDR *x, mp_Quota *q) {
+  return xdr_u32(x, &q->account) && xdr_u32(x, &q->want) &&
+         xdr_u32(x, &q->given) && xdr_u32(x, &q->for_ms) &&
+         xdr_u8(x, &q->verdict);
 }
 
-static bool_t fetch(XDR *x, mp_Fetch *f) {
+static bool_t xdr_fetch(XDR *x, mp_Fetch *f) {
   char *digest = f->digest;
-  if (!u8(x, &f->doc) || !u64(x, &f->version) ||
-      !xdr_string(x, &digest, MP_SHA256_HEX) || !u32(x, &f->offset) ||
-      !u32(x, &f->total) || !count(x, &f->n, MP_CHUNK_SIZE))
+  if (!xdr_u8(x, &f->doc) || !xdr_u64(x, &f->version) ||
+      !xdr_string(x, &digest, MP_SHA256_HEX) || !xdr_u32(x, &f->offset) ||
+      !xdr_u32(x, &f->total) || !xdr_count(x, &f->n, MP_CHUNK_SIZE))
     return FALSE;
   return xdr_opaque(x, f->data, f->n);
 }
 
-static bool_t retries(XDR *x, mp_LoadDigest *d) {
+static bool_t xdr_retry_rows(XDR *x, mp_LoadDigest *d) {
   unsigned i;
-  if (!count(x, &d->retry_count, MP_LOAD_DIGEST_SERVICES))
+  if (!xdr_count(x, &d->retry_count, MP_LOAD_DIGEST_SERVICES))
     return FALSE;
   for (i = 0; i < d->retry_count; i++) {
     mp_RetryRow *row = &d->retry[i];
-    if (!u32(x, &row->service) || !u32(x, &row->requests) ||
-        !u32(x, &row->extras))
+    if (!xdr_u32(x, &row->service) || !xdr_u32(x, &row->requests) ||
+        !xdr_u32(x, &row->extras))
       return FALSE;
   }
   return TRUE;
 }
 
-static bool_t accounts(XDR *x, mp_LoadDigest *d) {
+static bool_t xdr_account_rows(XDR *x, mp_LoadDigest *d) {
   unsigned i;
-  if (!count(x, &d->account_count, MP_LOAD_DIGEST_ACCOUNTS))
+  if (!xdr_count(x, &d->account_count, MP_LOAD_DIGEST_ACCOUNTS))
     return FALSE;
   for (i = 0; i < d->account_count; i++) {
     mp_AccountRow *row = &d->account[i];
     uint32_t word = row->spent << 8 | (row->level & UINT8_MAX);
-    if (!u32(x, &row->account) || !u32(x, &word))
+    if (!xdr_u32(x, &row->account) || !xdr_u32(x, &word))
       return FALSE;
     row->spent = word >> 8;
     row->level = word & UINT8_MAX;
@@ -188,176 +201,184 @@
   return TRUE;
 }
 
-/* the parts of a packed load; a larger value travels as the largest */
-#define BLOCKS_MOST 0xffffu
-#define OPEN_MOST 0x1ffu
-#define FAILING_MOST 0x7fu
-#define FAILING_STEP 4u /* percent: sums over several instances fit */
+/* largest values of the parts of a packed load; a larger value is encoded as
+** the largest */
+#define BLOCKS_MAX 0xffffu
+#define DISPATCHES_MAX 0x1ffu
+#define FAILING_MAX 0x7fu
+#define FAILING_STEP_PERCENT 4u /* so that sums over several instances fit */
 
-/* blocks of tokens, dispatches and the share of failures in one word */
-static bool_t packedload(XDR *x, mp_LoadRow *row) {
+/* one word: 16 bits for the blocks of tokens, 9 for the dispatches and 7 for
+** the share of failures; blocks and share are rounded up */
+static bool_t xdr_packed_load(XDR *x, mp_LoadRow *row) {
   uint32_t blocks = (row->tokens + MP_TOKEN_BLOCK - 1) / MP_TOKEN_BLOCK;
-  uint32_t failing = (row->failing + FAILING_STEP - 1) / FAILING_STEP;
-  uint32_t word = (blocks < BLOCKS_MOST ? blocks : BLOCKS_MOST) << 16;
-  word |= (row->open < OPEN_MOST ? row->open : OPEN_MOST) << 7;
-  word |= failing < FAILING_MOST ? failing : FAILING_MOST;
-  if (!u32(x, &word))
+  uint32_t failing =
+      (row->failing + FAILING_STEP_PERCENT - 1) / FAILING_STEP_PERCENT;
+  uint32_t word = (blocks < BLOCKS_MAX ? blocks : BLOCKS_MAX) << 16;
+  word |= (row->open < DISPATCHES_MAX ? row->open : DISPATCHES_MAX) << 7;
+  word |= failing < FAILING_MAX ? failing : FAILING_MAX;
+  if (!xdr_u32(x, &word))
     return FALSE;
   row->tokens = (word >> 16) * MP_TOKEN_BLOCK;
-  row->open = word >> 7 & OPEN_MOST;
-  row->failing = (word & FAILING_MOST) * FAILING_STEP;
+  row->open = word >> 7 & DISPATCHES_MAX;
+  row->failing = (word & FAILING_MAX) * FAILING_STEP_PERCENT;
   return TRUE;
 }
 
-static bool_t hashes(XDR *x, unsigned *n, uint32_t *hash, unsigned most) {
+static bool_t xdr_hashes(XDR *x, unsigned *n, uint32_t *hash, unsigned max) {
   unsigned i;
-  if (!count(x, n, most))
+  if (!xdr_count(x, n, max))
     return FALSE;
   for (i = 0; i < *n; i++) {
-    if (!u32(x, &hash[i]))
+    if (!xdr_u32(x, &hash[i]))
       return FALSE;
   }
   return TRUE;
 }
 
-static bool_t digest(XDR *x, mp_LoadDigest *d) {
+static bool_t xdr_load_digest(XDR *x, mp_LoadDigest *d) {
   unsigned i;
-  if (!u32(x, &d->waiting) || !u32(x, &d->in_time) || !u32(x, &d->oldest_ms) ||
-      !count(x, &d->n, MP_LOAD_DIGEST_ROWS))
+  if (!xdr_u32(x, &d->waiting) || !xdr_u32(x, &d->in_time) ||
+      !xdr_u32(x, &d->oldest_ms) || !xdr_count(x, &d->n, MP_LOAD_DIGEST_ROWS))
     return FALSE;
   for (i = 0; i < d->n; i++) {
     mp_LoadRow *row = &d->row[i];
-    if (!u32(x, &row->endpoint) || !packedload(x, row))
+    if (!xdr_u32(x, &row->endpoint) || !xdr_packed_load(x, row))
       return FALSE;
   }
-  return hashes(x, &d->changing_count, d->changing, MP_LOAD_DIGEST_CHANGING) &&
-         retries(x, d) && accounts(x, d) &&
-         hashes(x, &d->leaving_count, d->leaving, MP_LOAD_DIGEST_LEAVING);
+  return xdr_hashes(x, &d->changing_count, d->changing,
+                    MP_LOAD_DIGEST_CHANGING) &&
+         xdr_retry_rows(x, d) && xdr_account_rows(x, d) &&
+         xdr_hashes(x, &d->leaving_count, d->leaving, MP_LOAD_DIGEST_LEAVING);
 }
 
-static bool_t summary(XDR *x, mp_LoadSummary *s) {
-  return u64(x, &s->relay) && u32(x, &s->zone) && u32(x, &s->instances) &&
-         digest(x, &s->loads);
+static bool_t xdr_load_summary(XDR *x, mp_LoadSummary *s) {
+  return xdr_u64(x, &s->relay) && xdr_u32(x, &s->zone) &&
+         xdr_u32(x, &s->instances) && xdr_load_digest(x, &s->loads);
 }
 
-static bool_t suspected(XDR *x, mp_CrashUpdate *c) {
+static bool_t xdr_suspect_rows(XDR *x, mp_CrashUpdate *c) {
   unsigned i;
-  if (!count(x, &c->suspected_n, MP_SUSPECT_ROWS))
+  if (!xdr_count(x, &c->suspected_n, MP_SUSPECT_ROWS))
     return FALSE;
   for (i = 0; i < c->suspected_n; i++) {
     mp_SuspectRow *row = &c->suspected[i];
-    if (!u64(x, &row->request) || !u32(x, &row->endpoint) ||
-        !u32(x, &row->age_ms))
+    if (!xdr_u64(x, &row->request) || !xdr_u32(x, &row->endpoint) ||
+        !xdr_u32(x, &row->age_ms))
       return FALSE;
   }
   return TRUE;
 }
 
-static bool_t crashes(XDR *x, mp_CrashUpdate *c) {
+static bool_t xdr_crash_update(XDR *x, mp_CrashUpdate *c) {
   unsigned i;
   unsigned k;
-  if (!count(x, &c->n, MP_CRASH_ROWS))
+  if (!xdr_count(x, &c->n, MP_CRASH_ROWS))
     return FALSE;
   for (i = 0; i < c->n; i++) {
     mp_CrashRow *row = &c->row[i];
-    if (!u64(x, &row->request) || !count(x, &row->n, MP_CRASHES_PER_ROW))
+    if (!xdr_u64(x, &row->request) ||
+        !xdr_count(x, &row->n, MP_CRASHES_PER_ROW))
       return FALSE;
     for (k = 0; k < row->n; k++) {
-      if (!u32(x, &row->crash[k]))
+      if (!xdr_u32(x, &row->crash[k]))
         return FALSE;
     }
   }
-  return suspected(x, c);
+  return xdr_suspect_rows(x, c);
 }
 
-static bool_t rates(XDR *x, mp_RateUpdate *r) {
+static bool_t xdr_rate_update(XDR *x, mp_RateUpdate *r) {
   unsigned i;
-  if (!u64(x, &r->relay) || !u32(x, &r->zone) ||
-      !count(x, &r->n, MP_RATE_ROWS))
+  if (!xdr_u64(x, &r->relay) || !xdr_u32(x, &r->zone) ||
+      !xdr_count(x, &r->n, MP_RATE_ROWS))
     return FALSE;
   for (i = 0; i < r->n; i++) {
     mp_RateRow *row = &r->row[i];
-    if (!u32(x, &row->endpoint) || !u32(x, &row->rate) ||
-        !u32(x, &row->age_ms) || !u32(x, &row->sent))
+    if (!xdr_u32(x, &row->endpoint) || !xdr_u32(x, &row->rate) ||
+        !xdr_u32(x, &row->age_ms) || !xdr_u32(x, &row->sent))
       return FALSE;
   }
   return TRUE;
 }
 
-/* a steady clock: readers add and subtract two of them in 64 bits with a
-** sign, so one past half of that is none */
-static bool_t moment(XDR *x, uint64_t *v) {
-  return u64(x, v) && *v <= INT64_MAX / 2;
+/* a time on a monotonic clock, in us. Receivers add and subtract two of them
+ ** as signed 64-bit numbers, so more than half of the largest is an error. */
+static bool_t xdr_clock(XDR *x, uint64_t *v) {
+  return xdr_u64(x, v) && *v <= INT64_MAX / 2;
 }
 
-static bool_t revision(XDR *x, int64_t *v) {
+static bool_t xdr_revision(XDR *x, int64_t *v) {
   uint64_t number = (uint64_t)*v;
-  if (!u64(x, &number) || number > INT64_MAX)
+  if (!xdr_u64(x, &number) || number > INT64_MAX)
     return FALSE;
   *v = (int64_t)number;
   return TRUE;
 }
 
-/* behind all else: an instance of an earlier release ends before them, and
-** does not read on */
-static bool_t eras(XDR *x, mp_RelayHeartbeat *b) {
-  bool_t lacks_them = x->x_op == XDR_DECODE && x->x_handy == 0;
+/* the eras stand at the end of a heartbeat: an earlier release, which does not
+** know them, sends none, and does not read them. A datagram that ends before
+** them gives era 0. */
+static bool_t xdr_eras(XDR *x, mp_RelayHeartbeat *b) {
+  bool_t has_no_eras = x->x_op == XDR_DECODE && x->x_handy == 0;
   unsigned i;
   for (i = 0; i < MP_RELAY_KINDS; i++) {
-    if (lacks_them)
+    if (has_no_eras)
       b->changed[i].era = 0;
-    else if (!u64(x, &b->changed[i].era))
+    else if (!xdr_u64(x, &b->changed[i].era))
       return FALSE;
   }
   return TRUE;
 }
 
-static bool_t beat(XDR *x, mp_RelayHeartbeat *b) {
+static bool_t xdr_relay_heartbeat(XDR *x, mp_RelayHeartbeat *b) {
   unsigned i;
   for (i = 0; i < MP_RELAY_KINDS; i++) {
-    if (!revision(x, &b->changed[i].revision))
+    if (!xdr_revision(x, &b->changed[i].revision))
       return FALSE;
   }
-  return u32(x, &b->age_ms) && moment(x, &b->sent_us) &&
-         u32(x, &b->proof_ms) && moment(x, &b->asked_us) && eras(x, b);
+  return xdr_u32(x, &b->age_ms) && xdr_clock(x, &b->sent_us) &&
+         xdr_u32(x, &b->proof_ms) && xdr_clock(x, &b->asked_us) &&
+         xdr_eras(x, b);
 }
 
-static bool_t body(XDR *x, mp_Msg *m) {
+static bool_t xdr_body(XDR *x, mp_Msg *m) {
   switch (m->kind) {
   case MP_MSG_PROBE:
   case MP_MSG_PROBE_VIA:
-    return probe(x, &m->u.probe);
+    return xdr_probe(x, &m->u.probe);
   case MP_MSG_RESERVE:
-    return m->reply ? verdict(x, &m->u.reserve) : reserve(x, &m->u.reserve);
+    return m->reply ? xdr_reserve_reply(x, &m->u.reserve)
+                    : xdr_reserve(x, &m->u.reserve);
   case MP_MSG_GRANT:
-    return grant(x, &m->u.reserve);
+    return xdr_grant(x, &m->u.reserve);
   case MP_MSG_RENEW:
-    return renew(x, &m->u.renew);
+    return xdr_renew(x, &m->u.renew);
   case MP_MSG_RELEASE:
-    return release(x, &m->u.release);
+    return xdr_release(x, &m->u.release);
   case MP_MSG_CLAIM:
-    return claim(x, &m->u.claim);
+    return xdr_claim(x, &m->u.claim);
   case MP_MSG_SETTLE:
-    return settle(x, &m->u.settle);
+    return xdr_settle(x, &m->u.settle);
   case MP_MSG_QUOTA:
-    return quota(x, &m->u.quota);
+    return xdr_quota(x, &m->u.quota);
   case MP_MSG_FETCH:
-    return fetch(x, &m->u.fetch);
+    return xdr_fetch(x, &m->u.fetch);
   case MP_MSG_LOAD_DIGEST:
-    return digest(x, &m->u.digest);
+    return xdr_load_digest(x, &m->u.digest);
   case MP_MSG_LOAD_NOTE:
-    return u32(x, &m->u.note.after) && u32(x, &m->u.note.endpoint) &&
-           u32(x, &m->u.note.tokens);
+    return xdr_u32(x, &m->u.note.after) && xdr_u32(x, &m->u.note.endpoint) &&
+           xdr_u32(x, &m->u.note.tokens);
   case MP_MSG_LOAD_SUMMARY:
-    return summary(x, &m->u.summary);
+    return xdr_load_summary(x, &m->u.summary);
   case MP_MSG_CRASHES:
-    return crashes(x, &m->u.crashes);
+    return xdr_crash_update(x, &m->u.crashes);
   case MP_MSG_RATES:
-    return rates(x, &m->u.rates);
+    return xdr_rate_update(x, &m->u.rates);
   case MP_MSG_RELAY_HEARTBEAT:
-    return beat(x, &m->u.beat);
+    return xdr_relay_heartbeat(x, &m->u.beat);
   case MP_MSG_HEARTBEAT_REQUEST:
-    return moment(x, &m->u.ask.asked_us);
+    return xdr_clock(x, &m->u.ask.asked_us);
   default:
     return FALSE;
   }
@@ -371,12 +392,13 @@
 ** ===================================================================
 */
 
-/* what a filter for results wants: a function and one pointer */
-static bool_t bodyproc(XDR *x, void *m) {
-  return body(x, m);
+/* xdr_body as the type of function that xdr_replymsg calls for the results */
+static bool_t xdr_body_proc(XDR *x, void *m) {
+  return xdr_body(x, m);
 }
 
-static bool_t callheader(XDR *x, const mp_Msg *m) {
+/* the header of a call of this message, without credentials */
+static bool_t xdr_call_header(XDR *x, const mp_Msg *m) {
   struct rpc_msg c;
   memset(&c, 0, sizeof c);
   c.rm_xid = m->seq;
@@ -388,7 +410,8 @@
   return xdr_callmsg(x, &c);
 }
 
-static bool_t accepted(XDR *x, mp_Msg *m) {
+/* a whole reply: its header, and the body of this message */
+static bool_t xdr_success_reply(XDR *x, mp_Msg *m) {
   struct rpc_msg r;
   memset(&r, 0, sizeof r);
   r.rm_xid = m->seq;
@@ -396,7 +419,7 @@
   r.rm_reply.rp_stat = MSG_ACCEPTED;
   r.acpted_rply.ar_stat = SUCCESS;
   r.acpted_rply.ar_results.where = (caddr_t)m;
-  r.acpted_rply.ar_results.proc = (xdrproc_t)bodyproc;
+  r.acpted_rply.ar_results.proc = (xdrproc_t)xdr_body_proc;
   return xdr_replymsg(x, &r);
 }
 
@@ -407,9 +430,9 @@
   size_t n;
   xdrmem_create(&x, out, (u_int)size, XDR_ENCODE);
   if (m->reply)
-    ok = accepted(&x, &copy);
+    ok = xdr_success_reply(&x, &copy);
   else
-    ok = callheader(&x, m) && body(&x, &copy);
+    ok = xdr_call_header(&x, m) && xdr_body(&x, &copy);
   n = ok ? xdr_getpos(&x) : 0;
   xdr_destroy(&x);
   return n;
@@ -423,15 +446,21 @@
 ** ===================================================================
 */
 
-/* an error reply; 'stat' is of an accepted or, with 'denied', refused call */
-static RpcDecoded errorreply(uint32_t xid, enum accept_stat stat, int denied,
-                             char *out, size_t size, size_t *nout) {
+/*
+** Writes an error reply to 'out' and its length to '*nout'. With 'is_denied'
+** the call had another version of RPC and 'stat' is ignored; otherwise it was
+** accepted and ended with 'stat'. Returns RPC_ERROR_REPLY, or RPC_INVALID when
+** the reply does not fit.
+*/
+static RpcDecoded write_error_reply(uint32_t xid, enum accept_stat stat,
+                                    int is_denied, char *out, size_t size,
+                                    size_t *nout) {
   struct rpc_msg r;
   XDR x;
   memset(&r, 0, sizeof r);
   r.rm_xid = xid;
   r.rm_direction = REPLY;
-  if (denied) {
+  if (is_denied) {
     r.rm_reply.rp_stat = MSG_DENIED;
     r.rjcted_rply.rj_stat = RPC_MISMATCH;
     r.rjcted_rply.rj_vers.low = RPC_MSG_VERSION;
@@ -448,73 +477,76 @@
   return *nout > 0 ? RPC_ERROR_REPLY : RPC_INVALID;
 }
 
-/* the fields of a call that come before its credentials */
-typedef struct Head {
+/* the fields of a call before its credentials; a reply has the first two */
+typedef struct CallHead {
   uint32_t xid, direction, rpcvers, prog, vers, proc;
-} Head;
+} CallHead;
 
-static bool_t credentials(XDR *x) {
+/* reads credentials or a verifier, which are not checked */
+static bool_t skip_credentials(XDR *x) {
   char area[MAX_AUTH_BYTES];
   struct opaque_auth a = {0};
   a.oa_base = area;
   return xdr_opaque_auth(x, &a);
 }
 
-static RpcDecoded decodecall(XDR *x, const Head *h, mp_Msg *m, char *out,
-                             size_t size, size_t *nout) {
+static RpcDecoded decode_call(XDR *x, const CallHead *h, mp_Msg *m, char *out,
+                              size_t size, size_t *nout) {
   if (h->rpcvers != RPC_MSG_VERSION)
-    return errorreply(h->xid, SUCCESS, 1, out, size, nout);
-  if (!credentials(x)) /* of the caller */
+    return write_error_reply(h->xid, SUCCESS, 1, out, size, nout);
+  if (!skip_credentials(x)) /* the caller's credentials */
     return RPC_INVALID;
-  if (!credentials(x)) /* the verifier */
+  if (!skip_credentials(x)) /* the verifier */
     return RPC_INVALID;
   if (h->prog != MP_RPC_PROGRAM)
-    return errorreply(h->xid, PROG_UNAVAIL, 0, out, size, nout);
+    return write_error_reply(h->xid, PROG_UNAVAIL, 0, out, size, nout);
   if (h->vers != MP_RPC_VERSION)
-    return errorreply(h->xid, PROG_MISMATCH, 0, out, size, nout);
+    return write_error_reply(h->xid, PROG_MISMATCH, 0, out, size, nout);
   if (h->proc == 0 || h->proc >= MP_MSG_LAST)
-    return errorreply(h->xid, PROC_UNAVAIL, 0, out, size, nout);
+    return write_error_reply(h->xid, PROC_UNAVAIL, 0, out, size, nout);
   m->kind = (mp_MsgKind)h->proc;
-  if (!body(x, m))
-    return errorreply(h->xid, GARBAGE_ARGS, 0, out, size, nout);
+  if (!xdr_body(x, m))
+    return write_error_reply(h->xid, GARBAGE_ARGS, 0, out, size, nout);
   return RPC_CALL;
 }
 
-static RpcDecoded decodereply(XDR *x, RpcKindOf kindof, void *ud, mp_Msg *m) {
+static RpcDecoded decode_reply(XDR *x, RpcKindOf kind_of, void *ud,
+                               mp_Msg *m) {
   uint32_t stat;
   uint32_t acc;
   m->reply = 1;
-  m->kind = kindof(ud, m->seq);
+  m->kind = kind_of(ud, m->seq);
   if (m->kind == 0)
     return RPC_INVALID;
-  if (!u32(x, &stat) || stat != MSG_ACCEPTED || !credentials(x) ||
-      !u32(x, &acc) || acc != SUCCESS || !body(x, m))
+  if (!xdr_u32(x, &stat) || stat != MSG_ACCEPTED || !skip_credentials(x) ||
+      !xdr_u32(x, &acc) || acc != SUCCESS || !xdr_body(x, m))
     return RPC_INVALID;
   return RPC_REPLY;
 }
 
-RpcDecoded rpc_decode(const char *in, size_t n, RpcKindOf kindof, void *ud,
+RpcDecoded rpc_decode(const char *in, size_t n, RpcKindOf kind_of, void *ud,
                       mp_Msg *m, char *out, size_t size, size_t *nout) {
   union {
     char b[MP_DATAGRAM_MAX + 8];
     uint32_t align;
   } buf;
   XDR x;
-  Head h = {0};
+  CallHead h = {0};
   RpcDecoded r = RPC_INVALID;
   *nout = 0;
   if (n > MP_DATAGRAM_MAX)
     return RPC_INVALID;
   memset(m, 0, sizeof *m);
-  memcpy(buf.b, in, n); /* XDR wants it aligned, and not constant */
+  memcpy(buf.b, in, n); /* XDR needs it aligned and writable */
   xdrmem_create(&x, buf.b, (u_int)n, XDR_DECODE);
-  if (u32(&x, &h.xid) && u32(&x, &h.direction)) {
+  if (xdr_u32(&x, &h.xid) && xdr_u32(&x, &h.direction)) {
     m->seq = h.xid;
     if (h.direction == REPLY)
-      r = decodereply(&x, kindof, ud, m);
-    else if (h.direction == CALL && u32(&x, &h.rpcvers) && u32(&x, &h.prog) &&
-             u32(&x, &h.vers) && u32(&x, &h.proc))
-      r = decodecall(&x, &h, m, out, size, nout);
+      r = decode_reply(&x, kind_of, ud, m);
+    else if (h.direction == CALL && xdr_u32(&x, &h.rpcvers) &&
+             xdr_u32(&x, &h.prog) && xdr_u32(&x, &h.vers) &&
+             xdr_u32(&x, &h.proc))
+      r = decode_call(&x, &h, m, out, size, nout);
   }
   xdr_destroy(&x);
   return r;
