--- a/conf/docs.c
+++ b/conf/docs.c
@@ -1,6 +1,7 @@
 /*
 ** docs.c
-** The manifest and the instance list, in JSON (jansson)
+** Reads and writes the manifest, and reads the instance list, as JSON
+** (jansson)
 */
 
 #include <string.h>
@@ -9,24 +10,28 @@
 
 #include "conf/conf.h"
 
-static const char *const rolenames[] = {"prefill", "decode", "plain"};
+static const char *const role_names[] = {"prefill", "decode", "plain"};
 
 const char *mp_role_name(mp_Role r) {
-  return r <= MP_ROLE_PLAIN ? rolenames[r] : "unknown";
+  return r <= MP_ROLE_PLAIN ? role_names[r] : "unknown";
 }
 
-static json_t *load(const char *text, size_t n, const char *what,
-                    GError **err) {
+/* the JSON in 'text', or NULL and an error; 'what' names the document */
+static json_t *load_json(const char *text, size_t n, const char *what,
+                         GError **err) {
   json_error_t e;
   json_t *j = json_loadb(text, n, JSON_REJECT_DUPLICATES, &e);
   if (j == NULL)
     g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
-                "%s line %d: %s; write it by 'madderpier apply' only", what,
+                "%s line %d: %s; correct this object on the platform", what,
                 e.line, e.text);
   return j;
 }
 
-static int str(const json_t *j, const char *key, char *out, size_t size) {
+/* copies a member of type string to 'out'; 0 if there is none or it doesn't
+** fit */
+static int copy_string(const json_t *j, const char *key, char *out,
+                       size_t size) {
   const char *s = json_string_value(json_object_get(j, key));
   if (s == NULL)
     return 0;
@@ -39,26 +44,27 @@
 ** ===================================================================
 */
 
-static gboolean malformed(GError **err, const char *what) {
+/* sets the error for a missing or invalid part of the manifest */
+static gboolean set_manifest_error(GError **err, const char *what) {
   g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
-              "manifest: %s is missing or wrong; write it by 'madderpier "
-              "apply' only",
+              "manifest: %s is missing or wrong; it must be written only by "
+              "'madderpier apply'",
               what);
   return FALSE;
 }
 
-static gboolean sections(const json_t *j, mp_Manifest *m, GError **err) {
+static gboolean read_sections(const json_t *j, mp_Manifest *m, GError **err) {
   size_t i;
   size_t n = json_array_size(j);
   if (n == 0 || n > MP_SECTIONS_MAX)
-    return malformed(err, "'sections'");
+    return set_manifest_error(err, "'sections'");
   for (i = 0; i < n; i++) {
     const json_t *s = json_array_get(j, i);
     mp_Section *o = &m->section[i];
-    if (!str(s, "name", o->name, sizeof o->name) ||
-        !str(s, "digest", o->digest, sizeof o->digest) ||
+    if (!copy_string(s, "name", o->name, sizeof o->name) ||
+        !copy_string(s, "digest", o->digest, sizeof o->digest) ||
         strlen(o->digest) != MP_SHA256_HEX)
-      return malformed(err, "a section");
+      return set_manifest_error(err, "a section");
   }
   m->n = (unsigned)n;
   return TRUE;
@@ -66,7 +72,7 @@
 
 gboolean mp_manifest_read(const char *text, size_t n, mp_Manifest *out,
                           GError **err) {
-  json_t *j = load(text, n, "manifest", err);
+  json_t *j = load_json(text, n, "manifest", err);
   json_int_t v;
   gboolean ok = FALSE;
   if (j == NULL)
@@ -74,13 +80,13 @@
   memset(out, 0, sizeof *out);
   v = json_integer_value(json_object_get(j, "version"));
   if (v <= 0)
-    malformed(err, "'version'");
-  else if (!str(j, "apply", out->apply_id, sizeof out->apply_id) ||
-           !str(j, "by", out->by, sizeof out->by) ||
-           !str(j, "when", out->when, sizeof out->when))
-    malformed(err, "'apply', 'by' or 'when'");
+    set_manifest_error(err, "'version'");
+  else if (!copy_string(j, "apply", out->apply_id, sizeof out->apply_id) ||
+           !copy_string(j, "by", out->by, sizeof out->by) ||
+           !copy_string(j, "when", out->when, sizeof out->when))
+    set_manifest_error(err, "'apply', 'by' or 'when'");
   else
-    ok = sections(json_object_get(j, "sections"), out, err);
+    ok = read_sections(json_object_get(j, "sections"), out, err);
   out->version = (uint64_t)v;
   json_decref(j);
   return ok;
@@ -114,10 +120,10 @@
 ** ===================================================================
 */
 
-static int role(const char *s, mp_Role *out) {
+static int parse_role(const char *s, mp_Role *out) {
   int i;
   for (i = 0; i <= MP_ROLE_PLAIN; i++) {
-    if (strcmp(s, rolenames[i]) == 0) {
+    if (strcmp(s, role_names[i]) == 0) {
       *out = (mp_Role)i;
       return 1;
     }
@@ -125,16 +131,17 @@
   return 0;
 }
 
-static int instance(const json_t *j, mp_Instance *in) {
+/* fills one row of the list; 0 if a member is missing or invalid */
+static int read_instance(const json_t *j, mp_Instance *in) {
   char kind[MP_NAME_MAX + 1];
   char addr[MP_NAME_MAX + 1];
   char state[MP_NAME_MAX + 1];
-  char rolename[MP_NAME_MAX + 1];
-  if (!str(j, "kind", kind, sizeof kind) ||
-      !str(j, "name", in->name, sizeof in->name) ||
-      !str(j, "data_centre", in->dc, sizeof in->dc) ||
-      !str(j, "address", addr, sizeof addr) ||
-      !str(j, "state", state, sizeof state))
+  char role_name[MP_NAME_MAX + 1];
+  if (!copy_string(j, "kind", kind, sizeof kind) ||
+      !copy_string(j, "name", in->name, sizeof in->name) ||
+      !copy_string(j, "data_centre", in->dc, sizeof in->dc) ||
+      !copy_string(j, "address", addr, sizeof addr) ||
+      !copy_string(j, "state", state, sizeof state))
     return 0;
   in->addr = mp_addr_parse(addr);
   in->leaving = strcmp(state, "leaving") == 0;
@@ -146,13 +153,13 @@
   }
   in->kind = MP_INST_ENDPOINT;
   return strcmp(kind, "endpoint") == 0 &&
-         str(j, "service", in->service, sizeof in->service) &&
-         str(j, "role", rolename, sizeof rolename) &&
-         role(rolename, &in->role);
+         copy_string(j, "service", in->service, sizeof in->service) &&
+         copy_string(j, "role", role_name, sizeof role_name) &&
+         parse_role(role_name, &in->role);
 }
 
 mp_InstanceList *mp_list_read(const char *text, size_t n, GError **err) {
-  json_t *j = load(text, n, "instance list", err);
+  json_t *j = load_json(text, n, "instance list", err);
   const json_t *a;
   mp_InstanceList *l;
   size_t i;
@@ -165,7 +172,8 @@
   l->version = (uint64_t)MAX(v, 0);
   l->n = (unsigned)json_array_size(a);
   l->inst = g_new0(mp_Instance, l->n + 1);
-  for (i = 0; i < l->n && instance(json_array_get(a, i), &l->inst[i]); i++)
+  for (i = 0; i < l->n && read_instance(json_array_get(a, i), &l->inst[i]);
+       i++)
     ;
   if (v <= 0 || i < l->n) {
     g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
--- a/conf/yaml.c
+++ b/conf/yaml.c
@@ -1,10 +1,11 @@
 /*
 ** yaml.c
-** The configuration in YAML, read by schema (libcyaml)
+** Reads the configuration from YAML by a schema (libcyaml)
 **
 ** Sections are joined to one document in the manifest's order, so each
-** top-level key stands in one section only. libcyaml reports a mistake by
-** its line in the joined text; it is mapped back to section and line.
+** top-level key may stand in one section only. libcyaml reports an error by
+** its line in the joined text, which is mapped back to the section and its
+** line.
 */
 
 #include <stdio.h>
@@ -17,6 +18,8 @@
 /*
 ** {==================================================================
 ** Schema
+** The names of struct members given to STR, UINT, LIST and SWITCH are the keys
+** of the YAML (#f).
 ** ===================================================================
 */
 
@@ -31,55 +34,55 @@
   CYAML_FIELD_SEQUENCE(#f, CYAML_FLAG_POINTER | (flags), t, f, entry, 0, \
                        CYAML_UNLIMITED)
 
-static const cyaml_schema_value_t name = {
+static const cyaml_schema_value_t name_schema = {
     CYAML_VALUE_STRING(CYAML_FLAG_POINTER, char, 1, MP_NAME_MAX)};
 
-static const cyaml_schema_field_t dcfields[] = {
+static const cyaml_schema_field_t dc_fields[] = {
     STR(mp_Dc, name), STR(mp_Dc, region), CYAML_FIELD_END};
-static const cyaml_schema_value_t dc = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Dc, dcfields)};
+static const cyaml_schema_value_t dc_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Dc, dc_fields)};
 
-static const cyaml_schema_field_t linkfields[] = {
+static const cyaml_schema_field_t link_fields[] = {
     STR(mp_Link, from), STR(mp_Link, to), UINT(mp_Link, mbytes_per_s),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t linkrow = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Link, linkfields)};
+static const cyaml_schema_value_t link_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Link, link_fields)};
 
-static const cyaml_strval_t servicekinds[] = {{"engine", MP_SVC_ENGINE},
-                                              {"plain", MP_SVC_PLAIN}};
-static const cyaml_schema_field_t servicefields[] = {
+static const cyaml_strval_t service_kinds[] = {{"engine", MP_SVC_ENGINE},
+                                               {"plain", MP_SVC_PLAIN}};
+static const cyaml_schema_field_t service_fields[] = {
     STR(mp_Service, name),
-    CYAML_FIELD_ENUM("kind", CYAML_FLAG_STRICT, mp_Service, kind, servicekinds,
-                     CYAML_ARRAY_LEN(servicekinds)),
+    CYAML_FIELD_ENUM("kind", CYAML_FLAG_STRICT, mp_Service, kind,
+                     service_kinds, CYAML_ARRAY_LEN(service_kinds)),
     OPTSTR(mp_Service, "path", path),
     OPTSTR(mp_Service, "class", class_name),
     CYAML_FIELD_BOOL("checks_fence", CYAML_FLAG_OPTIONAL, mp_Service,
                      checks_fence),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t service = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Service, servicefields)};
+static const cyaml_schema_value_t service_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Service, service_fields)};
 
 static const cyaml_strval_t roles[] = {{"prefill", MP_ROLE_PREFILL},
                                        {"decode", MP_ROLE_DECODE},
                                        {"plain", MP_ROLE_PLAIN}};
-static const cyaml_schema_field_t poolfields[] = {
+static const cyaml_schema_field_t pool_fields[] = {
     STR(mp_Pool, service),
     CYAML_FIELD_ENUM("role", CYAML_FLAG_STRICT, mp_Pool, role, roles,
                      CYAML_ARRAY_LEN(roles)),
-    LIST(mp_Pool, models, CYAML_FLAG_DEFAULT, &name),
-    LIST(mp_Pool, adapters, CYAML_FLAG_OPTIONAL, &name),
+    LIST(mp_Pool, models, CYAML_FLAG_DEFAULT, &name_schema),
+    LIST(mp_Pool, adapters, CYAML_FLAG_OPTIONAL, &name_schema),
     OPTUINT(mp_Pool, least),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t pool = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Pool, poolfields)};
+static const cyaml_schema_value_t pool_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Pool, pool_fields)};
 
-static const cyaml_schema_field_t modelfields[] = {
+static const cyaml_schema_field_t model_fields[] = {
     STR(mp_Model, name), STR(mp_Model, service),
     UINT(mp_Model, kv_bytes_per_token), CYAML_FIELD_END};
-static const cyaml_schema_value_t model = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Model, modelfields)};
+static const cyaml_schema_value_t model_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Model, model_fields)};
 
-static const cyaml_schema_field_t classfields[] = {
+static const cyaml_schema_field_t class_fields[] = {
     STR(mp_Class, name),
     UINT(mp_Class, first_token_ms),
     OPTUINT(mp_Class, token_ms),
@@ -87,32 +90,32 @@
     UINT(mp_Class, weight),
     CYAML_FIELD_BOOL("repeatable", CYAML_FLAG_DEFAULT, mp_Class, repeatable),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t class_ = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Class, classfields)};
+static const cyaml_schema_value_t class_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Class, class_fields)};
 
-static const cyaml_schema_field_t accountfields[] = {
+static const cyaml_schema_field_t account_fields[] = {
     STR(mp_Account, name),
     CYAML_FIELD_STRING_PTR("key_sha256", CYAML_FLAG_POINTER, mp_Account,
                            key_sha256, MP_SHA256_HEX, MP_SHA256_HEX),
-    LIST(mp_Account, classes, CYAML_FLAG_DEFAULT, &name),
+    LIST(mp_Account, classes, CYAML_FLAG_DEFAULT, &name_schema),
     OPTUINT(mp_Account, requests_per_s),
     OPTUINT(mp_Account, burst),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t account = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Account, accountfields)};
+static const cyaml_schema_value_t account_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Account, account_fields)};
 
 static const cyaml_strval_t moves[] = {
     {"stay", MP_KV_STAY}, {"region", MP_KV_REGION}, {"any", MP_KV_ANY}};
-static const cyaml_schema_field_t rulefields[] = {
+static const cyaml_schema_field_t rule_fields[] = {
     CYAML_FIELD_STRING_PTR("class", CYAML_FLAG_POINTER, mp_Rule, class_name, 1,
                            MP_NAME_MAX),
     OPTSTR(mp_Rule, "account", account),
-    LIST(mp_Rule, run_in, CYAML_FLAG_DEFAULT, &name),
+    LIST(mp_Rule, run_in, CYAML_FLAG_DEFAULT, &name_schema),
     CYAML_FIELD_ENUM("kv_move", CYAML_FLAG_STRICT, mp_Rule, kv_move, moves,
                      CYAML_ARRAY_LEN(moves)),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t rule = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Rule, rulefields)};
+static const cyaml_schema_value_t rule_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_DEFAULT, mp_Rule, rule_fields)};
 
 static const cyaml_strval_t picks[] = {{"madderpier", MP_PICK_MADDERPIER},
                                        {"random", MP_PICK_RANDOM},
@@ -120,7 +123,7 @@
                                        {"least_loaded", MP_PICK_LEAST_LOADED},
                                        {"two_choices", MP_PICK_TWO_CHOICES}};
 #define SWITCH(f) CYAML_FIELD_BOOL(#f, CYAML_FLAG_DEFAULT, mp_Policy, f)
-static const cyaml_schema_field_t policyfields[] = {
+static const cyaml_schema_field_t policy_fields[] = {
     CYAML_FIELD_ENUM("pick", CYAML_FLAG_STRICT, mp_Policy, pick, picks,
                      CYAML_ARRAY_LEN(picks)),
     SWITCH(decode_first),
@@ -135,39 +138,41 @@
     UINT(mp_Policy, refuse_at),
     CYAML_FIELD_END};
 
-static const cyaml_schema_field_t configfields[] = {
-    LIST(mp_Config, data_centres, CYAML_FLAG_DEFAULT, &dc),
-    LIST(mp_Config, links, CYAML_FLAG_OPTIONAL, &linkrow),
-    LIST(mp_Config, services, CYAML_FLAG_DEFAULT, &service),
-    LIST(mp_Config, pools, CYAML_FLAG_OPTIONAL, &pool),
-    LIST(mp_Config, models, CYAML_FLAG_OPTIONAL, &model),
-    LIST(mp_Config, classes, CYAML_FLAG_DEFAULT, &class_),
-    LIST(mp_Config, accounts, CYAML_FLAG_DEFAULT, &account),
-    LIST(mp_Config, rules, CYAML_FLAG_DEFAULT, &rule),
-    LIST(mp_Config, drained, CYAML_FLAG_OPTIONAL, &name),
+static const cyaml_schema_field_t config_fields[] = {
+    LIST(mp_Config, data_centres, CYAML_FLAG_DEFAULT, &dc_schema),
+    LIST(mp_Config, links, CYAML_FLAG_OPTIONAL, &link_schema),
+    LIST(mp_Config, services, CYAML_FLAG_DEFAULT, &service_schema),
+    LIST(mp_Config, pools, CYAML_FLAG_OPTIONAL, &pool_schema),
+    LIST(mp_Config, models, CYAML_FLAG_OPTIONAL, &model_schema),
+    LIST(mp_Config, classes, CYAML_FLAG_DEFAULT, &class_schema),
+    LIST(mp_Config, accounts, CYAML_FLAG_DEFAULT, &account_schema),
+    LIST(mp_Config, rules, CYAML_FLAG_DEFAULT, &rule_schema),
+    LIST(mp_Config, drained, CYAML_FLAG_OPTIONAL, &name_schema),
     CYAML_FIELD_MAPPING_PTR("policy", CYAML_FLAG_POINTER, mp_Config, policy,
-                            policyfields),
+                            policy_fields),
     CYAML_FIELD_END};
-static const cyaml_schema_value_t config = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, mp_Config, configfields)};
+static const cyaml_schema_value_t config_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, mp_Config, config_fields)};
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** Mistakes
+** Errors
 ** ===================================================================
 */
 
-/* what libcyaml said while it read one text */
-typedef struct Said {
-  GString *what;
-  int line; /* in the joined text, 0 when not said */
-} Said;
+/* the error messages of libcyaml while it reads one text */
+typedef struct YamlErrors {
+  GString *text;
+  int line; /* in the joined text, from 1; 0: not given */
+} YamlErrors;
 
-/* libcyaml hands over one formatted line at a time, deepest place first */
-static void hear(cyaml_log_t level, void *ctx, const char *fmt, va_list args) {
-  Said *s = ctx;
+/* libcyaml calls this with one formatted line at a time, the innermost place
+** first_line; the line number of that place is kept */
+static void collect_error(cyaml_log_t level, void *ctx, const char *fmt,
+                          va_list args) {
+  YamlErrors *s = ctx;
   gchar *text;
   const char *at;
   if (level < CYAML_LOG_ERROR)
@@ -179,30 +184,31 @@
     sscanf(at, "(line: %d", &s->line);
   if (strstr(text, "Backtrace") == NULL) {
     const char *t = g_str_has_prefix(text, "Load: ") ? text + 6 : text;
-    if (s->what->len > 0)
-      g_string_append(s->what, "; ");
-    g_string_append(s->what, t);
+    if (s->text->len > 0)
+      g_string_append(s->text, "; ");
+    g_string_append(s->text, t);
   }
   g_free(text);
 }
 
-/* section and line of a line of the joined text */
-static void place(const mp_Manifest *m, const int *first, int line,
-                  GString *out) {
+/* appends the section, and the line in it, of a line of the joined text */
+static void append_location(const mp_Manifest *m, const int *first_line,
+                            int line, GString *out) {
   unsigned i = m->n;
-  while (i > 0 && first[i - 1] > line)
+  while (i > 0 && first_line[i - 1] > line)
     i--;
   if (i > 0)
     g_string_append_printf(out, "%s line %d: ", m->section[i - 1].name,
-                           line - first[i - 1] + 1);
+                           line - first_line[i - 1] + 1);
 }
 
-static void report(GError **err, const mp_Manifest *m, const int *first,
-                   const Said *s, cyaml_err_t e) {
+static void set_yaml_error(GError **err, const mp_Manifest *m,
+                           const int *first_line, const YamlErrors *s,
+                           cyaml_err_t e) {
   GString *g = g_string_new(NULL);
   if (s->line > 0)
-    place(m, first, s->line, g);
-  g_string_append(g, s->what->len > 0 ? s->what->str : cyaml_strerror(e));
+    append_location(m, first_line, s->line, g);
+  g_string_append(g, s->text->len > 0 ? s->text->str : cyaml_strerror(e));
   g_string_append(g, "; see docs/CONFIGURATION.md for the keys");
   g_set_error(err, MP_ERROR, MP_ERR_SETTINGS, "%s", g->str);
   g_string_free(g, TRUE);
@@ -210,9 +216,9 @@
 
 /* }================================================================== */
 
-static cyaml_config_t reader(Said *s) {
+static cyaml_config_t reader_config(YamlErrors *s) {
   cyaml_config_t c = {0};
-  c.log_fn = hear;
+  c.log_fn = collect_error;
   c.log_ctx = s;
   c.log_level = CYAML_LOG_ERROR;
   c.mem_fn = cyaml_mem;
@@ -220,8 +226,10 @@
   return c;
 }
 
-/* join the sections; 'first' gets the line at which each begins */
-static GString *join(const mp_Manifest *m, GBytes *const *text, int *first) {
+/* joins the sections; sets first_line[i] to the line at which section i
+** begins, from 1 */
+static GString *join_sections(const mp_Manifest *m, GBytes *const *text,
+                              int *first_line) {
   GString *all = g_string_new(NULL);
   int line = 1;
   unsigned i;
@@ -229,7 +237,7 @@
     gsize n;
     const char *s = g_bytes_get_data(text[i], &n);
     gsize k;
-    first[i] = line;
+    first_line[i] = line;
     g_string_append_len(all, s, (gssize)n);
     if (n == 0 || s[n - 1] != '\n')
       g_string_append_c(all, '\n');
@@ -242,25 +250,25 @@
 
 mp_Config *mp_config_read(const mp_Manifest *m, GBytes *const *text,
                           GError **err) {
-  int first[MP_SECTIONS_MAX];
-  GString *all = join(m, text, first);
-  Said said = {g_string_new(NULL), 0};
-  cyaml_config_t rd = reader(&said);
+  int first_line[MP_SECTIONS_MAX];
+  GString *all = join_sections(m, text, first_line);
+  YamlErrors errors = {g_string_new(NULL), 0};
+  cyaml_config_t rd = reader_config(&errors);
   mp_Config *c = NULL;
   cyaml_err_t e;
   if (all->len == 0)
     e = CYAML_ERR_INTERNAL_ERROR;
   else
-    e = cyaml_load_data((const uint8_t *)all->str, all->len, &rd, &config,
-                        (cyaml_data_t **)&c, NULL);
+    e = cyaml_load_data((const uint8_t *)all->str, all->len, &rd,
+                        &config_schema, (cyaml_data_t **)&c, NULL);
   if (e != CYAML_OK) {
-    report(err, m, first, &said, e);
+    set_yaml_error(err, m, first_line, &errors, e);
     c = NULL;
   } else if (!mp_config_check(c, err)) {
     mp_config_free(c);
     c = NULL;
   }
-  g_string_free(said.what, TRUE);
+  g_string_free(errors.text, TRUE);
   g_string_free(all, TRUE);
   return c;
 }
@@ -268,5 +276,5 @@
 void mp_config_free(mp_Config *c) {
   cyaml_config_t rd = {0};
   rd.mem_fn = cyaml_mem;
-  cyaml_free(&rd, &config, c, 0);
+  cyaml_free(&rd, &config_schema, c, 0);
 }
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -303,7 +303,7 @@
 }
 
 /* a time on a monotonic clock, in us. Receivers add and subtract two of them
- ** as signed 64-bit numbers, so more than half of the largest is an error. */
+** as signed 64-bit numbers, so more than half of the largest is an error. */
 static bool_t xdr_clock(XDR *x, uint64_t *v) {
   return xdr_u64(x, v) && *v <= INT64_MAX / 2;
 }
