--- a/conf/yaml.c
+++ b/conf/yaml.c
@@ -169,7 +169,7 @@
 } YamlErrors;
 
 /* libcyaml calls this with one formatted line at a time, the innermost place
-** first_line; the line number of that place is kept */
+** first; the line number of that place is kept */
 static void collect_error(cyaml_log_t level, void *ctx, const char *fmt,
                           va_list args) {
   YamlErrors *s = ctx;
--- a/daemon/madderpierd.c
+++ b/daemon/madderpierd.c
@@ -1,8 +1,9 @@
 /*
 ** madderpierd.c
-** The daemon: one instance, from a settings file
-** Exit codes: 0 stopped with nothing left open, 1 stopped with work cut
-** off, 2 bad settings or addresses.
+** The daemon: runs one instance from a settings file
+**
+** Exit codes: 0 stopped after all work had ended, 1 stopped with work aborted,
+** 2 invalid settings or addresses that cannot be used.
 */
 
 #include <argp.h>
@@ -16,7 +17,7 @@
 #include "io/node.h"
 #include "platform/platform.h"
 
-#define EXIT_CUT 1
+#define EXIT_ABORTED 1
 #define EXIT_SETTINGS 2
 
 const char *argp_program_version = "madderpierd " MP_VERSION;
@@ -54,18 +55,20 @@
     parse,
     "SETTINGS.yaml",
     "Run one entry instance of madderpier.\v"
-    "SIGTERM drains: no new work, everything in flight is finished, then "
-    "exit 0. A second SIGTERM stops at once (exit 1 when that cut off "
-    "work). SIGHUP opens the log file anew.",
+    "SIGTERM and SIGINT drain: the instance accepts no new work, finishes "
+    "all work in flight and exits with 0. With the dialect 'own', a second "
+    "signal stops it at once; with 'platform', the drain ends after "
+    "drain_most_ms. Either exits with 1 if it aborted work. SIGHUP reopens "
+    "the log file.",
     NULL,
     NULL,
     NULL};
 
-static Node *node;       /* the dialect "own" */
-static Gateway *gateway; /* the dialect "platform" */
+static Node *node;       /* set with the dialect "own" */
+static Gateway *gateway; /* set with the dialect "platform" */
 static Log *logger;
 
-static void onterm(evutil_socket_t sig, short what, void *arg) {
+static void on_terminate(evutil_socket_t sig, short what, void *arg) {
   mp_Status s;
   (void)sig;
   (void)what;
@@ -83,7 +86,7 @@
   }
 }
 
-static void onhup(evutil_socket_t sig, short what, void *arg) {
+static void on_hangup(evutil_socket_t sig, short what, void *arg) {
   (void)sig;
   (void)what;
   (void)arg;
@@ -92,7 +95,8 @@
     gateway_reload(gateway);
 }
 
-static void fill(NodeOptions *o, const Settings *s, mp_Addr *seeds) {
+static void set_node_options(NodeOptions *o, const Settings *s,
+                             mp_Addr *seeds) {
   unsigned i;
   o->dc = s->data_centre;
   o->callers = mp_addr_parse(s->callers);
@@ -110,10 +114,11 @@
   o->caller_timeout_s = s->caller_timeout_s;
 }
 
-static int loop(struct event_base *base) {
-  struct event *term = evsignal_new(base, SIGTERM, onterm, base);
-  struct event *intr = evsignal_new(base, SIGINT, onterm, base);
-  struct event *hup = evsignal_new(base, SIGHUP, onhup, NULL);
+/* runs until the instance stops; returns the exit code */
+static int run_loop(struct event_base *base) {
+  struct event *term = evsignal_new(base, SIGTERM, on_terminate, base);
+  struct event *intr = evsignal_new(base, SIGINT, on_terminate, base);
+  struct event *hup = evsignal_new(base, SIGHUP, on_hangup, NULL);
   event_add(term, NULL);
   event_add(intr, NULL);
   event_add(hup, NULL);
@@ -122,18 +127,20 @@
   event_free(intr);
   event_free(hup);
   if (gateway != NULL)
-    return gateway_drained(gateway) ? 0 : EXIT_CUT;
-  return node->drained ? 0 : EXIT_CUT;
+    return gateway_drained(gateway) ? 0 : EXIT_ABORTED;
+  return node->drained ? 0 : EXIT_ABORTED;
 }
 
 static mp_Addr optional_address(const char *s) {
   return s != NULL ? mp_addr_parse(s) : 0;
 }
 
-/* see InstanceRecord.capacity */
+/* units of InstanceRecord.capacity: one is a thousandth of a core, and ten are
+** counted for a megabit per second of the link */
 #define MILLICORES 1000
 #define MILLICORES_PER_MBPS 10
 
+/* the smaller of the two capacities that are known; 0: none is */
 static guint32 capacity_of(const Settings *s) {
   double processor = s->processor_share * MILLICORES;
   double link = s->link_mbps * MILLICORES_PER_MBPS;
@@ -142,8 +149,8 @@
   return (guint32)(processor > 0 ? MIN(processor, link) : link);
 }
 
-static void fill_gateway(GatewayOptions *o, const Settings *s,
-                         mp_Addr *peers) {
+static void set_gateway_options(GatewayOptions *o, const Settings *s,
+                                mp_Addr *peers) {
   unsigned i;
   for (i = 0; i < s->peers_count; i++)
     peers[i] = mp_addr_parse(s->peers[i]);
@@ -172,18 +179,18 @@
   o->drain_most = s->drain_most_ms * MP_MS;
 }
 
-/* make the instance that the settings' dialect wants */
-static gboolean make(struct event_base *base, const Settings *s,
-                     GError **err) {
+/* creates the node or the gateway, by the settings' dialect */
+static gboolean create_instance(struct event_base *base, const Settings *s,
+                                GError **err) {
   mp_Addr peers[64];
   NodeOptions o = {0};
   GatewayOptions g = {0};
   if (settings_dialect(s) == DIALECT_PLATFORM) {
-    fill_gateway(&g, s, peers);
+    set_gateway_options(&g, s, peers);
     gateway = gateway_new(base, &platform_dialect, &g, logger, err);
     return gateway != NULL;
   }
-  fill(&o, s, peers);
+  set_node_options(&o, s, peers);
   node = node_new(base, &o, logger, err);
   return node != NULL;
 }
@@ -200,17 +207,17 @@
   }
   logger = log_new(s->log_file, level, &err);
   base = event_base_new();
-  if (logger == NULL || !make(base, s, &err)) {
+  if (logger == NULL || !create_instance(base, s, &err)) {
     fprintf(stderr, "madderpierd: %s\n", err->message);
     g_error_free(err);
     return EXIT_SETTINGS;
   }
-  code = loop(base);
+  code = run_loop(base);
   if (gateway != NULL)
     gateway_free(gateway);
   else
     node_free(node);
-  event_base_loop(base, EVLOOP_NONBLOCK); /* what was deferred is freed */
+  event_base_loop(base, EVLOOP_NONBLOCK); /* runs deferred frees */
   event_base_free(base);
   log_free(logger);
   return code;
@@ -232,7 +239,7 @@
   if (!a.check)
     code = run(s);
   else
-    printf("%s: settings are good\n", a.path);
+    printf("%s: settings are valid\n", a.path);
   settings_free(s);
   return code;
 }
--- a/daemon/settings.c
+++ b/daemon/settings.c
@@ -1,6 +1,7 @@
 /*
 ** settings.c
-** The settings file of one instance, read by schema (libcyaml)
+** Reads the settings file of one instance by a schema (libcyaml), checks it
+** and sets the defaults
 */
 
 #include <stdio.h>
@@ -10,28 +11,29 @@
 
 #include "daemon/settings.h"
 
-#define DEFAULT_BODY (1 << 20)
+#define DEFAULT_BODY_BYTES (1 << 20)
 #define DEFAULT_HEADERS 64
-#define DEFAULT_TIMEOUT 10
-#define DEFAULT_RETRY_WINDOW 10
-#define LEAST_LEASE 2000 /* a round of orders must fit into it */
+#define DEFAULT_CALLER_TIMEOUT_S 10
+#define DEFAULT_RETRY_WINDOW_S 10
+#define LEASE_MIN_MS 2000 /* a round of orders must fit into the lease */
 /* a watch of the store, a heartbeat and the margin for the store's own delay
-** must fit into it */
-#define LEAST_REVOKE 2000
-#define DEFAULT_LIMIT_WINDOW 8
-#define DEFAULT_WATCH_WAIT 1800
-/* the slack for a watch's answer (io/directory.c), a new connection and its
-** first answer; milliseconds */
-#define WATCH_MARGIN 1200
-#define WATCH_LEAST 500
-/* without a bound in the settings: the tightest of the deployments planned
-** for; and what a change needs to be told by another relay; milliseconds */
-#define DEFAULT_NEWS_WITHIN 2000
-#define LEAST_NEWS_WITHIN 1500
-#define DEFAULT_DRAIN_LEAST 2800
-/* a drain ends so long before the kill, milliseconds */
-#define GRACE_MARGIN 400
-#define DEFAULT_DRAIN_MOST 7400
+** must fit into revoke_ms */
+#define REVOKE_MIN_MS 2000
+#define DEFAULT_LIMIT_WINDOW_S 8
+#define DEFAULT_WATCH_WAIT_MS 1800
+/* time that a watch may answer late (io/directory.c), and time for a new
+** connection and its first answer */
+#define WATCH_MARGIN_MS 1200
+#define WATCH_WAIT_MIN_MS 500
+/* apply_ms and leave_ms: the default is the tightest bound of the planned
+** deployments; the least is the time that a change needs to arrive through
+** another relay */
+#define DEFAULT_PROPAGATION_MS 2000
+#define PROPAGATION_MIN_MS 1500
+#define DEFAULT_DRAIN_LEAST_MS 2800
+/* a drain ends this long before the kill that follows grace_s */
+#define GRACE_MARGIN_MS 400
+#define DEFAULT_DRAIN_MOST_MS 7400
 
 #define STR(k, f) \
   CYAML_FIELD_STRING_PTR(k, CYAML_FLAG_POINTER, Settings, f, 1, 255)
@@ -40,10 +42,10 @@
                          Settings, f, 1, 255)
 #define OPTUINT(k, f) CYAML_FIELD_UINT(k, CYAML_FLAG_OPTIONAL, Settings, f)
 
-static const cyaml_schema_value_t address = {
+static const cyaml_schema_value_t address_schema = {
     CYAML_VALUE_STRING(CYAML_FLAG_POINTER, char, 1, 64)};
 
-static const cyaml_schema_field_t fields[] = {
+static const cyaml_schema_field_t settings_fields[] = {
     OPTSTR("dialect", dialect),
     STR("data_centre", data_centre),
     STR("callers", callers),
@@ -75,7 +77,7 @@
     OPTUINT("drain_most_ms", drain_most_ms),
     OPTUINT("grace_s", grace_s),
     CYAML_FIELD_SEQUENCE("peers", CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL,
-                         Settings, peers, &address, 0, 64),
+                         Settings, peers, &address_schema, 0, 64),
     OPTSTR("instance_network", instance_network),
     OPTSTR("log_file", log_file),
     OPTSTR("log_level", log_level),
@@ -84,21 +86,22 @@
     OPTUINT("caller_timeout_s", caller_timeout_s),
     CYAML_FIELD_END};
 
-static const cyaml_schema_value_t schema = {
-    CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, Settings, fields)};
+static const cyaml_schema_value_t settings_schema = {
+    CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, Settings, settings_fields)};
 
-static gboolean bad(GError **err, const char *path, const char *key,
-                    const char *what) {
+/* sets the error for a key and returns FALSE */
+static gboolean settings_error(GError **err, const char *path, const char *key,
+                               const char *what) {
   g_set_error(err, MP_ERROR, MP_ERR_SETTINGS, "%s: %s: %s", path, key, what);
   return FALSE;
 }
 
-static gboolean isaddress(GError **err, const char *path, const char *key,
-                          const char *v) {
+static gboolean check_address(GError **err, const char *path, const char *key,
+                              const char *v) {
   if (v != NULL && mp_addr_parse(v) != 0)
     return TRUE;
-  return bad(err, path, key,
-             "write an IPv4 address and a port, as 10.0.0.1:7000");
+  return settings_error(err, path, key,
+                        "write an IPv4 address and a port, as 10.0.0.1:7000");
 }
 
 int settings_network(const char *s, uint32_t *net, uint32_t *mask) {
@@ -127,93 +130,100 @@
                               GError **err) {
   if (s->dialect != NULL && strcmp(s->dialect, "platform") != 0 &&
       strcmp(s->dialect, "own") != 0)
-    return bad(err, path, "dialect", "use own or platform");
+    return settings_error(err, path, "dialect", "use own or platform");
   if (settings_dialect(s) == DIALECT_OWN)
-    return isaddress(err, path, "rpc", s->rpc) &&
-           isaddress(err, path, "operators", s->operators);
+    return check_address(err, path, "rpc", s->rpc) &&
+           check_address(err, path, "operators", s->operators);
   if (s->instance == NULL)
-    return bad(err, path, "instance", "give the instance a name");
+    return settings_error(err, path, "instance", "give the instance a name");
   if (s->retry_ratio < 0 || s->retry_ratio > 1)
-    return bad(err, path, "retry_ratio", "use a number from 0 to 1");
+    return settings_error(err, path, "retry_ratio",
+                          "use a number from 0 to 1");
   if (s->processor_share < 0 || s->link_mbps < 0)
-    return bad(err, path, "processor_share, link_mbps",
-               "use numbers of 0 or more");
+    return settings_error(err, path, "processor_share, link_mbps",
+                          "use numbers of 0 or more");
   if (s->limit_over < 0 || s->limit_over > 1)
-    return bad(err, path, "limit_over", "use a number from 0 to 1");
-  if (s->revoke_ms > 0 && s->revoke_ms < LEAST_REVOKE)
-    return bad(err, path, "revoke_ms", "use 2000 or more, or leave it out");
-  if ((s->apply_ms > 0 && s->apply_ms < LEAST_NEWS_WITHIN) ||
-      (s->leave_ms > 0 && s->leave_ms < LEAST_NEWS_WITHIN))
-    return bad(err, path, "apply_ms, leave_ms",
-               "use 1500 or more, or leave them out");
-  if (s->lease_ms > 0 && s->lease_ms < LEAST_LEASE)
-    return bad(err, path, "lease_ms", "use 2000 or more, or leave it out");
-  if (s->control != NULL && !isaddress(err, path, "control", s->control))
+    return settings_error(err, path, "limit_over", "use a number from 0 to 1");
+  if (s->revoke_ms > 0 && s->revoke_ms < REVOKE_MIN_MS)
+    return settings_error(err, path, "revoke_ms",
+                          "use 2000 or more, or leave it out");
+  if ((s->apply_ms > 0 && s->apply_ms < PROPAGATION_MIN_MS) ||
+      (s->leave_ms > 0 && s->leave_ms < PROPAGATION_MIN_MS))
+    return settings_error(err, path, "apply_ms, leave_ms",
+                          "use 1500 or more, or leave them out");
+  if (s->lease_ms > 0 && s->lease_ms < LEASE_MIN_MS)
+    return settings_error(err, path, "lease_ms",
+                          "use 2000 or more, or leave it out");
+  if (s->control != NULL && !check_address(err, path, "control", s->control))
     return FALSE;
-  if (s->metrics != NULL && !isaddress(err, path, "metrics", s->metrics))
+  if (s->metrics != NULL && !check_address(err, path, "metrics", s->metrics))
     return FALSE;
-  return isaddress(err, path, "ready", s->ready) &&
-         isaddress(err, path, "exchange", s->exchange);
+  return check_address(err, path, "ready", s->ready) &&
+         check_address(err, path, "exchange", s->exchange);
 }
 
-static gboolean check(const Settings *s, const char *path, GError **err) {
+static gboolean check_settings(const Settings *s, const char *path,
+                               GError **err) {
   uint32_t net;
   uint32_t mask;
   unsigned i;
-  if (!isaddress(err, path, "callers", s->callers) ||
-      !isaddress(err, path, "platform", s->platform) ||
+  if (!check_address(err, path, "callers", s->callers) ||
+      !check_address(err, path, "platform", s->platform) ||
       !check_dialect(s, path, err))
     return FALSE;
   for (i = 0; i < s->peers_count; i++) {
-    if (!isaddress(err, path, "peers", s->peers[i]))
+    if (!check_address(err, path, "peers", s->peers[i]))
       return FALSE;
   }
   if (s->instance_network != NULL &&
       !settings_network(s->instance_network, &net, &mask))
-    return bad(err, path, "instance_network",
-               "write a network, as 10.0.0.0/16");
+    return settings_error(err, path, "instance_network",
+                          "write a network, as 10.0.0.0/16");
   if (strlen(s->data_centre) > MP_NAME_MAX)
-    return bad(err, path, "data_centre", "use at most 63 bytes");
+    return settings_error(err, path, "data_centre", "use at most 63 bytes");
   return TRUE;
 }
 
 /*
-** A silent store may swallow a watch just before it comes back, and a change
-** may be made at once: the watch must be given up, and another one be
-** answered, before the platform counts this instance as in touch again.
+** The default of watch_wait_ms. A store that is cut off may lose a watch just
+** before it can be reached again, and a change may be made at once. So the
+** watch must time out, and another one be answered, before the platform counts
+** this instance as in contact again, contact_ms later.
 */
-static uint32_t longest_watch(const Settings *s) {
+static uint32_t default_watch_wait_ms(const Settings *s) {
   if (s->contact_ms == 0)
-    return DEFAULT_WATCH_WAIT;
-  return MAX(s->contact_ms, WATCH_MARGIN + WATCH_LEAST) - WATCH_MARGIN;
+    return DEFAULT_WATCH_WAIT_MS;
+  return MAX(s->contact_ms, WATCH_MARGIN_MS + WATCH_WAIT_MIN_MS) -
+         WATCH_MARGIN_MS;
 }
 
-static void defaults(Settings *s) {
+static void set_defaults(Settings *s) {
   if (s->max_body_bytes == 0)
-    s->max_body_bytes = DEFAULT_BODY;
+    s->max_body_bytes = DEFAULT_BODY_BYTES;
   if (s->max_headers == 0)
     s->max_headers = DEFAULT_HEADERS;
   if (s->caller_timeout_s == 0)
-    s->caller_timeout_s = DEFAULT_TIMEOUT;
+    s->caller_timeout_s = DEFAULT_CALLER_TIMEOUT_S;
   if (s->retry_window_s == 0)
-    s->retry_window_s = DEFAULT_RETRY_WINDOW;
+    s->retry_window_s = DEFAULT_RETRY_WINDOW_S;
   if (s->limit_window_s == 0)
-    s->limit_window_s = DEFAULT_LIMIT_WINDOW;
+    s->limit_window_s = DEFAULT_LIMIT_WINDOW_S;
   if (s->watch_wait_ms == 0)
-    s->watch_wait_ms = longest_watch(s);
+    s->watch_wait_ms = default_watch_wait_ms(s);
   if (s->apply_ms == 0)
-    s->apply_ms = DEFAULT_NEWS_WITHIN;
+    s->apply_ms = DEFAULT_PROPAGATION_MS;
   if (s->leave_ms == 0)
-    s->leave_ms = DEFAULT_NEWS_WITHIN;
+    s->leave_ms = DEFAULT_PROPAGATION_MS;
   if (s->drain_least_ms == 0)
-    s->drain_least_ms = DEFAULT_DRAIN_LEAST;
+    s->drain_least_ms = DEFAULT_DRAIN_LEAST_MS;
   if (s->drain_most_ms == 0)
-    s->drain_most_ms =
-        s->grace_s > 0 ? s->grace_s * 1000 - GRACE_MARGIN : DEFAULT_DRAIN_MOST;
+    s->drain_most_ms = s->grace_s > 0 ? s->grace_s * 1000 - GRACE_MARGIN_MS
+                                      : DEFAULT_DRAIN_MOST_MS;
 }
 
-/* libcyaml's own words, with the line, as one text */
-static void hear(cyaml_log_t level, void *ctx, const char *fmt, va_list args) {
+/* appends an error message of libcyaml, which has the line, to one text */
+static void collect_error(cyaml_log_t level, void *ctx, const char *fmt,
+                          va_list args) {
   GString *g = ctx;
   gchar *s;
   if (level < CYAML_LOG_ERROR)
@@ -224,10 +234,10 @@
   g_free(s);
 }
 
-static cyaml_config_t reader(GString *said) {
+static cyaml_config_t reader_config(GString *errors) {
   cyaml_config_t c = {0};
-  c.log_fn = hear;
-  c.log_ctx = said;
+  c.log_fn = collect_error;
+  c.log_ctx = errors;
   c.log_level = CYAML_LOG_ERROR;
   c.mem_fn = cyaml_mem;
   c.flags = CYAML_CFG_NO_ALIAS;
@@ -235,31 +245,31 @@
 }
 
 Settings *settings_read(const char *path, GError **err) {
-  GString *said = g_string_new(NULL);
-  cyaml_config_t rd = reader(said);
+  GString *errors = g_string_new(NULL);
+  cyaml_config_t rd = reader_config(errors);
   Settings *s = NULL;
   cyaml_err_t e =
-      cyaml_load_file(path, &rd, &schema, (cyaml_data_t **)&s, NULL);
+      cyaml_load_file(path, &rd, &settings_schema, (cyaml_data_t **)&s, NULL);
   if (e != CYAML_OK) {
     g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
                 "%s: %s; see docs/SETTINGS.md for the keys", path,
-                said->len > 0 ? said->str : cyaml_strerror(e));
+                errors->len > 0 ? errors->str : cyaml_strerror(e));
     s = NULL;
-  } else if (s == NULL) { /* a file without a document is no error of YAML */
+  } else if (s == NULL) { /* a file without a document is valid YAML */
     g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
                 "%s: the file is empty; see docs/SETTINGS.md for the keys",
                 path);
-  } else if (!check(s, path, err)) {
+  } else if (!check_settings(s, path, err)) {
     settings_free(s);
     s = NULL;
   } else
-    defaults(s);
-  g_string_free(said, TRUE);
+    set_defaults(s);
+  g_string_free(errors, TRUE);
   return s;
 }
 
 void settings_free(Settings *s) {
   cyaml_config_t rd = {0};
   rd.mem_fn = cyaml_mem;
-  cyaml_free(&rd, &schema, s, 0);
+  cyaml_free(&rd, &settings_schema, s, 0);
 }
--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -1,6 +1,10 @@
 /*
 ** settings.h
 ** The settings file of one instance, in YAML
+**
+** The keys of the file are the names of the members of Settings. The settings
+** hold for the life of the process. The daemon reads them once, on its only
+** thread.
 */
 
 #ifndef SETTINGS_H
@@ -8,56 +12,70 @@
 
 #include "madderpier.h"
 
-/* which interface an instance speaks */
+/* the interface to platform and endpoints that an instance uses */
 typedef enum SettingsDialect { DIALECT_OWN, DIALECT_PLATFORM } SettingsDialect;
 
+/*
+** All texts and arrays belong to the struct. Addresses are texts
+** "a.b.c.d:port" that have been checked. Where a default stands in
+** daemon/settings.c, 0 or no key in the file means that default.
+*/
 typedef struct Settings {
   char *dialect; /* "own" (default) or "platform" */
   char *data_centre;
-  char *callers; /* addresses "a.b.c.d:port" */
-  char *rpc;
-  char *operators;
-  char *platform;
-  char **peers;
+  char *callers;   /* address at which callers are served */
+  char *rpc;       /* own dialect: address for datagrams between instances */
+  char *operators; /* own dialect: address for operators and metrics */
+  char *platform;  /* address of the platform's object store */
+  char **peers;    /* addresses of other instances to contact at first */
   unsigned peers_count;
-  char *instance_network; /* "a.b.c.d/bits" */
-  char *log_file;
-  char *log_level;
-  uint32_t max_body_bytes;
-  uint32_t max_headers;
-  uint32_t caller_timeout_s;
-  /* of the dialect "platform" alone */
-  char *instance; /* its own name */
-  char *ready;    /* addresses */
-  char *control;
-  char *metrics;
-  char *exchange;          /* datagrams between instances */
-  double retry_ratio;      /* extra arrivals per request */
-  uint32_t retry_slack;    /* and beside those, over all instances */
+  char *instance_network; /* "a.b.c.d/bits"; datagrams from there are accepted;
+                          ** NULL: from listed instances only */
+  char *log_file;         /* NULL: standard output */
+  char *log_level;        /* "debug", "info" (default), "warn" or "fault" */
+  uint32_t max_body_bytes;   /* of a caller's request */
+  uint32_t max_headers;      /* header fields of a caller's request */
+  uint32_t caller_timeout_s; /* for a request to arrive completely */
+  /* the rest is for the dialect "platform" only */
+  char *instance;       /* this instance's name; required */
+  char *ready;          /* address of the readiness check; required */
+  char *control;        /* address at which other instances ask for what this
+                        ** one knows of the store, or NULL */
+  char *metrics;        /* address of the metrics, or NULL */
+  char *exchange;       /* address for datagrams between instances */
+  double retry_ratio;   /* retries per request that are allowed, 0 to 1 */
+  uint32_t retry_slack; /* and so many besides, over all instances */
   uint32_t retry_window_s; /* in every window of this length */
-  double processor_share;  /* of a core, that this machine has; 0: not known */
-  double link_mbps;        /* of its link; 0: not known */
-  uint32_t revoke_ms;   /* a key taken away is served so long; 0: no bound */
-  double limit_over;    /* account limits: share that may be exceeded */
-  uint32_t limit_slack; /* and units beside that */
+  double processor_share;  /* processor cores of this machine; 0: not known */
+  double link_mbps;        /* rate of its link, megabits/s; 0: not known */
+  uint32_t revoke_ms;      /* a revoked key is accepted for at most this long;
+                           ** 0: no bound */
+  double limit_over;       /* share by which account limits may be exceeded */
+  uint32_t limit_slack;    /* and so many units besides */
   uint32_t limit_window_s; /* in every window of this length */
   uint32_t lease_ms;       /* of orders to engines; 0: none are given */
-  uint32_t contact_ms;     /* the platform counts us as in touch after this */
-  uint32_t apply_ms; /* a configuration that was confirmed is in force then */
-  uint32_t leave_ms; /* an endpoint that leaves gets no request after this */
-  uint32_t watch_wait_ms;  /* longest wait of one watch of the store */
-  uint32_t drain_least_ms; /* a planned stop takes connections so long */
-  uint32_t grace_s;        /* between the signal to stop and the kill */
-  uint32_t drain_most_ms;  /* and ends after this */
+  uint32_t contact_ms;    /* after an outage, the platform counts this instance
+                          ** as in contact again after this long */
+  uint32_t apply_ms;      /* a confirmed configuration is in force everywhere
+                          ** after at most this long */
+  uint32_t leave_ms;      /* an endpoint that leaves gets no request after at
+                          ** most this long */
+  uint32_t watch_wait_ms; /* longest wait of one watch of the store */
+  uint32_t drain_least_ms; /* a planned stop accepts connections this long */
+  uint32_t grace_s;        /* time between the signal to stop and the kill */
+  uint32_t drain_most_ms;  /* a planned stop ends after this */
 } Settings;
 
-/* NULL and an error that names file, line, key and remedy */
+/* reads, checks and completes the settings; the caller frees them by
+** settings_free. NULL and an error (MP_ERROR, MP_ERR_SETTINGS) that names
+** file, line or key, and what to do. */
 Settings *settings_read(const char *path, GError **err);
 void settings_free(Settings *s);
 
 SettingsDialect settings_dialect(const Settings *s);
 
-/* "a.b.c.d/bits"; 0 when malformed */
+/* reads a network "a.b.c.d/bits" into address and mask, in host byte order;
+** returns 0 when it is malformed */
 int settings_network(const char *s, uint32_t *net, uint32_t *mask);
 
 #endif
