--- a/cli/apply.c
+++ b/cli/apply.c
@@ -1,11 +1,11 @@
 /*
 ** apply.c
-** Configurations as an operator handles them
+** Reads configurations from files and from the platform, and applies them
 **
-** Sections go to the platform under the digest of their text, before the
-** manifest that names them is swapped by conditional update. A lost reply
-** to the swap is settled by reading back: the manifest in force has this
-** apply's ID, or it does not.
+** Sections are written to the platform under the digest of their text, before
+** the manifest that names them is replaced by a conditional write. If the
+** reply to that write is lost, the manifest is read back: whether it has the
+** ID of this apply shows whether the write took effect.
 */
 
 #include <stdio.h>
@@ -36,7 +36,7 @@
 
 void draft_free(Draft *d) {
   unsigned i;
-  for (i = 0; i < d->man.n; i++) {
+  for (i = 0; i < d->manifest.n; i++) {
     if (d->text[i] != NULL)
       g_bytes_unref(d->text[i]);
   }
@@ -46,8 +46,8 @@
 int draft_set(Draft *d, const char *name, const char *s, size_t n,
               GError **err) {
   unsigned i;
-  for (i = 0; i < d->man.n; i++) {
-    if (strcmp(d->man.section[i].name, name) == 0)
+  for (i = 0; i < d->manifest.n; i++) {
+    if (strcmp(d->manifest.section[i].name, name) == 0)
       break;
   }
   if (i == MP_SECTIONS_MAX || strlen(name) > MP_NAME_MAX) {
@@ -56,21 +56,23 @@
                 name, MP_SECTIONS_MAX, MP_NAME_MAX);
     return 0;
   }
-  if (i == d->man.n)
-    d->man.n++;
+  if (i == d->manifest.n)
+    d->manifest.n++;
   else
     g_bytes_unref(d->text[i]);
-  g_strlcpy(d->man.section[i].name, name, sizeof d->man.section[i].name);
-  mp_digest(s, n, d->man.section[i].digest);
+  g_strlcpy(d->manifest.section[i].name, name,
+            sizeof d->manifest.section[i].name);
+  mp_digest(s, n, d->manifest.section[i].digest);
   d->text[i] = g_bytes_new(s, n);
   return 1;
 }
 
-static int byname(gconstpointer a, gconstpointer b) {
+static int compare_names(gconstpointer a, gconstpointer b) {
   return strcmp(*(char *const *)a, *(char *const *)b);
 }
 
-static GPtrArray *yamlfiles(const char *dir, GError **err) {
+/* sorted names, without the folder; NULL and an error */
+static GPtrArray *list_yaml_files(const char *dir, GError **err) {
   GDir *d = g_dir_open(dir, 0, err);
   GPtrArray *a;
   const char *f;
@@ -82,12 +84,12 @@
       g_ptr_array_add(a, g_strdup(f));
   }
   g_dir_close(d);
-  g_ptr_array_sort(a, byname);
+  g_ptr_array_sort(a, compare_names);
   return a;
 }
 
 int draft_check(const Draft *d, GError **err) {
-  mp_Config *c = mp_config_read(&d->man, d->text, err);
+  mp_Config *c = mp_config_read(&d->manifest, d->text, err);
   if (c == NULL)
     return 0;
   mp_config_free(c);
@@ -95,7 +97,7 @@
 }
 
 int draft_read(const char *dir, Draft *d, GError **err) {
-  GPtrArray *files = yamlfiles(dir, err);
+  GPtrArray *files = list_yaml_files(dir, err);
   int ok = files != NULL;
   guint i;
   memset(d, 0, sizeof *d);
@@ -108,7 +110,7 @@
     g_free(s);
     g_free(path);
   }
-  if (ok && d->man.n == 0) {
+  if (ok && d->manifest.n == 0) {
     g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
                 "%s: no *.yaml file there; name the folder of the "
                 "configuration",
@@ -123,7 +125,8 @@
   return ok;
 }
 
-static GBytes *section(const char *digest, GError **err) {
+/* the text of the section with this digest; NULL and an error */
+static GBytes *fetch_section(const char *digest, GError **err) {
   char key[sizeof KEY_SECTION + MP_SHA256_HEX];
   int absent;
   GString *s;
@@ -147,10 +150,10 @@
     *object = 0;
     return absent;
   }
-  ok = mp_manifest_read(s->str, s->len, &d->man, err);
+  ok = mp_manifest_read(s->str, s->len, &d->manifest, err);
   g_string_free(s, TRUE);
-  for (i = 0; ok && i < d->man.n; i++) {
-    d->text[i] = section(d->man.section[i].digest, err);
+  for (i = 0; ok && i < d->manifest.n; i++) {
+    d->text[i] = fetch_section(d->manifest.section[i].digest, err);
     ok = d->text[i] != NULL;
   }
   if (!ok)
@@ -166,8 +169,8 @@
 ** ===================================================================
 */
 
-void audit(const char *key, const char *by, const char *what, uint64_t from,
-           uint64_t to, const char *outcome) {
+void audit_write(const char *key, const char *by, const char *what,
+                 uint64_t from, uint64_t to, const char *outcome) {
   char *when = utc_time_text();
   json_t *j =
       json_pack("{s:s, s:s, s:s, s:I, s:I, s:s}", "who", by, "when", when,
@@ -197,17 +200,22 @@
 ** ===================================================================
 */
 
-/* sections are named by their text: writing one twice changes nothing */
-static int upload(const Draft *d, GError **err) {
+/*
+** Writes the sections that the platform does not have. Their keys are digests
+** of their text, so writing one twice changes nothing; each is read back after
+** a write, whose result is ignored.
+*/
+static int upload_sections(const Draft *d, GError **err) {
   char key[sizeof KEY_SECTION + MP_SHA256_HEX];
   unsigned i;
-  for (i = 0; i < d->man.n; i++) {
+  for (i = 0; i < d->manifest.n; i++) {
     int absent = 0;
     int tries = 0;
     gsize n;
     const char *s = g_bytes_get_data(d->text[i], &n);
     GString *have;
-    snprintf(key, sizeof key, "%s%s", KEY_SECTION, d->man.section[i].digest);
+    snprintf(key, sizeof key, "%s%s", KEY_SECTION,
+             d->manifest.section[i].digest);
     while ((have = client_get(key, NULL, &absent, err)) == NULL) {
       if (!absent || tries++ == 5) {
         if (absent)
@@ -222,47 +230,57 @@
   return 1;
 }
 
-/* whose manifest is in force, as seen after a reply was lost */
-typedef enum Back { BACK_OURS, BACK_OTHER, BACK_NOTYET, BACK_UNKNOWN } Back;
+/* which manifest is in force, as read back after a lost reply: this apply's,
+** another one of the same version, or an older one */
+typedef enum ReadBack {
+  READ_BACK_OURS,
+  READ_BACK_OTHER,
+  READ_BACK_OLDER,
+  READ_BACK_UNKNOWN
+} ReadBack;
 
-static Back readback(const Draft *d, mp_Manifest *other) {
+static ReadBack read_back(const Draft *d, mp_Manifest *other) {
   int absent;
   GString *s = client_get(KEY_MANIFEST, NULL, &absent, NULL);
   gboolean ok;
   memset(other, 0, sizeof *other);
   if (s == NULL)
-    return absent ? BACK_NOTYET : BACK_UNKNOWN;
+    return absent ? READ_BACK_OLDER : READ_BACK_UNKNOWN;
   ok = mp_manifest_read(s->str, s->len, other, NULL);
   g_string_free(s, TRUE);
   if (!ok)
-    return BACK_UNKNOWN;
-  if (strcmp(other->apply_id, d->man.apply_id) == 0)
-    return BACK_OURS;
-  if (other->version < d->man.version)
-    return BACK_NOTYET;
-  /* a later one may stand on top of ours */
-  return other->version == d->man.version ? BACK_OTHER : BACK_UNKNOWN;
+    return READ_BACK_UNKNOWN;
+  if (strcmp(other->apply_id, d->manifest.apply_id) == 0)
+    return READ_BACK_OURS;
+  if (other->version < d->manifest.version)
+    return READ_BACK_OLDER;
+  /* a later version may be based on this apply's */
+  return other->version == d->manifest.version ? READ_BACK_OTHER
+                                               : READ_BACK_UNKNOWN;
 }
 
 /*
-** The conditional write may be sent again: it takes effect at most once.
-** Only a conflict on the first try proves by itself that another came
-** first; after a lost reply the manifest itself must show it.
+** Replaces the manifest, with up to 5 more attempts. The conditional write may
+** be sent again, since it takes effect at most once. Only a conflict on the
+** first attempt proves by itself that another change was applied first; after
+** a lost reply, a conflict may be with this apply's own write, so the manifest
+** itself must show it. On a conflict '*other' is the manifest in force.
 */
-static PutResult swap(const Draft *d, uint64_t object, mp_Manifest *other) {
-  char *s = mp_manifest_write(&d->man);
+static PutResult swap_manifest(const Draft *d, uint64_t object,
+                               mp_Manifest *other) {
+  char *s = mp_manifest_write(&d->manifest);
   PutResult r = client_put(KEY_MANIFEST, object, s, strlen(s));
-  Back back = BACK_NOTYET;
+  ReadBack back = READ_BACK_OLDER;
   int tries;
   if (r == PUT_CONFLICT)
-    readback(d, other);
+    read_back(d, other);
   for (tries = 0; tries < 5 && r != PUT_DONE && r != PUT_CONFLICT; tries++) {
-    back = readback(d, other);
-    if (back == BACK_OURS)
+    back = read_back(d, other);
+    if (back == READ_BACK_OURS)
       r = PUT_DONE;
-    else if (back == BACK_OTHER)
+    else if (back == READ_BACK_OTHER)
       r = PUT_CONFLICT;
-    else if (back == BACK_NOTYET &&
+    else if (back == READ_BACK_OLDER &&
              client_put(KEY_MANIFEST, object, s, strlen(s)) == PUT_DONE)
       r = PUT_DONE;
   }
@@ -270,43 +288,45 @@
   return r;
 }
 
-static void newid(char out[MP_NAME_MAX + 1]) {
+static void new_apply_id(char out[MP_NAME_MAX + 1]) {
   gchar *u = g_uuid_string_random();
   g_strlcpy(out, u, MP_NAME_MAX + 1);
   g_free(u);
 }
 
-int apply(Draft *d, const Draft *base, uint64_t object, const char *by,
-          GError **err) {
+int draft_apply(Draft *d, const Draft *base, uint64_t object, const char *by,
+                GError **err) {
   mp_Manifest other;
   char *when = utc_time_text();
   gchar *key;
   PutResult r;
-  d->man.version = base->man.version + 1;
-  newid(d->man.apply_id);
-  g_strlcpy(d->man.by, by, sizeof d->man.by);
-  g_strlcpy(d->man.when, when, sizeof d->man.when);
+  d->manifest.version = base->manifest.version + 1;
+  new_apply_id(d->manifest.apply_id);
+  g_strlcpy(d->manifest.by, by, sizeof d->manifest.by);
+  g_strlcpy(d->manifest.when, when, sizeof d->manifest.when);
   g_free(when);
-  if (!upload(d, err))
+  if (!upload_sections(d, err))
     return 0;
   key = g_strdup_printf("audit/%010" G_GUINT64_FORMAT "-%s",
-                        (guint64)d->man.version, d->man.apply_id);
-  audit(key, by, "apply", base->man.version, d->man.version, NULL);
-  r = swap(d, object, &other);
+                        (guint64)d->manifest.version, d->manifest.apply_id);
+  audit_write(key, by, "apply", base->manifest.version, d->manifest.version,
+              NULL);
+  r = swap_manifest(d, object, &other);
   if (r == PUT_CONFLICT)
     g_set_error(err, MP_ERROR, MP_ERR_CONFLICT,
-                "version %" G_GUINT64_FORMAT " by %s at %s came first; look "
-                "at it with 'madderpier diff', then apply again",
+                "version %" G_GUINT64_FORMAT
+                " by %s at %s was applied first; look at it with 'madderpier "
+                "diff', then apply again",
                 (guint64)other.version, other.by, other.when);
   else if (r != PUT_DONE)
     g_set_error(err, MP_ERROR, MP_ERR_STORE,
                 "it is not known whether version %" G_GUINT64_FORMAT
                 " took effect; look with 'madderpier show' for apply %s",
-                (guint64)d->man.version, d->man.apply_id);
-  audit(key, by, "apply", base->man.version, d->man.version,
-        r == PUT_DONE       ? "applied"
-        : r == PUT_CONFLICT ? "refused: another change came first"
-                            : "unknown");
+                (guint64)d->manifest.version, d->manifest.apply_id);
+  audit_write(key, by, "apply", base->manifest.version, d->manifest.version,
+              r == PUT_DONE       ? "applied"
+              : r == PUT_CONFLICT ? "refused: another change came first"
+                                  : "unknown");
   g_free(key);
   return r == PUT_DONE;
 }
--- a/cli/client.c
+++ b/cli/client.c
@@ -1,6 +1,6 @@
 /*
 ** client.c
-** The operators' command as a client
+** The HTTP client of the operators' command
 */
 
 #include <stdio.h>
@@ -11,59 +11,62 @@
 #include "cli/client.h"
 #include "io/http.h"
 
-#define TRIES 5
-#define PATIENCE_S 5
+#define GET_ATTEMPTS_MAX 5
+#define CALL_TIMEOUT_S 5
 
 static struct event_base *base;
 static mp_Addr platform;
 
-typedef struct Call {
-  Reply reply;
+typedef struct ClientCall {
+  ClientReply reply;
   HttpEnd end;
   int done;
-  HttpCall *open; /* NULL once it has ended */
-} Call;
+  HttpCall *open; /* NULL once the call has ended */
+} ClientCall;
 
 void client_init(mp_Addr at) {
   base = event_base_new();
   platform = at;
 }
 
-static void head(void *ud, int status, struct evkeyvalq *headers) {
-  Call *c = ud;
+static void on_head(void *ud, int status, struct evkeyvalq *headers) {
+  ClientCall *c = ud;
   const char *v = evhttp_find_header(headers, "X-Resource-Version");
   (void)status;
   if (v != NULL)
     c->reply.version = g_ascii_strtoull(v, NULL, 10);
 }
 
-static void data(void *ud, const char *s, size_t n) {
-  Call *c = ud;
+static void on_data(void *ud, const char *s, size_t n) {
+  ClientCall *c = ud;
   g_string_append_len(c->reply.text, s, (gssize)n);
 }
 
-static void end(void *ud, HttpEnd e, int status) {
-  Call *c = ud;
+static void on_end(void *ud, HttpEnd e, int status) {
+  ClientCall *c = ud;
   c->end = e;
   c->reply.status = status;
   c->done = 1;
   c->open = NULL;
 }
 
-static void late(evutil_socket_t fd, short what, void *arg) {
-  Call *c = arg;
+static void on_timeout(evutil_socket_t fd, short what, void *arg) {
+  ClientCall *c = arg;
   (void)fd;
   (void)what;
   c->end = HTTP_END_BROKEN;
   c->done = 1;
 }
 
-/* one call, waited for */
-static void call(mp_Addr to, enum evhttp_cmd_type m, const char *uri,
-                 const char *body, size_t n, Call *c) {
-  static const HttpHooks hooks = {head, data, end};
-  struct timeval t = {PATIENCE_S, 0};
-  struct event *timer = evtimer_new(base, late, c);
+/*
+** Makes one call and waits for its end or the timeout. '*c' is set; the caller
+** frees c->reply.text.
+*/
+static void call_and_wait(mp_Addr to, enum evhttp_cmd_type m, const char *uri,
+                          const char *body, size_t n, ClientCall *c) {
+  static const HttpHooks hooks = {on_head, on_data, on_end};
+  struct timeval t = {CALL_TIMEOUT_S, 0};
+  struct event *timer = evtimer_new(base, on_timeout, c);
   memset(c, 0, sizeof *c);
   c->reply.text = g_string_new(NULL);
   c->end = HTTP_END_CONNECT;
@@ -72,13 +75,13 @@
   c->done = c->open == NULL;
   while (!c->done)
     event_base_loop(base, EVLOOP_ONCE);
-  if (c->open != NULL) /* too late: nothing may come for 'c' any more */
+  if (c->open != NULL) /* timed out: no callback may use 'c' after this */
     http_abort(c->open);
   event_free(timer);
-  event_base_loop(base, EVLOOP_NONBLOCK); /* what was deferred is freed */
+  event_base_loop(base, EVLOOP_NONBLOCK); /* runs deferred frees */
 }
 
-static void setdown(GError **err, const char *what) {
+static void set_platform_error(GError **err, const char *what) {
   char at[24];
   mp_addr_text(platform, at);
   g_set_error(err, MP_ERROR, MP_ERR_STORE, "platform at %s, %s: %s", at, what,
@@ -88,10 +91,10 @@
 GString *client_get(const char *key, uint64_t *version, int *absent,
                     GError **err) {
   gchar *uri = g_strdup_printf("/objects/%s", key);
-  Call c;
+  ClientCall c;
   int i;
-  for (i = 0; i < TRIES; i++) {
-    call(platform, EVHTTP_REQ_GET, uri, NULL, 0, &c);
+  for (i = 0; i < GET_ATTEMPTS_MAX; i++) {
+    call_and_wait(platform, EVHTTP_REQ_GET, uri, NULL, 0, &c);
     if (c.end == HTTP_END_OK &&
         (c.reply.status == 200 || c.reply.status == 404))
       break;
@@ -101,7 +104,7 @@
   g_free(uri);
   *absent = c.reply.text != NULL && c.reply.status == 404;
   if (c.reply.text == NULL) {
-    setdown(err, key);
+    set_platform_error(err, key);
     return NULL;
   }
   if (*absent) {
@@ -117,9 +120,9 @@
                      size_t n) {
   gchar *uri = g_strdup_printf("/objects/%s?version=%" G_GUINT64_FORMAT, key,
                                (guint64)version);
-  Call c;
+  ClientCall c;
   PutResult r = PUT_UNKNOWN;
-  call(platform, EVHTTP_REQ_PUT, uri, s, n, &c);
+  call_and_wait(platform, EVHTTP_REQ_PUT, uri, s, n, &c);
   if (c.end == HTTP_END_OK && c.reply.status == 200)
     r = PUT_DONE;
   else if (c.end == HTTP_END_OK && c.reply.status == 409)
@@ -136,14 +139,14 @@
   gchar *uri = g_strdup_printf("/keys/%s", prefix);
   GPtrArray *a = NULL;
   json_t *j;
-  Call c;
+  ClientCall c;
   size_t i;
-  call(platform, EVHTTP_REQ_GET, uri, NULL, 0, &c);
+  call_and_wait(platform, EVHTTP_REQ_GET, uri, NULL, 0, &c);
   g_free(uri);
   j = json_loads(c.reply.text->str, 0, NULL);
   g_string_free(c.reply.text, TRUE);
   if (j == NULL)
-    setdown(err, prefix);
+    set_platform_error(err, prefix);
   else {
     const json_t *keys = json_object_get(j, "keys");
     a = g_ptr_array_new_with_free_func(g_free);
@@ -155,9 +158,10 @@
 }
 
 GString *client_ops(mp_Addr at, int post, const char *path, GError **err) {
-  Call c;
+  ClientCall c;
   char text[24];
-  call(at, post ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, path, NULL, 0, &c);
+  call_and_wait(at, post ? EVHTTP_REQ_POST : EVHTTP_REQ_GET, path, NULL, 0,
+                &c);
   if (c.end == HTTP_END_OK && c.reply.status < 300)
     return c.reply.text;
   mp_addr_text(at, text);
--- a/cli/client.h
+++ b/cli/client.h
@@ -1,7 +1,11 @@
 /*
 ** client.h
-** The operators' command as a client: the platform, and instances
-** Calls wait for their reply. Errors are of the domain MP_ERROR.
+** The HTTP client of the operators' command: calls to the platform's object
+** store and to instances
+**
+** Calls block until the reply is there, or for at most 5 s each. All functions
+** must be called from one thread, after client_init. Errors are of the domain
+** MP_ERROR with the code MP_ERR_STORE.
 */
 
 #ifndef CLIENT_H
@@ -9,33 +13,49 @@
 
 #include "madderpier.h"
 
-typedef struct Reply {
-  int status;
-  uint64_t version;
-  GString *text;
-} Reply;
+typedef struct ClientReply {
+  int status;       /* HTTP status */
+  uint64_t version; /* X-Resource-Version, or 0 */
+  GString *text;    /* the body */
+} ClientReply;
 
+/* how a conditional write ended */
 typedef enum PutResult {
   PUT_DONE,
-  PUT_CONFLICT,
-  PUT_UNKNOWN,
-  PUT_UNAVAILABLE
+  PUT_CONFLICT,   /* the object had another version; nothing was written */
+  PUT_UNKNOWN,    /* the reply was lost; it may have been written */
+  PUT_UNAVAILABLE /* certainly not written: no connection, or status 503 or
+                  ** 429 */
 } PutResult;
 
+/* sets the platform's address, which is 0 for commands that don't use it */
 void client_init(mp_Addr platform);
 
-/* the object's text, or NULL: '*absent' says whether it is not there */
+/*
+** Reads an object, in up to 5 attempts. Returns its text, which the caller
+** frees, and sets '*version' (unless NULL). Returns NULL with '*absent' 1 and
+** no error when there is no such object, and NULL with '*absent' 0 and an
+** error when the platform does not answer. 'err' may be NULL.
+*/
 GString *client_get(const char *key, uint64_t *version, int *absent,
                     GError **err);
 
-/* conditional write; the reply may be lost after the effect */
+/*
+** Writes an object, in one attempt, if it has this version; with version 0, if
+** there is none.
+*/
 PutResult client_put(const char *key, uint64_t version, const char *s,
                      size_t n);
 
-/* keys with a prefix, sorted; NULL and an error */
+/* the keys with this prefix, as the platform lists them (sorted); the caller
+** frees the array. NULL and an error when the platform does not answer. */
 GPtrArray *client_keys(const char *prefix, GError **err);
 
-/* a call to an instance's operators' address; the text, or NULL */
+/*
+** Calls an instance at its operators' address: POST if 'post', else GET.
+** Returns the text of the reply, which the caller frees; NULL and an error
+** when there is no reply or its status is 300 or more.
+*/
 GString *client_ops(mp_Addr at, int post, const char *path, GError **err);
 
 #endif
--- a/cli/diff.c
+++ b/cli/diff.c
@@ -1,7 +1,9 @@
 /*
 ** diff.c
-** Differences between two configurations
-** Lines by longest common subsequence; sections are short.
+** Prints the differences between two configurations
+**
+** Lines are compared by their longest common subsequence, whose table takes
+** the product of the two lengths; sections are short enough for that.
 */
 
 #include <stdio.h>
@@ -16,7 +18,7 @@
   guint n;
 } Lines;
 
-static Lines split(GBytes *b) {
+static Lines split_lines(GBytes *b) {
   Lines l;
   gsize n = 0;
   const char *s = b != NULL ? g_bytes_get_data(b, &n) : "";
@@ -28,8 +30,12 @@
   return l;
 }
 
-/* lengths of common subsequences of the tails from (i, j) */
-static guint *table(const Lines *a, const Lines *b) {
+/*
+** t[i * (b->n + 1) + j] is the length of the longest common subsequence of the
+** lines of 'a' from i on and those of 'b' from j on; the caller frees the
+** table
+*/
+static guint *lcs_table(const Lines *a, const Lines *b) {
   guint w = b->n + 1;
   guint *t = g_new0(guint, (gsize)(a->n + 1) * w);
   guint i;
@@ -46,10 +52,11 @@
   return t;
 }
 
-static void lines(GBytes *x, GBytes *y) {
-  Lines a = split(x);
-  Lines b = split(y);
-  guint *t = table(&a, &b);
+/* prints the lines that differ; a NULL section has no text */
+static void print_lines(GBytes *x, GBytes *y) {
+  Lines a = split_lines(x);
+  Lines b = split_lines(y);
+  guint *t = lcs_table(&a, &b);
   guint w = b.n + 1;
   guint i = 0;
   guint j = 0;
@@ -67,38 +74,42 @@
   g_strfreev(b.s);
 }
 
-static GBytes *textof(const Draft *d, const char *name) {
+/* the text of the section of this name, the draft's; NULL if there is none */
+static GBytes *section_text(const Draft *d, const char *name) {
   unsigned i;
-  for (i = 0; i < d->man.n; i++) {
-    if (strcmp(d->man.section[i].name, name) == 0)
+  for (i = 0; i < d->manifest.n; i++) {
+    if (strcmp(d->manifest.section[i].name, name) == 0)
       return d->text[i];
   }
   return NULL;
 }
 
-static int differs(GBytes *x, GBytes *y) {
+static int is_different(GBytes *x, GBytes *y) {
   return x == NULL || y == NULL || !g_bytes_equal(x, y);
 }
 
 /* "new", "changed" or "removed"; NULL when the section is the same */
-static const char *state(const Draft *a, const Draft *b, const char *name) {
-  GBytes *old = textof(a, name);
-  GBytes *new = textof(b, name);
+static const char *section_state(const Draft *a, const Draft *b,
+                                 const char *name) {
+  GBytes *old = section_text(a, name);
+  GBytes *new = section_text(b, name);
   if (new == NULL)
     return "removed";
   if (old == NULL)
     return "new";
-  return differs(old, new) ? "changed" : NULL;
+  return is_different(old, new) ? "changed" : NULL;
 }
 
-static int addstates(json_t *list, const Draft *a, const Draft *b,
-                     const Draft *names, int onlygone) {
+/* adds a row to 'list' for each section of 'names' that differs; returns their
+** number */
+static int add_section_states(json_t *list, const Draft *a, const Draft *b,
+                              const Draft *names, int only_removed) {
   int n = 0;
   unsigned i;
-  for (i = 0; i < names->man.n; i++) {
-    const char *name = names->man.section[i].name;
-    const char *s = state(a, b, name);
-    if (s == NULL || (onlygone && strcmp(s, "removed") != 0))
+  for (i = 0; i < names->manifest.n; i++) {
+    const char *name = names->manifest.section[i].name;
+    const char *s = section_state(a, b, name);
+    if (s == NULL || (only_removed && strcmp(s, "removed") != 0))
       continue;
     json_array_append_new(list,
                           json_pack("{s:s, s:s}", "section", name, "is", s));
@@ -109,8 +120,9 @@
 
 int diff_json(const Draft *a, const Draft *b) {
   json_t *list = json_array();
-  int n = addstates(list, a, b, b, 0) + addstates(list, a, b, a, 1);
-  json_t *j = json_pack("{s:I, s:o}", "from", (json_int_t)a->man.version,
+  int n = add_section_states(list, a, b, b, 0) +
+          add_section_states(list, a, b, a, 1);
+  json_t *j = json_pack("{s:I, s:o}", "from", (json_int_t)a->manifest.version,
                         "sections", list);
   json_dumpf(j, stdout, JSON_INDENT(1));
   printf("\n");
@@ -121,19 +133,19 @@
 int diff_print(const Draft *a, const Draft *b) {
   int n = 0;
   unsigned i;
-  for (i = 0; i < b->man.n; i++) {
-    const char *name = b->man.section[i].name;
-    GBytes *old = textof(a, name);
-    if (!differs(old, b->text[i]))
+  for (i = 0; i < b->manifest.n; i++) {
+    const char *name = b->manifest.section[i].name;
+    GBytes *old = section_text(a, name);
+    if (!is_different(old, b->text[i]))
       continue;
     printf("--- %s (%s)\n", name, old != NULL ? "changed" : "new");
-    lines(old, b->text[i]);
+    print_lines(old, b->text[i]);
     n++;
   }
-  for (i = 0; i < a->man.n; i++) {
-    if (textof(b, a->man.section[i].name) != NULL)
+  for (i = 0; i < a->manifest.n; i++) {
+    if (section_text(b, a->manifest.section[i].name) != NULL)
       continue;
-    printf("--- %s (removed)\n", a->man.section[i].name);
+    printf("--- %s (removed)\n", a->manifest.section[i].name);
     n++;
   }
   return n;
--- a/cli/diff.h
+++ b/cli/diff.h
@@ -1,6 +1,9 @@
 /*
 ** diff.h
-** Differences between two configurations, section by section, line by line
+** Prints the differences between two configurations, section by section
+**
+** Both functions print to standard output and return the number of sections
+** that differ.
 */
 
 #ifndef DIFF_H
@@ -8,10 +11,10 @@
 
 #include "cli/apply.h"
 
-/* print what changes from 'a' to 'b'; returns how many sections differ */
+/* prints the lines that change from 'a' to 'b', with + or - before them */
 int diff_print(const Draft *a, const Draft *b);
 
-/* the same as JSON: which sections are new, changed or removed */
+/* prints as JSON which sections are new, changed or removed */
 int diff_json(const Draft *a, const Draft *b);
 
 #endif
--- a/cli/madderpier.c
+++ b/cli/madderpier.c
@@ -1,8 +1,11 @@
 /*
 ** madderpier.c
-** The operators' command
-** Exit codes: 0 done, 1 no (a difference, a conflict, a place forbidden),
-** 2 wrong use or wrong configuration, 3 platform or instance away.
+** The operators' command: checks, applies and shows configurations, drains and
+** stops, and explains
+**
+** Exit codes: 0 success; 1 negative result (a difference, a conflict, no data
+** centre is permitted, no log line); 2 wrong usage, or invalid configuration
+** or file; 3 the platform or an instance does not answer.
 */
 
 #include <argp.h>
@@ -18,9 +21,9 @@
 #include "cli/trace.h"
 #include "conf/conf.h"
 
-#define EXIT_NO 1
-#define EXIT_WRONG 2
-#define EXIT_AWAY 3
+#define EXIT_NEGATIVE 1
+#define EXIT_INVALID 2
+#define EXIT_UNAVAILABLE 3
 
 const char *argp_program_version = "madderpier " MP_VERSION;
 
@@ -30,20 +33,20 @@
   const char *class_name;
   const char *account;
   int json;
-  char **word; /* the command and its arguments */
+  char **words; /* the command and its arguments */
   int n;
 } Args;
 
 static const struct argp_option options[] = {
     {"platform", 'p', "ADDRESS:PORT", 0,
-     "The platform's object API (or MADDERPIER_PLATFORM)", 0},
-    {"by", 'b', "NAME", 0, "Who applies, for the audit trail (or USER)", 0},
+     "Address of the platform's object API (or MADDERPIER_PLATFORM)", 0},
+    {"by", 'b', "NAME", 0, "Operator's name for the audit trail (or USER)", 0},
     {"class", 'c', "CLASS", 0, "explain: the class of request", 0},
     {"account", 'a', "ACCOUNT", 0, "explain: the client account", 0},
     {"json", 'j', NULL, 0, "Print JSON", 0},
     {0}};
 
-static error_t parse(int key, char *arg, struct argp_state *state) {
+static error_t parse_option(int key, char *arg, struct argp_state *state) {
   Args *a = state->input;
   switch (key) {
   case 'p':
@@ -62,7 +65,7 @@
     a->json = 1;
     return 0;
   case ARGP_KEY_ARGS:
-    a->word = state->argv + state->next;
+    a->words = state->argv + state->next;
     a->n = state->argc - state->next;
     return 0;
   case ARGP_KEY_NO_ARGS:
@@ -75,26 +78,27 @@
 
 static const struct argp argp = {
     options,
-    parse,
+    parse_option,
     "COMMAND [ARGUMENT...]",
     "Operate madderpier.\v"
     "Commands:\n"
     "  check DIR            check a configuration, without the platform\n"
-    "  diff DIR             what DIR would change\n"
+    "  diff DIR             show what applying DIR would change\n"
     "  apply DIR            put DIR in force, as a whole or not at all\n"
-    "  show [SECTION]       the configuration in force\n"
-    "  status [ADDRESS...]  instances, their versions, their endpoints\n"
-    "  explain -c CLASS     where a class may run, and what forbids the "
-    "rest\n"
-    "  drain NAME...        no new work for these endpoints or data "
+    "  show [SECTION]       print the configuration in force\n"
+    "  status [ADDRESS...]  show instances, their versions and endpoints\n"
+    "  explain -c CLASS     show where a class may run, and why not "
+    "elsewhere\n"
+    "  drain NAME...        send no new work to these endpoints or data "
     "centres\n"
-    "  undrain NAME...      take that back\n"
+    "  undrain NAME...      send them new work again\n"
     "  stop ADDRESS         drain an instance (its operators' address)\n"
-    "  trace ID [FILE...]   one request's story, from logs (or standard "
+    "  trace ID [FILE...]   show a request's log lines (files or standard "
     "input)\n"
-    "  audit                who changed what, and how it ended\n"
-    "Exit codes: 0 done; 1 no (difference, conflict, forbidden); 2 wrong "
-    "use or configuration; 3 platform or instance away.",
+    "  audit                show who changed what, and the outcome\n"
+    "Exit codes: 0 success; 1 negative result (difference, conflict, "
+    "forbidden, not found); 2 wrong usage or invalid configuration; 3 the "
+    "platform or an instance does not answer.",
     NULL,
     NULL,
     NULL};
@@ -105,12 +109,13 @@
 ** ===================================================================
 */
 
-static int fail(const Args *a, GError *err) {
-  int code = EXIT_WRONG;
+/* reports and frees an error; returns the exit code for it */
+static int report_error(const Args *a, GError *err) {
+  int code = EXIT_INVALID;
   if (err->domain == MP_ERROR && err->code == MP_ERR_CONFLICT)
-    code = EXIT_NO;
+    code = EXIT_NEGATIVE;
   if (err->domain == MP_ERROR && err->code == MP_ERR_STORE)
-    code = EXIT_AWAY;
+    code = EXIT_UNAVAILABLE;
   if (a->json) {
     json_t *j = json_pack(
         "{s:{s:s, s:s}}", "error", "kind",
@@ -125,16 +130,17 @@
   return code;
 }
 
-static void done(const Args *a, const char *what, uint64_t version) {
+static void report_version(const Args *a, const char *what, uint64_t version) {
   if (a->json)
     printf("{\"%s\": %" G_GUINT64_FORMAT "}\n", what, (guint64)version);
   else
     printf("%s: version %" G_GUINT64_FORMAT "\n", what, (guint64)version);
 }
 
-static int usage(const char *what) {
+/* reports wrong usage; returns the exit code for it */
+static int usage_error(const char *what) {
   fprintf(stderr, "madderpier: %s; see 'madderpier --help'\n", what);
-  return EXIT_WRONG;
+  return EXIT_INVALID;
 }
 
 /* }================================================================== */
@@ -145,90 +151,91 @@
 ** ===================================================================
 */
 
-static int check(const Args *a) {
+static int command_check(const Args *a) {
   GError *err = NULL;
   Draft d;
   if (a->n != 2)
-    return usage("check needs a folder");
-  if (!draft_read(a->word[1], &d, &err))
-    return fail(a, err);
+    return usage_error("check needs a folder");
+  if (!draft_read(a->words[1], &d, &err))
+    return report_error(a, err);
   if (a->json)
-    printf("{\"good\": true, \"sections\": %u}\n", d.man.n);
+    printf("{\"good\": true, \"sections\": %u}\n", d.manifest.n);
   else
-    printf("%s: good, %u sections\n", a->word[1], d.man.n);
+    printf("%s: valid, %u sections\n", a->words[1], d.manifest.n);
   draft_free(&d);
   return 0;
 }
 
-static int diff(const Args *a) {
+static int command_diff(const Args *a) {
   GError *err = NULL;
   Draft new;
   Draft old;
   uint64_t object;
   int n;
   if (a->n != 2)
-    return usage("diff needs a folder");
-  if (!draft_read(a->word[1], &new, &err))
-    return fail(a, err);
+    return usage_error("diff needs a folder");
+  if (!draft_read(a->words[1], &new, &err))
+    return report_error(a, err);
   if (!draft_fetch(&old, &object, &err)) {
     draft_free(&new);
-    return fail(a, err);
+    return report_error(a, err);
   }
   n = a->json ? diff_json(&old, &new) : diff_print(&old, &new);
   draft_free(&old);
   draft_free(&new);
-  return n > 0 ? EXIT_NO : 0;
+  return n > 0 ? EXIT_NEGATIVE : 0;
 }
 
-static int applydir(const Args *a) {
+static int command_apply(const Args *a) {
   GError *err = NULL;
   Draft new;
   Draft old;
   uint64_t object;
   int code = 0;
   if (a->n != 2)
-    return usage("apply needs a folder");
-  if (!draft_read(a->word[1], &new, &err))
-    return fail(a, err);
+    return usage_error("apply needs a folder");
+  if (!draft_read(a->words[1], &new, &err))
+    return report_error(a, err);
   if (!draft_fetch(&old, &object, &err)) {
     draft_free(&new);
-    return fail(a, err);
+    return report_error(a, err);
   }
-  if (apply(&new, &old, object, a->by, &err))
-    done(a, "applied", new.man.version);
+  if (draft_apply(&new, &old, object, a->by, &err))
+    report_version(a, "applied", new.manifest.version);
   else
-    code = fail(a, err);
+    code = report_error(a, err);
   draft_free(&old);
   draft_free(&new);
   return code;
 }
 
-static int show(const Args *a) {
+static int command_show(const Args *a) {
   GError *err = NULL;
   Draft d;
   uint64_t object;
   unsigned i;
   if (!draft_fetch(&d, &object, &err))
-    return fail(a, err);
+    return report_error(a, err);
   if (a->json) {
-    char *s = mp_manifest_write(&d.man);
+    char *s = mp_manifest_write(&d.manifest);
     printf("%s\n", s);
     g_free(s);
   } else
     printf("# version %" G_GUINT64_FORMAT " by %s at %s, apply %s\n",
-           (guint64)d.man.version, d.man.by, d.man.when, d.man.apply_id);
-  for (i = 0; i < d.man.n && !a->json; i++) {
+           (guint64)d.manifest.version, d.manifest.by, d.manifest.when,
+           d.manifest.apply_id);
+  for (i = 0; i < d.manifest.n && !a->json; i++) {
     gsize n;
     const char *s = g_bytes_get_data(d.text[i], &n);
-    if (a->n > 1 && strcmp(a->word[1], d.man.section[i].name) != 0)
+    if (a->n > 1 && strcmp(a->words[1], d.manifest.section[i].name) != 0)
       continue;
-    printf("# --- %s\n%.*s", d.man.section[i].name, (int)n, s);
+    printf("# --- %s\n%.*s", d.manifest.section[i].name, (int)n, s);
   }
   draft_free(&d);
   return 0;
 }
 
-static int explain(const Args *a) {
+static int command_explain(const Args *a) {
   GError *err = NULL;
   Draft d;
   uint64_t object;
@@ -237,13 +244,13 @@
   unsigned open = 0;
   json_t *all = json_array();
   if (a->class_name == NULL)
-    return usage("explain needs --class");
+    return usage_error("explain needs --class");
   if (!draft_fetch(&d, &object, &err))
-    return fail(a, err);
-  c = mp_config_read(&d.man, d.text, &err);
+    return report_error(a, err);
+  c = mp_config_read(&d.manifest, d.text, &err);
   draft_free(&d);
   if (c == NULL)
-    return fail(a, err);
+    return report_error(a, err);
   for (i = 0; i < c->data_centres_count; i++) {
     const char *dc = c->data_centres[i].name;
     const char *why = mp_explain(c, a->class_name, a->account, dc);
@@ -261,7 +268,7 @@
   }
   json_decref(all);
   mp_config_free(c);
-  return open > 0 ? 0 : EXIT_NO;
+  return open > 0 ? 0 : EXIT_NEGATIVE;
 }
 
 /* }================================================================== */
@@ -272,12 +279,13 @@
 ** ===================================================================
 */
 
-#define DRAINED "drained.yaml"
+#define DRAINED_SECTION "drained.yaml"
 
-/* names in the drained section, as a set */
-static GHashTable *drainednames(const Draft *d, GError **err) {
+/* the set of names in the drained section, which the caller frees; NULL and an
+** error */
+static GHashTable *drained_names(const Draft *d, GError **err) {
   GHashTable *t = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  mp_Config *c = mp_config_read(&d->man, d->text, err);
+  mp_Config *c = mp_config_read(&d->manifest, d->text, err);
   unsigned i;
   if (c == NULL) {
     g_hash_table_destroy(t);
@@ -289,7 +297,8 @@
   return t;
 }
 
-static GString *drainedtext(GHashTable *names) {
+/* the text of the drained section, names sorted */
+static GString *drained_yaml(GHashTable *names) {
   GString *g = g_string_new("# Written by 'madderpier drain'.\ndrained: [");
   GList *all = g_list_sort(g_hash_table_get_keys(names), (GCompareFunc)strcmp);
   GList *l;
@@ -300,10 +309,11 @@
   return g;
 }
 
-/* the draft with some names added to, or taken out of, the drained ones */
-static int redrain(const Args *a, const Draft *old, Draft *new, int out,
-                   GError **err) {
-  GHashTable *names = drainednames(old, err);
+/* makes '*new' a copy of '*old' with the names of the command line added to
+** the drained ones, or with 'is_undrain' removed from them; 0 and an error */
+static int edit_drained(const Args *a, const Draft *old, Draft *new,
+                        int is_undrain, GError **err) {
+  GHashTable *names = drained_names(old, err);
   GString *text;
   unsigned i;
   int ok = 1;
@@ -312,65 +322,67 @@
   if (names == NULL)
     return 0;
   for (k = 1; k < a->n; k++) {
-    if (out)
-      g_hash_table_remove(names, a->word[k]);
+    if (is_undrain)
+      g_hash_table_remove(names, a->words[k]);
     else
-      g_hash_table_add(names, g_strdup(a->word[k]));
+      g_hash_table_add(names, g_strdup(a->words[k]));
   }
-  text = drainedtext(names);
-  for (i = 0; ok && i < old->man.n; i++) {
+  text = drained_yaml(names);
+  for (i = 0; ok && i < old->manifest.n; i++) {
     gsize n;
     const char *s = g_bytes_get_data(old->text[i], &n);
-    ok = draft_set(new, old->man.section[i].name, s, n, err);
+    ok = draft_set(new, old->manifest.section[i].name, s, n, err);
   }
-  ok = ok && draft_set(new, DRAINED, text->str, text->len, err) &&
+  ok = ok && draft_set(new, DRAINED_SECTION, text->str, text->len, err) &&
        draft_check(new, err);
   g_string_free(text, TRUE);
   g_hash_table_destroy(names);
   return ok;
 }
 
-static int drain(const Args *a, int out) {
+static int command_drain(const Args *a, int is_undrain) {
   GError *err = NULL;
   Draft old;
   Draft new;
   uint64_t object;
   int code = 0;
   if (a->n < 2)
-    return usage("name endpoints or data centres");
+    return usage_error(
+        "drain and undrain need names of endpoints or data centres");
   if (!draft_fetch(&old, &object, &err))
-    return fail(a, err);
-  if (!redrain(a, &old, &new, out, &err) ||
-      !apply(&new, &old, object, a->by, &err))
-    code = fail(a, err);
+    return report_error(a, err);
+  if (!edit_drained(a, &old, &new, is_undrain, &err) ||
+      !draft_apply(&new, &old, object, a->by, &err))
+    code = report_error(a, err);
   else
-    done(a, out ? "undrained" : "drained", new.man.version);
+    report_version(a, is_undrain ? "undrained" : "drained",
+                   new.manifest.version);
   draft_free(&old);
   draft_free(&new);
   return code;
 }
 
-static int stop(const Args *a) {
+static int command_stop(const Args *a) {
   GError *err = NULL;
-  mp_Addr at = a->n == 2 ? mp_addr_parse(a->word[1]) : 0;
+  mp_Addr at = a->n == 2 ? mp_addr_parse(a->words[1]) : 0;
   GString *s;
   gchar *key;
   char *when;
   if (at == 0)
-    return usage("stop needs an instance's operators' address");
+    return usage_error("stop needs an instance's operators' address");
   s = client_ops(at, 1, "/drain", &err);
   if (s == NULL)
-    return fail(a, err);
+    return report_error(a, err);
   g_string_free(s, TRUE);
   when = utc_time_text();
-  key = g_strdup_printf("audit/stop-%s-%s", a->word[1], when);
-  audit(key, a->by, "stop", 0, 0, "draining");
+  key = g_strdup_printf("audit/stop-%s-%s", a->words[1], when);
+  audit_write(key, a->by, "stop", 0, 0, "draining");
   g_free(key);
   g_free(when);
   if (a->json)
-    printf("{\"draining\": \"%s\"}\n", a->word[1]);
+    printf("{\"draining\": \"%s\"}\n", a->words[1]);
   else
-    printf("%s: draining\n", a->word[1]);
+    printf("%s: draining\n", a->words[1]);
   return 0;
 }
 
@@ -382,8 +394,9 @@
 ** ===================================================================
 */
 
-/* operators' addresses of all entry instances in the platform's list */
-static GPtrArray *listed(GError **err) {
+/* the operators' addresses of all entry instances in the platform's list,
+** which the caller frees; empty with an error if it cannot be read */
+static GPtrArray *listed_instances(GError **err) {
   int absent;
   GString *s = client_get("instances", NULL, &absent, err);
   GPtrArray *a = g_ptr_array_new_with_free_func(g_free);
@@ -405,7 +418,7 @@
   return a;
 }
 
-static void printstatus(const char *at, const json_t *j) {
+static void print_status(const char *at, const json_t *j) {
   size_t down = 0;
   size_t i;
   const json_t *eps = json_object_get(j, "endpoints");
@@ -421,7 +434,8 @@
          json_is_true(json_object_get(j, "draining")) ? " draining" : "");
 }
 
-static int onestatus(const Args *a, const char *at, json_t *all) {
+/* prints the status of one instance and adds it to 'all'; 0 on failure */
+static int query_status(const Args *a, const char *at, json_t *all) {
   GError *err = NULL;
   mp_Addr addr = mp_addr_parse(at);
   GString *s = addr != 0 ? client_ops(addr, 0, "/status", &err) : NULL;
@@ -430,15 +444,16 @@
   if (s != NULL)
     g_string_free(s, TRUE);
   if (ok && !a->json)
-    printstatus(at, j);
+    print_status(at, j);
   if (!ok && !a->json)
-    printf("%-22s away: %s\n", at, err != NULL ? err->message : "no address");
+    printf("%-22s no status: %s\n", at,
+           err != NULL ? err->message : "not an address or not JSON");
   json_object_set_new(all, at, ok ? j : json_null());
   g_clear_error(&err);
   return ok;
 }
 
-static int status(const Args *a) {
+static int command_status(const Args *a) {
   GError *err = NULL;
   GPtrArray *at;
   json_t *all = json_object();
@@ -447,28 +462,28 @@
   if (a->n > 1) {
     at = g_ptr_array_new_with_free_func(g_free);
     for (i = 1; i < (guint)a->n; i++)
-      g_ptr_array_add(at, g_strdup(a->word[i]));
+      g_ptr_array_add(at, g_strdup(a->words[i]));
   } else
-    at = listed(&err);
+    at = listed_instances(&err);
   if (err != NULL)
-    return fail(a, err);
+    return report_error(a, err);
   for (i = 0; i < at->len; i++)
-    ok = onestatus(a, at->pdata[i], all) && ok;
+    ok = query_status(a, at->pdata[i], all) && ok;
   if (a->json) {
     json_dumpf(all, stdout, JSON_INDENT(1));
     printf("\n");
   }
   json_decref(all);
   g_ptr_array_unref(at);
-  return ok ? 0 : EXIT_AWAY;
+  return ok ? 0 : EXIT_UNAVAILABLE;
 }
 
-static int audits(const Args *a) {
+static int command_audit(const Args *a) {
   GError *err = NULL;
   GPtrArray *keys = client_keys("audit/", &err);
   guint i;
   if (keys == NULL)
-    return fail(a, err);
+    return report_error(a, err);
   for (i = 0; i < keys->len; i++) {
     int absent;
     GString *s = client_get(keys->pdata[i], NULL, &absent, NULL);
@@ -494,44 +509,44 @@
 
 /* }================================================================== */
 
-static int trace(const Args *a) {
+static int command_trace(const Args *a) {
   int found;
   if (a->n < 2)
-    return usage("trace: give the request's id");
-  found = trace_print(a->word[1], a->word + 2, a->n - 2, stdout);
+    return usage_error("trace needs the request's ID");
+  found = trace_print(a->words[1], a->words + 2, a->n - 2, stdout);
   if (found == 0)
     fprintf(stderr,
-            "trace: no line names '%s'; give the logs of all "
-            "instances, of the time of the request\n",
-            a->word[1]);
-  return found < 0 ? EXIT_WRONG : found == 0 ? EXIT_NO : 0;
+            "madderpier: no log line has request=%s; give the logs of all "
+            "instances from the time of the request\n",
+            a->words[1]);
+  return found < 0 ? EXIT_INVALID : found == 0 ? EXIT_NEGATIVE : 0;
 }
 
-static int run(const Args *a) {
-  const char *c = a->word[0];
+static int run_command(const Args *a) {
+  const char *c = a->words[0];
   if (strcmp(c, "check") == 0)
-    return check(a);
+    return command_check(a);
   if (strcmp(c, "diff") == 0)
-    return diff(a);
+    return command_diff(a);
   if (strcmp(c, "apply") == 0)
-    return applydir(a);
+    return command_apply(a);
   if (strcmp(c, "show") == 0)
-    return show(a);
+    return command_show(a);
   if (strcmp(c, "status") == 0)
-    return status(a);
+    return command_status(a);
   if (strcmp(c, "explain") == 0)
-    return explain(a);
+    return command_explain(a);
   if (strcmp(c, "drain") == 0)
-    return drain(a, 0);
+    return command_drain(a, 0);
   if (strcmp(c, "undrain") == 0)
-    return drain(a, 1);
+    return command_drain(a, 1);
   if (strcmp(c, "stop") == 0)
-    return stop(a);
+    return command_stop(a);
   if (strcmp(c, "trace") == 0)
-    return trace(a);
+    return command_trace(a);
   if (strcmp(c, "audit") == 0)
-    return audits(a);
-  return usage("unknown command");
+    return command_audit(a);
+  return usage_error("unknown command");
 }
 
 int main(int argc, char **argv) {
@@ -543,11 +558,11 @@
   if (a.by == NULL)
     a.by = "unknown";
   if (strlen(a.by) > MP_NAME_MAX)
-    return usage("--by takes at most 63 bytes");
+    return usage_error("--by takes at most 63 bytes");
   at = a.platform != NULL ? mp_addr_parse(a.platform) : 0;
-  if (at == 0 && strcmp(a.word[0], "check") != 0 &&
-      strcmp(a.word[0], "trace") != 0)
-    return usage("give the platform's address with --platform");
+  if (at == 0 && strcmp(a.words[0], "check") != 0 &&
+      strcmp(a.words[0], "trace") != 0)
+    return usage_error("give the platform's address with --platform");
   client_init(at);
-  return run(&a);
+  return run_command(&a);
 }
--- a/cli/trace.h
+++ b/cli/trace.h
@@ -1,6 +1,6 @@
 /*
 ** trace.h
-** One request's story, from the logs of any number of instances
+** Prints all that happened to one request, from the logs of instances
 */
 
 #ifndef TRACE_H
@@ -9,10 +9,13 @@
 #include <stdio.h>
 
 /*
-** Print every log line about a request, over all files ("-" or none:
-** standard input), in the order of their times, with the milliseconds
-** since the first; then what became of the endpoints it met. Returns how
-** many lines named the request, or -1 when a file cannot be read.
+** Reads the log files ("-" or none: standard input) and prints to 'out' every
+** line with request=ID, ordered by time, with the milliseconds since the
+** first. Then it prints the lines that name an endpoint of the request but no
+** request, from 10 s before to 5 s after it; of equal lines, from several
+** instances, only the first. Returns the number of lines with that ID; 0 with
+** nothing printed; -1 when a file cannot be read, which is reported on
+** standard error.
 */
 int trace_print(const char *request, char *const *files, int count, FILE *out);
 
