--- a/test/test_wire.cc
+++ b/test/test_wire.cc
@@ -429,7 +429,7 @@
         Mistake{"weight: 8,", "weigth: 8,", "all.yaml line"},
         Mistake{"weight: 8,", "weight: 800,", "set 1 to 100"},
         Mistake{"{name: wien-b, region", "{name: wien-a, region",
-                "there twice"},
+                "is defined twice"},
         Mistake{"run_in: [linz-c], kv", "run_in: [nowhere], kv",
                 "not under data_centres"},
         Mistake{"run_in: [linz-c], kv", "run_in: [], kv", "no data centre"},
