--- a/daemon/settings.h
+++ b/daemon/settings.h
@@ -29,12 +29,12 @@
   char *platform;  /* address of the platform's object store */
   char **peers;    /* addresses of other instances to contact at first */
   unsigned peers_count;
-  char *instance_network; /* "a.b.c.d/bits"; datagrams from there are accepted;
-                          ** NULL: from listed instances only */
-  char *log_file;         /* NULL: standard output */
-  char *log_level;        /* "debug", "info" (default), "warn" or "fault" */
-  uint32_t max_body_bytes;   /* of a caller's request */
-  uint32_t max_headers;      /* header fields of a caller's request */
+  char *instance_network;  /* "a.b.c.d/bits"; datagrams from there are accepted
+                           ** too; NULL: from known instances only */
+  char *log_file;          /* NULL: standard output */
+  char *log_level;         /* "debug", "info" (default), "warn" or "fault" */
+  uint32_t max_body_bytes; /* of a caller's request */
+  uint32_t max_headers;    /* header fields of a caller's request */
   uint32_t caller_timeout_s; /* for a request to arrive completely */
   /* the rest is for the dialect "platform" only */
   char *instance;       /* this instance's name; required */
--- a/include/madderpier.h
+++ b/include/madderpier.h
@@ -48,8 +48,8 @@
   uint64_t seed;        /* of the state's random numbers */
   const mp_Addr *seeds; /* instances to probe before a list is known */
   unsigned nseed;
-  /* network from which messages are accepted, in host byte order; with mask 0,
-  ** they are accepted from the members of the instance list */
+  /* network from which messages are accepted besides those of known members,
+  ** in host byte order; mask 0: from known members only */
   uint32_t net, mask;
   const mp_Codec *codec; /* required; must outlive the state */
 } mp_Options;
@@ -73,7 +73,8 @@
 ** is none. wire/rpc.h needs it, since a reply does not carry its kind. */
 MP_API mp_MsgKind mp_pending_call_kind(const mp_State *state, uint32_t seq);
 
-/* the time at which the core next needs an event, MP_EV_TICK if no other */
+/* the time at which the core next needs an event, MP_EV_TICK if no other;
+** INT64_MAX when it waits for nothing */
 MP_API mp_Time mp_next_tick(const mp_State *state);
 
 /* }================================================================== */
--- a/include/mpconf.h
+++ b/include/mpconf.h
@@ -121,8 +121,8 @@
 /* a suspected member that has not refuted the suspicion for longer than this
 ** is declared dead */
 #define MP_SUSPECT_TIMEOUT (1500 * MP_MS)
-/* how long a dead member is remembered, so that late gossip about it can be
-** recognised as old */
+/* how long a dead member that is in no list is remembered, so that late gossip
+** about it can be recognised as old */
 #define MP_DEAD_RETENTION (60 * MP_SEC)
 /* a data centre from which no message came for this long counts as
 ** unreachable */
@@ -160,7 +160,7 @@
 #define MP_DRAIN_ADMIT_TIME (3 * MP_SEC)
 
 /* group commit of durable claims: all that arrive within this time of the
-** first go into one write */
+** first go into one write, up to MP_CLAIM_BATCH */
 #define MP_CLAIM_WINDOW (20 * MP_MS)
 /* a request ID is remembered until this long after the request's deadline */
 #define MP_CLAIM_RETENTION (60 * MP_SEC)
--- a/include/mpmessage.h
+++ b/include/mpmessage.h
@@ -39,6 +39,7 @@
   uint32_t seq;   /* number of the request since that start */
 } mp_Token;
 
+/* the number of a kind is its RPC procedure; MP_MSG_LAST is no kind */
 typedef enum mp_MsgKind {
   MP_MSG_PROBE = 1,
   MP_MSG_PROBE_VIA,
