--- a/daemon/madderpierd.c
+++ b/daemon/madderpierd.c
@@ -127,7 +127,7 @@
   event_free(intr);
   event_free(hup);
   if (gateway != NULL)
-    return gateway_drained(gateway) ? 0 : EXIT_ABORTED;
+    return gateway_is_drained(gateway) ? 0 : EXIT_ABORTED;
   return node->drained ? 0 : EXIT_ABORTED;
 }
 
@@ -169,7 +169,7 @@
   o->retry_slack = s->retry_slack;
   o->retry_window = s->retry_window_s * MP_SEC;
   o->watch_wait = s->watch_wait_ms * MP_MS;
-  o->news_within = MIN(s->apply_ms, s->leave_ms) * MP_MS;
+  o->propagation_max = MIN(s->apply_ms, s->leave_ms) * MP_MS;
   o->lease_length = s->lease_ms * MP_MS;
   o->revoke_within = s->revoke_ms * MP_MS;
   o->limits.share = s->limit_over;
--- a/dialect/dialect.c
+++ b/dialect/dialect.c
@@ -13,7 +13,7 @@
   memset(head, 0, sizeof *head);
 }
 
-GQuark record_fault_domain(void) {
+GQuark record_error_quark(void) {
   return g_quark_from_static_string("madderpier-record");
 }
 
@@ -26,9 +26,9 @@
   return names[field];
 }
 
-RecordField record_fault_field(const GError *error) {
+RecordField record_error_field(const GError *error) {
   if (error == NULL)
     return RECORD_CONTENT;
-  return error->domain == RECORD_FAULT ? (RecordField)error->code
+  return error->domain == RECORD_ERROR ? (RecordField)error->code
                                        : RECORD_CONFIGURATION;
 }
--- a/dialect/dialect.h
+++ b/dialect/dialect.h
@@ -18,7 +18,7 @@
 
 /*
 ** Which field of an object of the store is missing or spoilt: the code of an
-** error of the domain RECORD_FAULT. X(symbol, name in metrics)
+** error of the domain RECORD_ERROR. X(symbol, name in metrics)
 */
 #define RECORD_FIELDS(X)            \
   X(CONTENT, "content")             \
@@ -42,11 +42,11 @@
       RECORD_FIELD_COUNT
 } RecordField;
 
-#define RECORD_FAULT record_fault_domain()
-GQuark record_fault_domain(void);
+#define RECORD_ERROR record_error_quark()
+GQuark record_error_quark(void);
 const char *record_field_name(RecordField field);
 /* the field that an error of any domain is about */
-RecordField record_fault_field(const GError *error);
+RecordField record_error_field(const GError *error);
 
 /* a caller's head as the dialect read it; texts point into the head */
 typedef struct CallerHead {
@@ -69,9 +69,9 @@
 } EndpointHead;
 
 /* what a prefill engine answers */
-typedef struct PrefillAnswer {
+typedef struct PrefillResponse {
   char *handle; /* owned */
-} PrefillAnswer;
+} PrefillResponse;
 
 /* how calls that follow objects are written, and their answers read */
 typedef struct StoreCodec {
@@ -109,7 +109,7 @@
   HttpHead *(*write_dispatch)(const Dispatch *dispatch, const HttpHead *caller,
                               char **body);
   void (*read_endpoint)(const HttpHead *head, EndpointHead *out);
-  gboolean (*read_prefill)(const char *body, gsize size, PrefillAnswer *out,
+  gboolean (*read_prefill)(const char *body, gsize size, PrefillResponse *out,
                            GError **error);
   gboolean (*read_report)(const char *body, gsize size, EngineReport *out,
                           GError **error);
@@ -129,8 +129,8 @@
                                     GError **error);
   gboolean (*read_instance)(const char *text, InstanceRecord *out,
                             GError **error);
-  gboolean (*read_record)(const char *name, const char *text,
-                          EndpointRecord *out, GError **error);
+  gboolean (*read_endpoint_record)(const char *name, const char *text,
+                                   EndpointRecord *out, GError **error);
   gboolean (*read_lease)(const char *text, LeaseRecord *out, GError **error);
   /* the texts for operators are not read */
   gboolean (*read_quarantine)(const char *name, const char *text,
--- a/http/content.c
+++ b/http/content.c
@@ -17,7 +17,7 @@
   XXH3_64bits_update(state, "", 1);
 }
 
-guint64 content_digest(const HttpHead *head, const GByteArray *body) {
+guint64 request_content_digest(const HttpHead *head, const GByteArray *body) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
   add_text(&state, head->method);
--- a/http/content.h
+++ b/http/content.h
@@ -17,6 +17,6 @@
 
 /* 'body' may be NULL. Not secure against a caller who looks for two texts with
 ** one digest: it tells requests apart, it proves nothing */
-guint64 content_digest(const HttpHead *head, const GByteArray *body);
+guint64 request_content_digest(const HttpHead *head, const GByteArray *body);
 
 #endif
--- a/http/events.c
+++ b/http/events.c
@@ -73,6 +73,6 @@
   g_string_erase(pending, 0, (gssize)used);
 }
 
-gsize event_splitter_pending(const EventSplitter *splitter) {
+gsize event_splitter_pending_size(const EventSplitter *splitter) {
   return splitter->pending->len;
 }
--- a/http/events.h
+++ b/http/events.h
@@ -25,6 +25,6 @@
                          gsize size, GString *whole, char **last_id);
 
 /* bytes of an unfinished event */
-gsize event_splitter_pending(const EventSplitter *splitter);
+gsize event_splitter_pending_size(const EventSplitter *splitter);
 
 #endif
--- a/http/head.c
+++ b/http/head.c
@@ -29,14 +29,14 @@
   g_free(head);
 }
 
-HttpHead *http_head_request(const char *method, const char *target) {
+HttpHead *http_head_new_request(const char *method, const char *target) {
   HttpHead *head = http_head_new();
   head->method = g_strdup(method);
   head->target = g_strdup(target);
   return head;
 }
 
-HttpHead *http_head_answer(int status) {
+HttpHead *http_head_new_response(int status) {
   HttpHead *head = http_head_new();
   head->status = status;
   return head;
@@ -94,8 +94,8 @@
   return found;
 }
 
-gboolean http_head_has_word(const HttpHead *head, const char *name,
-                            const char *word) {
+gboolean http_head_has_token(const HttpHead *head, const char *name,
+                             const char *word) {
   guint i;
   for (i = 0; i < head->fields->len; i++) {
     const HttpField *field = field_at(head, i);
@@ -106,7 +106,7 @@
   return FALSE;
 }
 
-static gboolean concerns_connection(const HttpHead *head, const char *name) {
+static gboolean is_hop_by_hop(const HttpHead *head, const char *name) {
   static const char *const names[] = {
       "Connection",          "Keep-Alive", "Proxy-Connection",
       "Proxy-Authenticate",  "TE",         "Trailer",
@@ -117,19 +117,19 @@
     if (g_ascii_strcasecmp(name, names[i]) == 0)
       return TRUE;
   }
-  return http_head_has_word(head, "Connection", name);
+  return http_head_has_token(head, "Connection", name);
 }
 
 void http_head_copy_end_to_end(HttpHead *to, const HttpHead *from) {
   guint i;
   for (i = 0; i < from->fields->len; i++) {
     const HttpField *field = field_at(from, i);
-    if (!concerns_connection(from, field->name))
+    if (!is_hop_by_hop(from, field->name))
       http_head_add(to, field->name, field->value);
   }
 }
 
-const char *http_reason(int status) {
+const char *http_reason_phrase(int status) {
   static const struct {
     int status;
     const char *reason;
@@ -166,7 +166,7 @@
                            head->target);
   else
     g_string_append_printf(out, "HTTP/1.1 %d %s\r\n", head->status,
-                           http_reason(head->status));
+                           http_reason_phrase(head->status));
   for (i = 0; i < head->fields->len; i++) {
     const HttpField *field = field_at(head, i);
     g_string_append_printf(out, "%s: %s\r\n", field->name, field->value);
--- a/http/head.h
+++ b/http/head.h
@@ -26,8 +26,8 @@
 void http_head_free(HttpHead *head);
 
 /* a request's or an answer's head with no fields yet */
-HttpHead *http_head_request(const char *method, const char *target);
-HttpHead *http_head_answer(int status);
+HttpHead *http_head_new_request(const char *method, const char *target);
+HttpHead *http_head_new_response(int status);
 
 /* append a field; both texts are copied */
 void http_head_add(HttpHead *head, const char *name, const char *value);
@@ -41,8 +41,8 @@
 void http_head_remove(HttpHead *head, const char *name);
 
 /* does a comma-separated field hold this word? */
-gboolean http_head_has_word(const HttpHead *head, const char *name,
-                            const char *word);
+gboolean http_head_has_token(const HttpHead *head, const char *name,
+                             const char *word);
 
 /*
 ** Append all fields of 'from' that concern the message and not one
@@ -52,7 +52,7 @@
 void http_head_copy_end_to_end(HttpHead *to, const HttpHead *from);
 
 /* the reason phrase of a status */
-const char *http_reason(int status);
+const char *http_reason_phrase(int status);
 
 /* write the head with its start line and the empty line after it */
 void http_head_write(const HttpHead *head, GString *out);
--- a/http/reader.c
+++ b/http/reader.c
@@ -12,10 +12,10 @@
 struct HttpReader {
   http_parser parser;
   http_parser_settings settings;
-  HttpReaderHooks hooks;
+  HttpReaderCallbacks hooks;
   void *data;
   HttpReaderState state;
-  HttpReaderFault fault;
+  HttpReaderError fault;
   HttpHead *head; /* being read; NULL once handed over */
   GString *name, *value, *target;
   gboolean in_value;
@@ -35,7 +35,7 @@
   return parser->data;
 }
 
-static int refuse(HttpReader *reader, HttpReaderFault fault) {
+static int refuse(HttpReader *reader, HttpReaderError fault) {
   reader->fault = fault;
   return -1;
 }
@@ -43,7 +43,7 @@
 static int count_head(HttpReader *reader, size_t size) {
   reader->head_bytes += size;
   if (reader->head_limit > 0 && reader->head_bytes > reader->head_limit)
-    return refuse(reader, HTTP_FAULT_HEAD_SIZE);
+    return refuse(reader, HTTP_ERROR_HEAD_TOO_LARGE);
   return 0;
 }
 
@@ -92,7 +92,7 @@
 }
 
 /* two lengths, or a length beside chunks: nobody knows where it ends */
-static gboolean framing_is_doubtful(const HttpHead *head) {
+static gboolean is_framing_ambiguous(const HttpHead *head) {
   unsigned lengths = http_head_count(head, "Content-Length");
   unsigned encodings = http_head_count(head, "Transfer-Encoding");
   return lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0);
@@ -103,8 +103,8 @@
   HttpReader *reader = reader_of(parser);
   HttpHead *head = reader->head;
   take_field(reader);
-  if (head == NULL || framing_is_doubtful(head)) {
-    refuse(reader, HTTP_FAULT_SYNTAX);
+  if (head == NULL || is_framing_ambiguous(head)) {
+    refuse(reader, HTTP_ERROR_SYNTAX);
     return -1;
   }
   if (parser->type == HTTP_REQUEST) {
@@ -121,7 +121,7 @@
   HttpReader *reader = reader_of(parser);
   reader->body_bytes += size;
   if (reader->body_limit > 0 && reader->body_bytes > reader->body_limit)
-    return refuse(reader, HTTP_FAULT_BODY_SIZE);
+    return refuse(reader, HTTP_ERROR_BODY_TOO_LARGE);
   reader->hooks.body(reader->data, bytes, size);
   return 0;
 }
@@ -136,8 +136,8 @@
 
 /* }================================================================== */
 
-HttpReader *http_reader_new(HttpReaderKind kind, const HttpReaderHooks *hooks,
-                            void *data) {
+HttpReader *http_reader_new(HttpReaderKind kind,
+                            const HttpReaderCallbacks *hooks, void *data) {
   HttpReader *reader = g_new0(HttpReader, 1);
   http_parser_settings_init(&reader->settings);
   reader->settings.on_message_begin = on_begin;
@@ -168,8 +168,8 @@
   g_free(reader);
 }
 
-void http_reader_limit(HttpReader *reader, size_t head_bytes,
-                       size_t body_bytes) {
+void http_reader_set_limits(HttpReader *reader, size_t head_bytes,
+                            size_t body_bytes) {
   reader->head_limit = head_bytes;
   reader->body_limit = body_bytes;
 }
@@ -180,28 +180,28 @@
 
 size_t http_reader_feed(HttpReader *reader, const char *bytes, size_t size) {
   size_t used;
-  if (reader->state == HTTP_READER_BAD || reader->state == HTTP_READER_DONE)
+  if (reader->state == HTTP_READER_FAILED || reader->state == HTTP_READER_DONE)
     return 0;
   used = http_parser_execute(&reader->parser, &reader->settings, bytes, size);
   if (reader->state == HTTP_READER_DONE)
     return used;
   if (HTTP_PARSER_ERRNO(&reader->parser) != HPE_OK || reader->parser.upgrade) {
-    reader->state = HTTP_READER_BAD;
-    if (reader->fault == HTTP_FAULT_NONE)
-      reader->fault = HTTP_FAULT_SYNTAX;
+    reader->state = HTTP_READER_FAILED;
+    if (reader->fault == HTTP_ERROR_NONE)
+      reader->fault = HTTP_ERROR_SYNTAX;
   }
   return used;
 }
 
-void http_reader_end(HttpReader *reader) {
+void http_reader_handle_eof(HttpReader *reader) {
   if (reader->state != HTTP_READER_PARTIAL)
     return;
   http_parser_execute(&reader->parser, &reader->settings, NULL, 0);
   if (reader->state != HTTP_READER_DONE)
-    reader->state = HTTP_READER_BAD;
+    reader->state = HTTP_READER_FAILED;
 }
 
-void http_reader_next(HttpReader *reader) {
+void http_reader_start_next(HttpReader *reader) {
   g_assert(reader->state == HTTP_READER_DONE);
   http_parser_pause(&reader->parser, 0);
   reader->state = HTTP_READER_IDLE;
@@ -212,7 +212,7 @@
   return reader->state;
 }
 
-HttpReaderFault http_reader_fault(const HttpReader *reader) {
+HttpReaderError http_reader_error(const HttpReader *reader) {
   return reader->fault;
 }
 
--- a/io/caller_errors.h
+++ b/io/caller_errors.h
@@ -29,6 +29,7 @@
                        const char *detail, const char *id);
 
 /* straight to the socket: libevhtp is about to close it */
-void caller_last_words(evhtp_connection_t *c, mp_Error e, const char *detail);
+void caller_send_before_close(evhtp_connection_t *c, mp_Error e,
+                              const char *detail);
 
 #endif
--- a/io/callers.c
+++ b/io/callers.c
@@ -305,23 +305,23 @@
   const char *len = header(r, "Content-Length");
   evhtp_kvs_for_each(h, countheader, &s);
   if (s.all > C->max_headers) {
-    caller_last_words(r->conn, MP_ERR_TOO_LARGE, "too many headers");
+    caller_send_before_close(r->conn, MP_ERR_TOO_LARGE, "too many headers");
     return EVHTP_RES_ERROR;
   }
   if (s.length > 1 || s.key > 1 || s.encoding > 1 ||
       (s.length > 0 && s.encoding > 0)) {
-    caller_last_words(
+    caller_send_before_close(
         r->conn, MP_ERR_BAD_REQUEST,
         "Content-Length, Transfer-Encoding and Idempotency-Key may "
         "stand once, and not the first two together");
     return EVHTP_RES_ERROR;
   }
   if (len != NULL && g_ascii_strtoull(len, NULL, 10) > C->max_body) {
-    caller_last_words(r->conn, MP_ERR_TOO_LARGE, "Content-Length");
+    caller_send_before_close(r->conn, MP_ERR_TOO_LARGE, "Content-Length");
     return EVHTP_RES_ERROR;
   }
   if (r->uri == NULL || r->uri->path == NULL || r->uri->path->full == NULL) {
-    caller_last_words(r->conn, MP_ERR_BAD_REQUEST, "no path");
+    caller_send_before_close(r->conn, MP_ERR_BAD_REQUEST, "no path");
     return EVHTP_RES_ERROR;
   }
   /* now, since libevhtp takes a form's body for the query later on */
@@ -335,7 +335,7 @@
   if (evbuffer_get_length(r->buffer_in) + evbuffer_get_length(b) <=
       C->max_body)
     return EVHTP_RES_OK;
-  caller_last_words(r->conn, MP_ERR_TOO_LARGE, "body");
+  caller_send_before_close(r->conn, MP_ERR_TOO_LARGE, "body");
   return EVHTP_RES_ERROR;
 }
 
@@ -346,7 +346,7 @@
   if (c != NULL && (c->known || c->ended))
     return; /* words would mix with the answer */
   if ((events & BEV_EVENT_TIMEOUT) && (events & BEV_EVENT_READING))
-    caller_last_words(conn, MP_ERR_TIMEOUT, NULL);
+    caller_send_before_close(conn, MP_ERR_TIMEOUT, NULL);
 }
 
 /* closed by the parser, and not by one of the hooks above */
@@ -357,7 +357,7 @@
   if (c != NULL && (c->known || c->ended))
     return EVHTP_RES_OK;
   if (e != htparse_error_none && e != htparse_error_user)
-    caller_last_words(conn, MP_ERR_BAD_REQUEST, "not HTTP");
+    caller_send_before_close(conn, MP_ERR_BAD_REQUEST, "not HTTP");
   return EVHTP_RES_OK;
 }
 
--- a/io/directory.c
+++ b/io/directory.c
@@ -74,7 +74,7 @@
 /* told once for each revision: a follower hands an object on when it is new */
 static void bad_record(Directory *directory, StoreKind kind, const char *name,
                        GError *error) {
-  directory->bad_objects[kind][record_fault_field(error)]++;
+  directory->bad_objects[kind][record_error_field(error)]++;
   log_numbered(directory->log, MP_LOG_STORE_RECORD_BAD,
                " kind=%d name=%s error=\"%s\"", (int)kind, name,
                error != NULL ? error->message : "unreadable");
@@ -110,13 +110,14 @@
 static gboolean read_endpoint(const Directory *directory,
                               const StoreObject *object, EndpointRecord *out,
                               GError **error) {
-  if (!directory->dialect->read_record(object->name, object->text, out, error))
+  if (!directory->dialect->read_endpoint_record(object->name, object->text,
+                                                out, error))
     return FALSE;
   out->position = object->position;
   if (!is_own(directory, out->address))
     return TRUE;
   endpoint_record_clear(out);
-  g_set_error_literal(error, RECORD_FAULT, RECORD_ADDRESS,
+  g_set_error_literal(error, RECORD_ERROR, RECORD_ADDRESS,
                       "the address is this instance's own; correct the entry");
   return FALSE;
 }
@@ -143,11 +144,11 @@
   if (object->gone) {
     if (g_ascii_string_to_unsigned(object->name, 16, 0, G_MAXUINT64, &content,
                                    NULL))
-      router_lift_quarantine(directory->router, content, clock_now());
+      router_remove_quarantine(directory->router, content, clock_now());
   } else if (directory->dialect->read_quarantine(object->name, object->text,
                                                  &record, &error))
-    router_take_quarantine(directory->router, &record, object->position,
-                           clock_now());
+    router_apply_quarantine(directory->router, &record, object->position,
+                            clock_now());
   else
     bad_record(directory, STORE_QUARANTINE, object->name, error);
 }
@@ -365,7 +366,7 @@
 
 static void begin_following(Directory *directory) {
   directory->is_started = TRUE;
-  following_look(directory->following[STORE_INSTANCES]);
+  following_poll(directory->following[STORE_INSTANCES]);
 }
 
 static void on_settle_timer(evutil_socket_t fd, short what, void *data) {
@@ -379,7 +380,7 @@
   if (directory->is_started)
     return;
   if (status == STORE_FAILED)
-    relay_group_begin_alone(directory->group);
+    relay_group_skip_start_wait(directory->group);
   if (status == STORE_OK)
     start_timer(directory->settle_timer, SETTLE);
   else
@@ -391,7 +392,7 @@
                               const GError *error) {
   Directory *directory = data;
   directory->registering = FALSE;
-  relay_group_hear_era(directory->group, reply->at.era);
+  relay_group_observe_era(directory->group, reply->at.era);
   directory->entry_failed = reply->status == STORE_FAILED;
   event_del(directory->register_timer);
   if (directory->entry_failed) {
@@ -435,8 +436,8 @@
   follow.kind = kind;
   follow.watch_wait = watch_wait;
   follow.pause = pause;
-  follow.proof_within =
-      kind == STORE_CONFIGURATION ? options->proof_within : 0;
+  follow.proof_wait_max =
+      kind == STORE_CONFIGURATION ? options->proof_wait_max : 0;
   follow.store = options->store;
   follow.seeds = directory->seeds;
   follow.seeds_count = options->seeds_count;
@@ -484,7 +485,7 @@
   directory->settle_timer = evtimer_new(base, on_settle_timer, directory);
   follow_all(directory, options);
   enter(directory);
-  directory_look(directory);
+  directory_poll(directory);
   return directory;
 }
 
@@ -513,35 +514,35 @@
   start_timer(directory->register_timer, wait);
 }
 
-void directory_look(Directory *directory) {
+void directory_poll(Directory *directory) {
   int kind;
-  router_hear_era(directory->router, relay_group_era(directory->group),
-                  clock_now());
+  router_observe_era(directory->router, relay_group_era(directory->group),
+                     clock_now());
   look_at_entry(directory);
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     if (kind != STORE_INSTANCES || directory->is_started)
-      following_look(directory->following[kind]);
+      following_poll(directory->following[kind]);
   }
 }
 
-void directory_answer(const Directory *directory, const NewsQuery *query,
-                      StoreReply *out) {
+void directory_answer_query(const Directory *directory, const NewsQuery *query,
+                            StoreReply *out) {
   follower_answer(following_follower(directory->following[query->kind]),
                   &query->asked, out);
 }
 
-void directory_changed(const Directory *directory,
-                       StorePosition changed[MP_RELAY_KINDS]) {
+void directory_newest_changes(const Directory *directory,
+                              StorePosition changed[MP_RELAY_KINDS]) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     changed[kind] = following_follower(directory->following[kind])->changed;
 }
 
 static gboolean knows(const Directory *directory, StoreKind kind) {
-  return follower_knows(following_follower(directory->following[kind]));
+  return follower_is_synced(following_follower(directory->following[kind]));
 }
 
-gboolean directory_knows(const Directory *directory) {
+gboolean directory_is_loaded(const Directory *directory) {
   return knows(directory, STORE_CONFIGURATION) &&
          knows(directory, STORE_ENDPOINTS);
 }
@@ -552,10 +553,11 @@
 
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
                               RecordField field) {
-  guint64 nameless = field == RECORD_NAME
-                         ? following_nameless(directory->following[kind])
-                         : 0;
-  return directory->bad_objects[kind][field] + nameless;
+  guint64 unreadable_names =
+      field == RECORD_NAME
+          ? following_nameless_objects(directory->following[kind])
+          : 0;
+  return directory->bad_objects[kind][field] + unreadable_names;
 }
 
 guint64 directory_store_calls(const Directory *directory) {
@@ -566,10 +568,10 @@
   return calls;
 }
 
-guint64 directory_store_calls_left(const Directory *directory) {
+guint64 directory_abandoned_store_calls(const Directory *directory) {
   guint64 calls = 0;
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
-    calls += following_calls_left(directory->following[kind]);
+    calls += following_abandoned_calls(directory->following[kind]);
   return calls;
 }
--- a/io/directory.h
+++ b/io/directory.h
@@ -31,8 +31,8 @@
   mp_Addr store;
   const mp_Addr *seeds; /* instances to ask while there is no store */
   unsigned seeds_count;
-  gint64 watch_wait;   /* longest wait of one watch */
-  gint64 proof_within; /* of the configuration; as in NewsSource */
+  gint64 watch_wait;     /* longest wait of one watch */
+  gint64 proof_wait_max; /* of the configuration; as in NewsSource */
 } DirectoryOptions;
 
 typedef struct DirectoryHooks {
@@ -52,22 +52,22 @@
 void directory_free(Directory *directory);
 
 /* who may be asked has changed: look for news */
-void directory_look(Directory *directory);
+void directory_poll(Directory *directory);
 
 /* what this instance knows of a kind, to answer others with */
-void directory_answer(const Directory *directory, const NewsQuery *query,
-                      StoreReply *out);
+void directory_answer_query(const Directory *directory, const NewsQuery *query,
+                            StoreReply *out);
 /* the position of the newest change known, by kind */
-void directory_changed(const Directory *directory,
-                       StorePosition changed[MP_RELAY_KINDS]);
+void directory_newest_changes(const Directory *directory,
+                              StorePosition changed[MP_RELAY_KINDS]);
 /* configuration and endpoints have been read, from whoever */
-gboolean directory_knows(const Directory *directory);
+gboolean directory_is_loaded(const Directory *directory);
 
 /* endpoints have been listed, by the store or by an instance */
 gboolean directory_has_endpoints(const Directory *directory);
 guint64 directory_store_calls(const Directory *directory);
 /* of them, those given up for news known elsewhere */
-guint64 directory_store_calls_left(const Directory *directory);
+guint64 directory_abandoned_store_calls(const Directory *directory);
 /* objects of a kind that could not be read for this field: each once a
 ** revision, and those without a name as often as they were listed */
 guint64 directory_bad_objects(const Directory *directory, StoreKind kind,
--- a/io/endpoint_call.c
+++ b/io/endpoint_call.c
@@ -54,7 +54,7 @@
   return OUTCOME_ANSWER;
 }
 
-gboolean endpoint_call_served(const EndpointCall *call) {
+gboolean endpoint_call_has_served(const EndpointCall *call) {
   int status = call->head->status;
   return status >= 200 && status < 300 && !call->facts.not_run &&
          (call->kind == DISPATCH_RUN || call->kind == DISPATCH_PREFILL);
--- a/io/endpoint_call.h
+++ b/io/endpoint_call.h
@@ -34,6 +34,6 @@
 /* the whole answer is there: how the dispatch ended */
 OutcomeKind endpoint_call_classify(const EndpointCall *call);
 /* the head is there: does the answer serve a caller's request? */
-gboolean endpoint_call_served(const EndpointCall *call);
+gboolean endpoint_call_has_served(const EndpointCall *call);
 
 #endif
--- a/io/endpoint_links.c
+++ b/io/endpoint_links.c
@@ -91,7 +91,7 @@
   g_hash_table_remove(links->calls, &link->call->dispatch);
   endpoint_call_free(link->call);
   link->call = NULL;
-  link_pool_rest(links->pool, link->endpoint, link);
+  link_pool_put_idle(links->pool, link->endpoint, link);
   start_timer(link, limit);
 }
 
@@ -111,7 +111,7 @@
     drop(link);
     return;
   }
-  http_reader_next(link->reader);
+  http_reader_start_next(link->reader);
   rest(link, limit);
 }
 
@@ -152,17 +152,17 @@
 static void finish(Link *link) {
   EndpointCall *call = link->call;
   Outcome outcome = {0};
-  PrefillAnswer prefill = {0};
+  PrefillResponse prefill = {0};
   EngineReport report = {0};
-  EndpointAnswer answer = {call->head, (const char *)call->body->data,
-                           call->body->len};
+  EndpointResponse answer = {call->head, (const char *)call->body->data,
+                             call->body->len};
   if (call->kind == DISPATCH_RELEASE) {
     rest_or_close(link);
     return;
   }
   outcome.kind =
       call->is_stream ? OUTCOME_STREAM_END : endpoint_call_classify(call);
-  if (call->is_stream && event_splitter_pending(&call->events) > 0)
+  if (call->is_stream && event_splitter_pending_size(&call->events) > 0)
     outcome.kind = OUTCOME_BROKEN;
   outcome.status = call->head->status;
   outcome.misdirected = call->facts.misdirected;
@@ -202,7 +202,7 @@
   EndpointSignals signals = call->facts.signals;
   if (call->skip || call->facts.misdirected)
     return;
-  signals.served = endpoint_call_served(call);
+  signals.served = endpoint_call_has_served(call);
   hooks->signals(hooks->data, link->endpoint, call->life, &signals);
 }
 
@@ -233,7 +233,7 @@
 /* pass on the head and the whole events so far; FALSE: the link is gone */
 static gboolean tell_stream(Link *link) {
   EndpointCall *call = link->call;
-  EndpointAnswer answer = {call->head, NULL, 0};
+  EndpointResponse answer = {call->head, NULL, 0};
   Outcome outcome = {0};
   GString *whole;
   char *id = NULL;
@@ -269,7 +269,7 @@
   HttpReaderState state = http_reader_state(link->reader);
   const EndpointCall *call = link->call;
   g_assert(call != NULL);
-  if (state == HTTP_READER_BAD ||
+  if (state == HTTP_READER_FAILED ||
       (state == HTTP_READER_DONE && call->head == NULL)) {
     fail(link, OUTCOME_BROKEN);
     return FALSE;
@@ -279,7 +279,7 @@
   if (state != HTTP_READER_DONE)
     return TRUE;
   if (call->head->status < 200 || call->skip) { /* not the answer yet */
-    http_reader_next(link->reader);
+    http_reader_start_next(link->reader);
     return TRUE;
   }
   finish(link);
@@ -332,7 +332,7 @@
   read_answer(link);
   if (g_hash_table_lookup(links->calls, &dispatch) != link)
     return;
-  http_reader_end(link->reader);
+  http_reader_handle_eof(link->reader);
   link->doubtful = TRUE;
   if (http_reader_state(link->reader) != HTTP_READER_DONE)
     fail(link, OUTCOME_BROKEN);
@@ -404,13 +404,13 @@
 ** ===================================================================
 */
 
-static const HttpReaderHooks reader_hooks = {on_head, on_body};
+static const HttpReaderCallbacks reader_hooks = {on_head, on_body};
 
 static Link *link_new(EndpointLinks *links, const Dispatch *dispatch) {
   Link *link = g_new0(Link, 1);
   link->links = links;
   link->endpoint = g_strdup(dispatch->endpoint);
-  link->reader = http_reader_new(HTTP_ANSWERS, &reader_hooks, link);
+  link->reader = http_reader_new(HTTP_RESPONSES, &reader_hooks, link);
   link->timer = evtimer_new(links->base, on_timer, link);
   link->events = bufferevent_socket_new(
       links->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
@@ -429,7 +429,7 @@
 }
 
 static Link *idle_link(EndpointLinks *links, const char *endpoint) {
-  Link *link = link_pool_take(links->pool, endpoint);
+  Link *link = link_pool_take_idle(links->pool, endpoint);
   if (link != NULL)
     event_del(link->timer);
   return link;
@@ -527,12 +527,12 @@
 
 void endpoint_links_trim(EndpointLinks *links) {
   const EndpointLinksHooks *hooks = &links->hooks;
-  GPtrArray *endpoints = link_pool_endpoints(links->pool);
+  GPtrArray *endpoints = link_pool_idle_endpoints(links->pool);
   guint i;
   for (i = 0; i < endpoints->len; i++) {
     char *endpoint = g_strdup(endpoints->pdata[i]);
     Link *link;
-    while ((link = link_pool_oldest(links->pool, endpoint)) != NULL &&
+    while ((link = link_pool_longest_idle(links->pool, endpoint)) != NULL &&
            !hooks->keeps(hooks->data, endpoint))
       drop(link);
     g_free(endpoint);
@@ -540,10 +540,10 @@
   g_ptr_array_free(endpoints, TRUE);
 }
 
-unsigned endpoint_links_idle(const EndpointLinks *links) {
-  return link_pool_resting(links->pool);
+unsigned endpoint_links_idle_count(const EndpointLinks *links) {
+  return link_pool_idle_count(links->pool);
 }
 
-guint64 endpoint_links_opened(const EndpointLinks *links) {
+guint64 endpoint_links_opened_count(const EndpointLinks *links) {
   return links->opened;
 }
--- a/io/endpoint_links.h
+++ b/io/endpoint_links.h
@@ -19,11 +19,11 @@
 typedef struct EndpointLinks EndpointLinks;
 
 /* the payload of an outcome: what goes on to the caller */
-typedef struct EndpointAnswer {
+typedef struct EndpointResponse {
   const HttpHead *head; /* ANSWER and STREAM_HEAD */
   const char *bytes;    /* ANSWER: the whole body; STREAM_PIECE: events */
   gsize size;
-} EndpointAnswer;
+} EndpointResponse;
 
 typedef struct EndpointLinksHooks {
   void *data;
@@ -55,7 +55,7 @@
 /* close resting connections that are not to be kept any more */
 void endpoint_links_trim(EndpointLinks *links);
 
-unsigned endpoint_links_idle(const EndpointLinks *links);
-guint64 endpoint_links_opened(const EndpointLinks *links);
+unsigned endpoint_links_idle_count(const EndpointLinks *links);
+guint64 endpoint_links_opened_count(const EndpointLinks *links);
 
 #endif
--- a/io/following.c
+++ b/io/following.c
@@ -16,10 +16,10 @@
   StoreLink *instance; /* a relay, or a seed */
   struct event *timer;
   gint64 asked_at;    /* the open call's, or the last one's */
-  guint64 calls_left; /* as following_calls_left */
+  guint64 calls_left; /* as following_abandoned_calls */
   gboolean lag_told;  /* the log has a line that this instance lags */
   gint64 lagged_from; /* lag_told: since then */
-  guint64 nameless;
+  guint64 unreadable_names;
   gint64 nameless_told; /* when the log had a line about them */
 };
 
@@ -43,55 +43,55 @@
   const NewsState *news = news_of(following);
   gint64 now = clock_now();
   int kind = (int)following->source.follower.kind;
-  char held[STORE_POSITION_TEXT];
-  char newest[STORE_POSITION_TEXT];
+  char held[STORE_POSITION_TEXT_SIZE];
+  char newest[STORE_POSITION_TEXT_SIZE];
   if (following->lag_told && news->lags_since == 0) {
     following->lag_told = FALSE;
     log_numbered(following->log, MP_LOG_NEWS_LEVEL,
                  " kind=%d held=%s lagged_ms=%d", kind,
-                 store_position_text(news->held, held),
+                 store_position_format(news->held, held),
                  (int)((now - following->lagged_from) / MP_MS));
   }
   if (following->lag_told || news_state_lag(news, now) <=
-                                 relay_group_lag_most(following->source.group))
+                                 relay_group_lag_max(following->source.group))
     return;
   following->lag_told = TRUE;
   following->lagged_from = news->lags_since;
   log_numbered(following->log, MP_LOG_NEWS_LAG,
                " kind=%d held=%s newest=%s lag_ms=%d asked=%s open_ms=%d"
                " bytes=%" G_GSIZE_FORMAT,
-               kind, store_position_text(news->held, held),
-               store_position_text(news->newest, newest),
+               kind, store_position_format(news->held, held),
+               store_position_format(news->newest, newest),
                (int)(news_state_lag(news, now) / MP_MS),
                following->source.at_store ? "store" : "instance",
                (int)((now - following->asked_at) / MP_MS),
-               store_link_received(following->source.at_store
-                                       ? following->store
-                                       : following->instance));
+               store_link_received_bytes(following->source.at_store
+                                             ? following->store
+                                             : following->instance));
 }
 
 static void leave_store(Following *following) {
   const NewsState *news = news_of(following);
-  char held[STORE_POSITION_TEXT];
-  char newest[STORE_POSITION_TEXT];
+  char held[STORE_POSITION_TEXT_SIZE];
+  char newest[STORE_POSITION_TEXT_SIZE];
   following->calls_left++;
   log_numbered(following->log, MP_LOG_STORE_CALL_LEFT,
                " kind=%d held=%s newest=%s open_ms=%d bytes=%" G_GSIZE_FORMAT,
                (int)following->source.follower.kind,
-               store_position_text(news->held, held),
-               store_position_text(news->newest, newest),
+               store_position_format(news->held, held),
+               store_position_format(news->newest, newest),
                (int)((clock_now() - following->asked_at) / MP_MS),
-               store_link_received(following->store));
+               store_link_received_bytes(following->store));
   store_link_abandon(following->store);
   start_timer(following, 0);
 }
 
-void following_look(Following *following) {
-  NewsWanted wanted;
+void following_poll(Following *following) {
+  NewsAction wanted;
   note_lag(following);
-  if (store_link_heard_at(following->store) != 0)
+  if (store_link_received_at(following->store) != 0)
     news_source_progress(&following->source,
-                         store_link_heard_at(following->store));
+                         store_link_received_at(following->store));
   news_source_next(&following->source, clock_now(), &wanted);
   if (wanted.step == NEWS_ASK_STORE || wanted.step == NEWS_ASK_INSTANCE)
     following->asked_at = clock_now();
@@ -107,7 +107,7 @@
     store_link_set_address(following->instance, wanted.instance);
     store_link_call(following->instance, &wanted.call, wanted.patience);
     break;
-  case NEWS_LEAVE_STORE:
+  case NEWS_ABANDON_STORE_CALL:
     leave_store(following);
     break;
   }
@@ -116,31 +116,31 @@
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  following_look(data);
+  following_poll(data);
 }
 
 static void note_overtaken(const Following *following,
                            const StoreReply *reply) {
   const Follower *follower = &following->source.follower;
-  char at[STORE_POSITION_TEXT];
-  char known[STORE_POSITION_TEXT];
+  char at[STORE_POSITION_TEXT_SIZE];
+  char known[STORE_POSITION_TEXT_SIZE];
   log_numbered(following->log, MP_LOG_ANSWER_OVERTAKEN,
                " kind=%d at=%s known=%s", (int)follower->kind,
-               store_position_text(reply->at, at),
-               store_position_text(follower->known, known));
+               store_position_format(reply->at, at),
+               store_position_format(follower->known, known));
 }
 
 /* one line when a kind is first known in a newer era */
 static void note_restored(const Following *following, StorePosition was) {
   const Follower *follower = &following->source.follower;
-  char from[STORE_POSITION_TEXT];
-  char to[STORE_POSITION_TEXT];
+  char from[STORE_POSITION_TEXT_SIZE];
+  char to[STORE_POSITION_TEXT_SIZE];
   if (store_position_is_none(was) || follower->known.era == was.era)
     return;
   log_numbered(following->log, MP_LOG_STORE_RESTORED,
                " kind=%d was=%s is=%s heard_from=%s", (int)follower->kind,
-               store_position_text(was, from),
-               store_position_text(follower->known, to),
+               store_position_format(was, from),
+               store_position_format(follower->known, to),
                following->source.at_store ? "store" : "instance");
 }
 
@@ -148,7 +148,7 @@
   guint missed = following->source.missed;
   guint overtaken = following->source.follower.overtaken;
   StorePosition known = following->source.follower.known;
-  char at[STORE_POSITION_TEXT];
+  char at[STORE_POSITION_TEXT_SIZE];
   if (reply->status == STORE_HISTORY_GONE)
     log_numbered(following->log, MP_LOG_STORE_HISTORY_GONE, " kind=%d",
                  (int)following->source.follower.kind);
@@ -156,7 +156,7 @@
   if (following->source.missed != missed)
     log_numbered(following->log, MP_LOG_WATCH_MISSED, " kind=%d at=%s",
                  (int)following->source.follower.kind,
-                 store_position_text(reply->at, at));
+                 store_position_format(reply->at, at));
   if (following->source.follower.overtaken != overtaken)
     note_overtaken(following, reply);
   note_restored(following, known);
@@ -164,15 +164,15 @@
 
 static void note_nameless(Following *following, const StoreReply *reply) {
   gint64 now = clock_now();
-  if (reply->nameless == 0)
+  if (reply->unreadable_names == 0)
     return;
-  following->nameless += reply->nameless;
+  following->unreadable_names += reply->unreadable_names;
   if (following->nameless_told != 0 &&
       now - following->nameless_told < NAMELESS_PAUSE)
     return;
   following->nameless_told = now;
   log_numbered(following->log, MP_LOG_STORE_NAMELESS, " kind=%d objects=%u",
-               (int)following->source.follower.kind, reply->nameless);
+               (int)following->source.follower.kind, reply->unreadable_names);
 }
 
 static void on_store_reply(void *data, const StoreReply *reply,
@@ -220,7 +220,7 @@
                 options->watch_wait, options->pause, &host->objects);
   news_source_init(&following->source, group, &source, options->seeds,
                    options->seeds_count);
-  following->source.proof_within = options->proof_within;
+  following->source.proof_wait_max = options->proof_wait_max;
   following->store = store_link_new(base, options->store, &dialect->store,
                                     on_store_reply, following);
   following->instance =
@@ -241,11 +241,11 @@
   return &following->source.follower;
 }
 
-guint64 following_nameless(const Following *following) {
-  return following->nameless;
+guint64 following_nameless_objects(const Following *following) {
+  return following->unreadable_names;
 }
 
-guint64 following_calls_left(const Following *following) {
+guint64 following_abandoned_calls(const Following *following) {
   return following->calls_left;
 }
 
--- a/io/following.h
+++ b/io/following.h
@@ -17,9 +17,9 @@
 
 typedef struct FollowingOptions {
   StoreKind kind;
-  gint64 watch_wait;   /* longest wait of one watch */
-  gint64 pause;        /* after news */
-  gint64 proof_within; /* as in NewsSource */
+  gint64 watch_wait;     /* longest wait of one watch */
+  gint64 pause;          /* after news */
+  gint64 proof_wait_max; /* as in NewsSource */
   mp_Addr store;
   const mp_Addr *seeds; /* asked when the store is away at a start; they
                         ** outlive the Following */
@@ -34,20 +34,20 @@
   void (*answered)(void *data);
 } FollowingHost;
 
-/* makes no call before following_look */
+/* makes no call before following_poll */
 Following *following_new(struct event_base *base, const Dialect *dialect,
                          const FollowingOptions *options, RelayGroup *group,
                          const FollowingHost *host, Log *log);
 void following_free(Following *following);
 
 /* who may be asked has changed, or a relay has news */
-void following_look(Following *following);
+void following_poll(Following *following);
 
 const Follower *following_follower(const Following *following);
 /* objects without a name that can be read, in all answers of the store */
-guint64 following_nameless(const Following *following);
+guint64 following_nameless_objects(const Following *following);
 /* calls to the store that were given up for news known elsewhere */
-guint64 following_calls_left(const Following *following);
+guint64 following_abandoned_calls(const Following *following);
 /* calls made to the store; those to instances are not counted */
 guint64 following_store_calls(const Following *following);
 
--- a/io/front.c
+++ b/io/front.c
@@ -122,7 +122,7 @@
     return;
   }
   connection->state = CONNECTION_READING;
-  http_reader_next(connection->reader);
+  http_reader_start_next(connection->reader);
   set_read_timeout(connection, connection->front->limits.idle_timeout);
   if (evbuffer_get_length(bufferevent_get_input(connection->events)) > 0)
     bufferevent_trigger(connection->events, EV_READ,
@@ -146,7 +146,7 @@
 
 /* our own fields beside those of the answer */
 static HttpHead *answer_head(const HttpHead *from, gboolean close) {
-  HttpHead *head = http_head_answer(from->status);
+  HttpHead *head = http_head_new_response(from->status);
   http_head_copy_end_to_end(head, from);
   if (close)
     http_head_add(head, "Connection", "close");
@@ -220,11 +220,11 @@
 }
 
 static void refuse_fault(Connection *connection) {
-  switch (http_reader_fault(connection->reader)) {
-  case HTTP_FAULT_HEAD_SIZE:
+  switch (http_reader_error(connection->reader)) {
+  case HTTP_ERROR_HEAD_TOO_LARGE:
     refuse_input(connection, 431, "the head is larger than the limit");
     break;
-  case HTTP_FAULT_BODY_SIZE:
+  case HTTP_ERROR_BODY_TOO_LARGE:
     refuse_input(connection, 413, "the body is larger than the limit");
     break;
   default:
@@ -241,7 +241,7 @@
     const char *bytes = (const char *)evbuffer_pullup(in, (ev_ssize_t)size);
     size_t used = http_reader_feed(reader, bytes, size);
     evbuffer_drain(in, used);
-    if (http_reader_state(reader) == HTTP_READER_BAD) {
+    if (http_reader_state(reader) == HTTP_READER_FAILED) {
       refuse_fault(connection);
       return;
     }
@@ -293,7 +293,7 @@
   close_connection(connection);
 }
 
-static const HttpReaderHooks reader_hooks = {on_head, on_body};
+static const HttpReaderCallbacks reader_hooks = {on_head, on_body};
 
 static void on_accept(struct evconnlistener *listener, evutil_socket_t fd,
                       struct sockaddr *address, int size, void *data) {
@@ -308,8 +308,8 @@
   connection->body = g_byte_array_new();
   connection->reader =
       http_reader_new(HTTP_REQUESTS, &reader_hooks, connection);
-  http_reader_limit(connection->reader, front->limits.max_head_bytes,
-                    front->limits.max_body_bytes);
+  http_reader_set_limits(connection->reader, front->limits.max_head_bytes,
+                         front->limits.max_body_bytes);
   connection->events = bufferevent_socket_new(
       front->base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   bufferevent_setwatermark(connection->events, EV_READ, 0, READ_AHEAD);
@@ -342,8 +342,8 @@
   return connection != NULL ? connection->body : NULL;
 }
 
-void front_answer(Front *front, guint64 number, const HttpHead *head,
-                  const char *body, gsize size) {
+void front_send_response(Front *front, guint64 number, const HttpHead *head,
+                         const char *body, gsize size) {
   Connection *connection = find(front, number);
   gboolean close;
   if (connection == NULL)
@@ -353,7 +353,7 @@
   answer_ended(connection, close);
 }
 
-void front_begin(Front *front, guint64 number, const HttpHead *from) {
+void front_begin_response(Front *front, guint64 number, const HttpHead *from) {
   Connection *connection = find(front, number);
   HttpHead *head;
   if (connection == NULL)
@@ -365,7 +365,8 @@
   connection->state = CONNECTION_ANSWERING;
 }
 
-void front_piece(Front *front, guint64 number, const char *bytes, gsize size) {
+void front_send_piece(Front *front, guint64 number, const char *bytes,
+                      gsize size) {
   Connection *connection = find(front, number);
   struct evbuffer *out;
   if (connection == NULL || size == 0)
@@ -378,7 +379,7 @@
     shutdown(bufferevent_getfd(connection->events), SHUT_RDWR);
 }
 
-void front_end(Front *front, guint64 number) {
+void front_end_response(Front *front, guint64 number) {
   Connection *connection = find(front, number);
   if (connection == NULL)
     return;
@@ -386,7 +387,7 @@
   answer_ended(connection, closes(connection));
 }
 
-void front_break_off(Front *front, guint64 number) {
+void front_abort_response(Front *front, guint64 number) {
   Connection *connection = find(front, number);
   if (connection == NULL)
     return;
@@ -439,7 +440,7 @@
   g_free(front);
 }
 
-void front_limits(Front *front, const CallerLimits *limits) {
+void front_set_limits(Front *front, const CallerLimits *limits) {
   if (limits->max_head_bytes > 0)
     front->limits.max_head_bytes = limits->max_head_bytes;
   if (limits->max_body_bytes > 0)
--- a/io/front.h
+++ b/io/front.h
@@ -34,21 +34,22 @@
                  GError **error);
 void front_free(Front *front);
 
-void front_limits(Front *front, const CallerLimits *limits);
+void front_set_limits(Front *front, const CallerLimits *limits);
 
 /* the request of this number, or NULL when the caller is gone */
 const HttpHead *front_request_head(const Front *front, guint64 number);
 const GByteArray *front_request_body(const Front *front, guint64 number);
 
 /* a whole answer; ends the request */
-void front_answer(Front *front, guint64 number, const HttpHead *head,
-                  const char *body, gsize size);
+void front_send_response(Front *front, guint64 number, const HttpHead *head,
+                         const char *body, gsize size);
 /* an answer in pieces */
-void front_begin(Front *front, guint64 number, const HttpHead *head);
-void front_piece(Front *front, guint64 number, const char *bytes, gsize size);
-void front_end(Front *front, guint64 number);
+void front_begin_response(Front *front, guint64 number, const HttpHead *head);
+void front_send_piece(Front *front, guint64 number, const char *bytes,
+                      gsize size);
+void front_end_response(Front *front, guint64 number);
 /* end an answer so that it cannot look whole */
-void front_break_off(Front *front, guint64 number);
+void front_abort_response(Front *front, guint64 number);
 
 /* from now on say with each answer that the connection closes */
 void front_drain(Front *front);
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -62,8 +62,8 @@
 static void set_tick(Gateway *gateway) {
   gint64 wait = router_next_tick(gateway->router) - clock_now();
   struct timeval time;
-  load_exchange_notice(gateway->exchange);
-  quarantine_writer_look(gateway->quarantine);
+  load_exchange_send_changes(gateway->exchange);
+  quarantine_writer_poll(gateway->quarantine);
   wait = CLAMP(wait, 0, TICK_MOST);
   time.tv_sec = wait / MP_SEC;
   time.tv_usec = wait % MP_SEC;
@@ -98,20 +98,20 @@
 
 static void host_answer(void *data, guint64 request, const Outcome *outcome) {
   Gateway *gateway = data;
-  const EndpointAnswer *answer = outcome->payload;
+  const EndpointResponse *answer = outcome->payload;
   switch (outcome->kind) {
   case OUTCOME_STREAM_HEAD:
-    front_begin(gateway->front, request, answer->head);
+    front_begin_response(gateway->front, request, answer->head);
     break;
   case OUTCOME_STREAM_PIECE:
-    front_piece(gateway->front, request, answer->bytes, answer->size);
+    front_send_piece(gateway->front, request, answer->bytes, answer->size);
     break;
   case OUTCOME_STREAM_END:
-    front_end(gateway->front, request);
+    front_end_response(gateway->front, request);
     break;
   default:
-    front_answer(gateway->front, request, answer->head, answer->bytes,
-                 answer->size);
+    front_send_response(gateway->front, request, answer->head, answer->bytes,
+                        answer->size);
   }
 }
 
@@ -126,7 +126,7 @@
   if (!gateway->dialect->read_caller(caller, &read, NULL))
     return;
   head = gateway->dialect->write_refusal(refusal, read.request.id, &body);
-  front_answer(gateway->front, request, head, body, strlen(body));
+  front_send_response(gateway->front, request, head, body, strlen(body));
   caller_head_clear(&read);
   http_head_free(head);
   g_free(body);
@@ -134,7 +134,7 @@
 
 static void host_break_off(void *data, guint64 request) {
   Gateway *gateway = data;
-  front_break_off(gateway->front, request);
+  front_abort_response(gateway->front, request);
 }
 
 static void host_log(void *data, mp_EventNo number, const char *fields) {
@@ -144,7 +144,7 @@
 
 static void host_note(void *data, guint32 endpoint, guint32 tokens) {
   Gateway *gateway = data;
-  load_exchange_note(gateway->exchange, endpoint, tokens);
+  load_exchange_send_note(gateway->exchange, endpoint, tokens);
 }
 
 static void host_lease_call(void *data, const StoreCall *call) {
@@ -170,14 +170,14 @@
         gateway->dialect->write_bad_input(400, error->message, &body);
     log_numbered(gateway->log, MP_LOG_CALLER_BAD, " status=400 detail=\"%s\"",
                  error->message);
-    front_answer(gateway->front, number, refused, body, strlen(body));
+    front_send_response(gateway->front, number, refused, body, strlen(body));
     http_head_free(refused);
     g_free(body);
     g_error_free(error);
   } else {
     read.request.number = number;
-    read.request.content =
-        content_digest(head, front_request_body(gateway->front, number));
+    read.request.content = request_content_digest(
+        head, front_request_body(gateway->front, number));
     router_request(gateway->router, &read.request, clock_now());
     set_tick(gateway);
   }
@@ -248,7 +248,7 @@
   Gateway *gateway = data;
   LeaseReply read = {0};
   (void)error;
-  relay_group_hear_era(gateway->group, reply->at.era);
+  relay_group_observe_era(gateway->group, reply->at.era);
   read_lease(gateway, reply, &read);
   router_lease_reply(gateway->router, &read, clock_now());
   lease_record_clear(&read.record);
@@ -261,7 +261,7 @@
 */
 static void on_instances(void *data, const GArray *all, const GArray *near) {
   Gateway *gateway = data;
-  gboolean summing = relay_group_sums(gateway->group);
+  gboolean summing = relay_group_uses_summaries(gateway->group);
   const GArray *hearing = summing ? near : all;
   load_exchange_set_peers(gateway->exchange, hearing, summing);
   router_set_instances(gateway->router, all->len + 1, hearing->len + 1);
@@ -271,19 +271,19 @@
 static void on_relay_message(void *data, mp_Addr from, const mp_Msg *message) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_take(gateway->relays, from, message);
+    relays_receive(gateway->relays, from, message);
 }
 
 static void on_crashes(void *data) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_crashes(gateway->relays);
+    relays_on_crashes(gateway->relays);
 }
 
 static void on_rate_news(void *data) {
   const Gateway *gateway = data;
   if (gateway->relays != NULL)
-    relays_rates(gateway->relays);
+    relays_on_rates(gateway->relays);
 }
 
 static void on_digest(void *data) {
@@ -294,22 +294,22 @@
     endpoint_links_trim(gateway->links);
   }
   if (gateway->relays != NULL)
-    relays_loads(gateway->relays);
+    relays_on_loads(gateway->relays);
 }
 
 static void on_store_answer(void *data) {
   const Gateway *gateway = data;
   router_configuration_proved(gateway->router,
                               relay_group_proof(gateway->group)->at);
-  router_news_heard(gateway->router,
-                    clock_now() -
-                        relay_group_news_age(gateway->group, clock_now()));
-  relays_news(gateway->relays);
+  router_store_answered(gateway->router,
+                        clock_now() -
+                            relay_group_news_age(gateway->group, clock_now()));
+  relays_on_news(gateway->relays);
 }
 
 static void on_configuration(void *data, RouteTable *table) {
   Gateway *gateway = data;
-  front_limits(gateway->front, &table->limits);
+  front_set_limits(gateway->front, &table->limits);
 }
 
 /* }================================================================== */
@@ -322,7 +322,7 @@
 
 static gboolean is_ready(const Gateway *gateway) {
   return gateway->drain_began == 0 &&
-         router_configured(gateway->router, clock_now()) &&
+         router_is_configured(gateway->router, clock_now()) &&
          directory_has_endpoints(gateway->directory);
 }
 
@@ -335,18 +335,19 @@
   return ready;
 }
 
-static CarrierCounts carrier_counts(const Gateway *gateway) {
-  CarrierCounts counts;
+static AdapterCounts carrier_counts(const Gateway *gateway) {
+  AdapterCounts counts;
   int kind;
   int field;
-  counts.endpoint_connections = endpoint_links_opened(gateway->links);
+  counts.endpoint_connections = endpoint_links_opened_count(gateway->links);
   counts.store_calls = directory_store_calls(gateway->directory) +
                        store_link_calls(gateway->leases) +
-                       quarantine_writer_calls(gateway->quarantine);
-  counts.store_calls_left = directory_store_calls_left(gateway->directory);
+                       quarantine_writer_store_calls(gateway->quarantine);
+  counts.abandoned_store_calls =
+      directory_abandoned_store_calls(gateway->directory);
   counts.log_lines_left_out = log_left_out(gateway->log);
   counts.log_lines_lost = log_lost(gateway->log);
-  counts.idle_endpoint_connections = endpoint_links_idle(gateway->links);
+  counts.idle_endpoint_connections = endpoint_links_idle_count(gateway->links);
   counts.news_role =
       relay_role_name(relay_group_role(gateway->group, clock_now()));
   counts.store_era = relay_group_era(gateway->group);
@@ -364,7 +365,7 @@
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     const NewsState *news = relay_group_news(gateway->group, (StoreKind)kind);
     counts.news_lag[kind] = news_state_lag(news, clock_now());
-    counts.held_at[kind] = news->held;
+    counts.known_positions[kind] = news->held;
     for (field = 0; field < RECORD_FIELD_COUNT; field++)
       counts.bad_objects[kind][field] = directory_bad_objects(
           gateway->directory, (StoreKind)kind, (RecordField)field);
@@ -374,13 +375,13 @@
 
 static GString *ask_metrics(void *data) {
   const Gateway *gateway = data;
-  CarrierCounts counts = carrier_counts(gateway);
+  AdapterCounts counts = carrier_counts(gateway);
   return metrics_text(gateway->router, &counts);
 }
 
 static void ask_news(void *data, const NewsQuery *query, StoreReply *out) {
   const Gateway *gateway = data;
-  directory_answer(gateway->directory, query, out);
+  directory_answer_query(gateway->directory, query, out);
 }
 
 static gboolean make_status_server(Gateway *gateway,
@@ -413,7 +414,7 @@
   (void)fd;
   (void)what;
   if (age >= gateway->drain_least) {
-    router_stop_taking(gateway->router, clock_now());
+    router_stop_accepting(gateway->router, clock_now());
     front_close_idle(gateway->front);
   }
   if (age >= gateway->drain_least && front_open_requests(gateway->front) == 0)
@@ -433,26 +434,26 @@
   look_again(gateway);
 }
 
-gboolean gateway_drained(const Gateway *gateway) {
+gboolean gateway_is_drained(const Gateway *gateway) {
   return gateway->drained;
 }
 
 /* }================================================================== */
 
 /* how old the configuration may be for a request with a key */
-static gint64 revoke_bound(const GatewayOptions *options) {
+static gint64 proof_age_max(const GatewayOptions *options) {
   if (options->revoke_within == 0)
     return 0;
   return MAX(options->revoke_within - REVOKE_MARGIN, REVOKE_LEAST);
 }
 
-static RelayTimes relay_times(const GatewayOptions *options) {
-  RelayTimes times = {options->watch_wait, options->news_within};
+static RelayTiming relay_times(const GatewayOptions *options) {
+  RelayTiming times = {options->watch_wait, options->propagation_max};
   return times;
 }
 
 static void make_router(Gateway *gateway, const GatewayOptions *options) {
-  RelayTimes times = relay_times(options);
+  RelayTiming times = relay_times(options);
   RouterHost host = {gateway,     host_dispatch, host_cancel,
                      host_answer, host_refuse,   host_break_off,
                      host_log,    host_note,     host_lease_call};
@@ -467,8 +468,8 @@
   settings.lease_length = options->lease_length;
   settings.limits = options->limits;
   settings.unix_offset = g_get_real_time() - clock_now();
-  settings.revoke_bound = revoke_bound(options);
-  settings.news_bound = relay_longest_age(&times);
+  settings.proof_age_max = proof_age_max(options);
+  settings.news_age_max = relay_news_age_max(&times);
   gateway->router = router_new(&settings, &host, clock_now());
 }
 
@@ -488,7 +489,7 @@
   settings.seeds = options->peers;
   settings.seeds_count = options->peers_count;
   settings.watch_wait = options->watch_wait;
-  settings.proof_within = options->revoke_within / PROOFS_WITHIN;
+  settings.proof_wait_max = options->revoke_within / PROOFS_WITHIN;
   gateway->directory =
       directory_new(gateway->base, gateway->dialect, &settings,
                     gateway->router, gateway->group, gateway->log, &hooks);
@@ -512,7 +513,7 @@
   FrontHooks front = {gateway, on_request, on_hangup, on_bad_input};
   EndpointLinksHooks links = {gateway, on_outcome, on_signals, on_connections,
                               keeps_connection};
-  RelayTimes times = relay_times(options);
+  RelayTiming times = relay_times(options);
   gateway->base = base;
   gateway->dialect = dialect;
   gateway->log = log;
@@ -529,8 +530,8 @@
   gateway->front = front_new(base, options->callers, dialect, &front, error);
   gateway->group = relay_group_new(options->exchange, options->capacity,
                                    &times, clock_now());
-  router_set_news(gateway->router,
-                  relay_group_news(gateway->group, STORE_CONFIGURATION));
+  router_set_news_state(gateway->router,
+                        relay_group_news(gateway->group, STORE_CONFIGURATION));
   if (gateway->front == NULL || !make_exchange(gateway, options, error) ||
       !make_status_server(gateway, options, error)) {
     gateway_free(gateway);
--- a/io/gateway.h
+++ b/io/gateway.h
@@ -29,14 +29,14 @@
   double retry_ratio;
   unsigned retry_slack;
   gint64 retry_window;
-  gint64 lease_length;   /* of orders to engines; 0: none are given */
-  gint64 watch_wait;     /* longest wait of one watch of the store */
-  gint64 news_within;    /* changes of the store are known after this */
-  LimitTolerance limits; /* of client accounts */
-  gint64 revoke_within;  /* a key that was taken away is served so long at the
-                         ** most; 0: until the news is heard */
-  gint64 drain_least;    /* a planned stop takes connections so long */
-  gint64 drain_most;     /* and ends after this, whatever is open */
+  gint64 lease_length;    /* of orders to engines; 0: none are given */
+  gint64 watch_wait;      /* longest wait of one watch of the store */
+  gint64 propagation_max; /* changes of the store are known after this */
+  LimitTolerance limits;  /* of client accounts */
+  gint64 revoke_within;   /* a key that was taken away is served so long at the
+                          ** most; 0: until the news is heard */
+  gint64 drain_least;     /* a planned stop takes connections so long */
+  gint64 drain_most;      /* and ends after this, whatever is open */
 } GatewayOptions;
 
 /* NULL and an error when an address cannot be bound */
@@ -50,6 +50,6 @@
 /* planned stop: the loop is broken once nothing is open */
 void gateway_drain(Gateway *gateway);
 /* the last drain left nothing open */
-gboolean gateway_drained(const Gateway *gateway);
+gboolean gateway_is_drained(const Gateway *gateway);
 
 #endif
--- a/io/link_pool.c
+++ b/io/link_pool.c
@@ -64,7 +64,7 @@
     g_hash_table_remove(pool->places, endpoint);
 }
 
-void link_pool_rest(LinkPool *pool, const char *endpoint, gpointer link) {
+void link_pool_put_idle(LinkPool *pool, const char *endpoint, gpointer link) {
   Place *place = g_hash_table_lookup(pool->places, endpoint);
   g_assert(place != NULL);
   g_queue_push_head(&place->resting, link);
@@ -72,7 +72,7 @@
   tell(pool, endpoint, place);
 }
 
-gpointer link_pool_take(LinkPool *pool, const char *endpoint) {
+gpointer link_pool_take_idle(LinkPool *pool, const char *endpoint) {
   Place *place = g_hash_table_lookup(pool->places, endpoint);
   gpointer link = place != NULL ? g_queue_pop_head(&place->resting) : NULL;
   if (link == NULL)
@@ -82,16 +82,16 @@
   return link;
 }
 
-gpointer link_pool_oldest(const LinkPool *pool, const char *endpoint) {
+gpointer link_pool_longest_idle(const LinkPool *pool, const char *endpoint) {
   Place *place = g_hash_table_lookup(pool->places, endpoint);
   return place != NULL ? g_queue_peek_tail(&place->resting) : NULL;
 }
 
-guint link_pool_resting(const LinkPool *pool) {
+guint link_pool_idle_count(const LinkPool *pool) {
   return pool->resting;
 }
 
-GPtrArray *link_pool_endpoints(const LinkPool *pool) {
+GPtrArray *link_pool_idle_endpoints(const LinkPool *pool) {
   GPtrArray *found = g_ptr_array_new();
   GHashTableIter iterator;
   gpointer endpoint;
--- a/io/link_pool.h
+++ b/io/link_pool.h
@@ -27,15 +27,15 @@
 void link_pool_closed(LinkPool *pool, const char *endpoint, gpointer link);
 
 /* a connection rests until it is taken */
-void link_pool_rest(LinkPool *pool, const char *endpoint, gpointer link);
+void link_pool_put_idle(LinkPool *pool, const char *endpoint, gpointer link);
 /* the one that rested last, for use; NULL: none rests */
-gpointer link_pool_take(LinkPool *pool, const char *endpoint);
+gpointer link_pool_take_idle(LinkPool *pool, const char *endpoint);
 /* the one that rests longest, which stays; NULL: none rests */
-gpointer link_pool_oldest(const LinkPool *pool, const char *endpoint);
+gpointer link_pool_longest_idle(const LinkPool *pool, const char *endpoint);
 
 /* resting connections, over all endpoints */
-guint link_pool_resting(const LinkPool *pool);
+guint link_pool_idle_count(const LinkPool *pool);
 /* ids of the endpoints at which some rest; free the array, not the ids */
-GPtrArray *link_pool_endpoints(const LinkPool *pool);
+GPtrArray *link_pool_idle_endpoints(const LinkPool *pool);
 
 #endif
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -60,8 +60,8 @@
   datagram_send(exchange->fd, to, bytes, size);
 }
 
-void load_exchange_note(LoadExchange *exchange, guint32 endpoint,
-                        guint32 tokens) {
+void load_exchange_send_note(LoadExchange *exchange, guint32 endpoint,
+                             guint32 tokens) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_LOAD_NOTE;
@@ -93,8 +93,8 @@
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
   exchange->crashes_told = router_crash_version(exchange->router);
-  router_tell_crashes(exchange->router, FALSE, &message.u.crashes,
-                      clock_now());
+  router_report_crashes(exchange->router, FALSE, &message.u.crashes,
+                        clock_now());
   if (message.u.crashes.n > 0 || message.u.crashes.suspected_n > 0)
     send_to_all(exchange, &message);
 }
@@ -109,7 +109,7 @@
   message.kind = MP_MSG_RATES;
   exchange->rates_told = router_rates_version(exchange->router);
   exchange->rates_at = clock_now();
-  router_tell_rates(exchange->router, FALSE, &message.u.rates, clock_now());
+  router_report_rates(exchange->router, FALSE, &message.u.rates, clock_now());
   if (message.u.rates.n > 0)
     send_to_all(exchange, &message);
 }
@@ -157,7 +157,7 @@
   return REFRESH;
 }
 
-void load_exchange_notice(LoadExchange *exchange) {
+void load_exchange_send_changes(LoadExchange *exchange) {
   gint64 sent_at = exchange->sent_at;
   gint64 wait;
   if (router_crash_version(exchange->router) != exchange->crashes_told)
@@ -190,7 +190,7 @@
   if (!is_heard(exchange, peer))
     return;
   if (message->kind == MP_MSG_LOAD_NOTE) {
-    router_peer_note(exchange->router, peer, &message->u.note);
+    router_peer_reservation(exchange->router, peer, &message->u.note);
     return;
   }
   router_peer_load(exchange->router, peer, message->seq, &message->u.digest,
@@ -199,7 +199,7 @@
 }
 
 static void take_crashes(LoadExchange *exchange, const mp_CrashUpdate *news) {
-  if (router_hear_crashes(exchange->router, news, clock_now()))
+  if (router_receive_crashes(exchange->router, news, clock_now()))
     exchange->hooks.crashes(exchange->hooks.data);
 }
 
@@ -207,7 +207,7 @@
                        const mp_RateUpdate *news) {
   if (!is_heard(exchange, peer))
     return;
-  router_hear_rates(exchange->router, peer, news, clock_now());
+  router_receive_rates(exchange->router, peer, news, clock_now());
   exchange->hooks.rates(exchange->hooks.data);
 }
 
@@ -241,7 +241,7 @@
       break;
     take(exchange, from, bytes, (size_t)size);
   }
-  load_exchange_notice(exchange); /* waiting requests may have started */
+  load_exchange_send_changes(exchange); /* waiting requests may have started */
 }
 
 LoadExchange *load_exchange_new(struct event_base *base, mp_Addr address,
--- a/io/load_exchange.h
+++ b/io/load_exchange.h
@@ -41,9 +41,9 @@
                         const mp_Msg *message);
 
 /* what is open here may have changed */
-void load_exchange_notice(LoadExchange *exchange);
+void load_exchange_send_changes(LoadExchange *exchange);
 /* room was reserved: told to the others without waiting for a digest */
-void load_exchange_note(LoadExchange *exchange, guint32 endpoint,
-                        guint32 tokens);
+void load_exchange_send_note(LoadExchange *exchange, guint32 endpoint,
+                             guint32 tokens);
 
 #endif
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -38,7 +38,7 @@
                          router_instances(router));
 }
 
-static void write_carriers(GString *text, const CarrierCounts *carriers) {
+static void write_carriers(GString *text, const AdapterCounts *carriers) {
   g_string_append_printf(
       text,
       "madderpier_endpoint_connections_total %" G_GUINT64_FORMAT "\n"
@@ -59,7 +59,7 @@
       "madderpier_waiting_requests %u\n"
       "madderpier_waiting_requests_in_time %u\n",
       carriers->endpoint_connections, carriers->store_calls,
-      carriers->store_calls_left, carriers->log_lines_left_out,
+      carriers->abandoned_store_calls, carriers->log_lines_left_out,
       carriers->log_lines_lost, carriers->idle_endpoint_connections,
       carriers->news_role, (double)carriers->news_age / MP_SEC,
       carriers->ready, carriers->suspects, carriers->held,
@@ -71,7 +71,7 @@
 static const char *const kind_names[MP_RELAY_KINDS] = {
     "configuration", "endpoints", "instances", "quarantine"};
 
-static void write_lags(GString *text, const CarrierCounts *carriers) {
+static void write_lags(GString *text, const AdapterCounts *carriers) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     g_string_append_printf(
@@ -80,7 +80,7 @@
 }
 
 /* one whose era is lower than the store's has not heard of its return */
-static void write_positions(GString *text, const CarrierCounts *carriers) {
+static void write_positions(GString *text, const AdapterCounts *carriers) {
   int kind;
   g_string_append_printf(text, "madderpier_store_era %" G_GUINT64_FORMAT "\n",
                          carriers->store_era);
@@ -89,8 +89,8 @@
         text,
         "madderpier_news_era{kind=\"%s\"} %" G_GUINT64_FORMAT "\n"
         "madderpier_news_revision{kind=\"%s\"} %" G_GINT64_FORMAT "\n",
-        kind_names[kind], carriers->held_at[kind].era, kind_names[kind],
-        carriers->held_at[kind].revision);
+        kind_names[kind], carriers->known_positions[kind].era,
+        kind_names[kind], carriers->known_positions[kind].revision);
 }
 
 /* a line for each field that was ever wrong, and for each kind their sum */
@@ -113,13 +113,13 @@
                          kind, sum);
 }
 
-static void write_bad_objects(GString *text, const CarrierCounts *carriers) {
+static void write_bad_objects(GString *text, const AdapterCounts *carriers) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
     write_bad_kind(text, kind_names[kind], carriers->bad_objects[kind]);
 }
 
-GString *metrics_text(const Router *router, const CarrierCounts *carriers) {
+GString *metrics_text(const Router *router, const AdapterCounts *carriers) {
   GString *text = g_string_new(NULL);
   int which;
   write_router(text, router);
--- a/io/metrics.h
+++ b/io/metrics.h
@@ -11,10 +11,10 @@
 #include "router/router.h"
 
 /* what the carriers count; totals since the start unless said otherwise */
-typedef struct CarrierCounts {
+typedef struct AdapterCounts {
   guint64 endpoint_connections;
   guint64 store_calls;
-  guint64 store_calls_left;        /* given up for news known elsewhere */
+  guint64 abandoned_store_calls;   /* given up for news known elsewhere */
   gint64 news_lag[MP_RELAY_KINDS]; /* by StoreKind; us */
   guint64 log_lines_left_out;
   guint64 log_lines_lost;
@@ -32,11 +32,12 @@
   guint waiting_in_time;   /* of them, that can still be answered in time */
   /* of the store, by StoreKind and by the field that is wrong */
   guint64 bad_objects[MP_RELAY_KINDS][RECORD_FIELD_COUNT];
-  StorePosition held_at[MP_RELAY_KINDS]; /* by StoreKind: known up to there */
-  guint64 store_era;                     /* the latest heard of; 0: none */
-} CarrierCounts;
+  StorePosition
+      known_positions[MP_RELAY_KINDS]; /* by StoreKind: known up to there */
+  guint64 store_era;                   /* the latest heard of; 0: none */
+} AdapterCounts;
 
 /* the caller frees it: g_string_free */
-GString *metrics_text(const Router *router, const CarrierCounts *carriers);
+GString *metrics_text(const Router *router, const AdapterCounts *carriers);
 
 #endif
--- a/io/news_codec.c
+++ b/io/news_codec.c
@@ -30,7 +30,7 @@
     g_string_append_printf(target, "&digest=%" G_GUINT64_FORMAT, call->digest);
   if (call->in_full)
     g_string_append(target, "&full=1");
-  head = http_head_request("GET", target->str);
+  head = http_head_new_request("GET", target->str);
   http_head_add(head, "Host", "instance");
   g_string_free(target, TRUE);
   return head;
@@ -109,7 +109,7 @@
   size_t i;
   out->at = read_position(json, "at", (guint64)read_count(json, "era"));
   out->whole = json_is_true(json_object_get(json, "whole"));
-  out->by_stale = json_is_true(json_object_get(json, "by_old_list"));
+  out->from_stale_list = json_is_true(json_object_get(json, "by_old_list"));
   if (store_position_is_none(out->at) || !json_is_array(objects))
     return FALSE;
   for (i = 0; i < json_array_size(objects); i++) {
@@ -123,7 +123,7 @@
 static json_t *load(const char *body, gsize size) {
   char *text;
   json_t *json;
-  if (!text_patch_is(body, size))
+  if (!text_patch_is_patch(body, size))
     return json_loadb(body, size, JSON_REJECT_DUPLICATES, NULL);
   text = text_patch_apply("", body, size);
   if (text == NULL)
@@ -242,7 +242,7 @@
   json = json_pack("{s:I, s:I, s:b, s:o}", "era", (json_int_t)reply->at.era,
                    "at", (json_int_t)reply->at.revision, "whole",
                    (int)reply->whole, "objects", objects);
-  if (reply->by_stale)
+  if (reply->from_stale_list)
     json_object_set_new(json, "by_old_list", json_true());
   dumped = json_dumps(json, JSON_COMPACT);
   out = pack(dumped);
@@ -251,6 +251,6 @@
   return out;
 }
 
-int news_status(const StoreReply *reply) {
+int news_reply_status(const StoreReply *reply) {
   return reply->status == STORE_OK ? 200 : STATUS_KNOWS_NOTHING;
 }
--- a/io/news_codec.h
+++ b/io/news_codec.h
@@ -31,6 +31,6 @@
 /* the answer's body; g_bytes_unref it */
 GBytes *news_write_reply(const StoreReply *reply);
 /* the answer's status */
-int news_status(const StoreReply *reply);
+int news_reply_status(const StoreReply *reply);
 
 #endif
--- a/io/quarantine_writer.c
+++ b/io/quarantine_writer.c
@@ -44,7 +44,7 @@
   store_link_call(writer->link, &call, CALL_PATIENCE);
 }
 
-void quarantine_writer_look(QuarantineWriter *writer) {
+void quarantine_writer_poll(QuarantineWriter *writer) {
   QuarantineSave save;
   if (!store_link_is_open(writer->link) &&
       router_next_quarantine_save(writer->router, &save, clock_now()))
@@ -54,7 +54,7 @@
 static void on_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  quarantine_writer_look(data);
+  quarantine_writer_poll(data);
 }
 
 /* what stands in the store, as a write was answered */
@@ -62,13 +62,13 @@
   QuarantineRecord record = {0};
   GError *error = NULL;
   if (object->gone) {
-    router_lift_quarantine(writer->router, writer->content, clock_now());
+    router_remove_quarantine(writer->router, writer->content, clock_now());
     return;
   }
   if (writer->dialect->read_quarantine(object->name, object->text, &record,
                                        &error)) {
-    router_take_quarantine(writer->router, &record, object->position,
-                           clock_now());
+    router_apply_quarantine(writer->router, &record, object->position,
+                            clock_now());
     return;
   }
   log_numbered(writer->log, MP_LOG_STORE_RECORD_BAD, " name=%s error=\"%s\"",
@@ -87,12 +87,12 @@
   QuarantineWriter *writer = data;
   struct timeval soon = {0, 0};
   guint i;
-  router_hear_era(writer->router, reply->at.era, clock_now());
+  router_observe_era(writer->router, reply->at.era, clock_now());
   for (i = 0; reply->objects != NULL && i < reply->objects->len; i++)
     take_object(writer, &g_array_index(reply->objects, StoreObject, i));
-  if ((reply->status == STORE_ABSENT && was_removed(writer, reply)) ||
+  if ((reply->status == STORE_NOT_FOUND && was_removed(writer, reply)) ||
       (reply->status == STORE_OK && writer->removing))
-    router_lift_quarantine(writer->router, writer->content, clock_now());
+    router_remove_quarantine(writer->router, writer->content, clock_now());
   else if (reply->status != STORE_OK) {
     router_quarantine_save_failed(writer->router, writer->content,
                                   clock_now());
@@ -123,6 +123,6 @@
   g_free(writer);
 }
 
-guint64 quarantine_writer_calls(const QuarantineWriter *writer) {
+guint64 quarantine_writer_store_calls(const QuarantineWriter *writer) {
   return store_link_calls(writer->link);
 }
--- a/io/quarantine_writer.h
+++ b/io/quarantine_writer.h
@@ -21,8 +21,8 @@
 void quarantine_writer_free(QuarantineWriter *writer);
 
 /* there may be something to write */
-void quarantine_writer_look(QuarantineWriter *writer);
+void quarantine_writer_poll(QuarantineWriter *writer);
 
-guint64 quarantine_writer_calls(const QuarantineWriter *writer);
+guint64 quarantine_writer_store_calls(const QuarantineWriter *writer);
 
 #endif
--- a/io/relays.c
+++ b/io/relays.c
@@ -44,8 +44,8 @@
 
 static void start_timer(Relays *relays) {
   gint64 now = clock_now();
-  gint64 wait =
-      CLAMP(relay_group_next(relays->group, now) - now, MP_MS, RELAY_BEAT);
+  gint64 wait = CLAMP(relay_group_next_check(relays->group, now) - now, MP_MS,
+                      RELAY_HEARTBEAT_INTERVAL);
   struct timeval time = {wait / MP_SEC, wait % MP_SEC};
   event_add(relays->timer, &time);
 }
@@ -59,13 +59,13 @@
   message.u.beat.sent_us = (guint64)now;
   message.u.beat.proof_ms =
       config_proof_age_ms(relay_group_proof(relays->group), now);
-  directory_changed(relays->directory, message.u.beat.changed);
+  directory_newest_changes(relays->directory, message.u.beat.changed);
   return message;
 }
 
 static gboolean may_beat(const Relays *relays) {
   return relays->role == RELAY_ROLE_RELAY &&
-         directory_knows(relays->directory);
+         directory_is_loaded(relays->directory);
 }
 
 static void send_to_all(Relays *relays, const GArray *addresses,
@@ -78,14 +78,14 @@
 
 /* to the relays of the other data centres */
 static void send_far(Relays *relays, const mp_Msg *message, gint64 now) {
-  GArray *far = relay_group_far(relays->group, now);
+  GArray *far = relay_group_remote_targets(relays->group, now);
   send_to_all(relays, far, message);
   g_array_free(far, TRUE);
 }
 
 /* does this instance tell others what its data centre does? */
 static gboolean is_teller(const Relays *relays, gint64 now) {
-  return relays->summing && relay_group_is_first(relays->group, now);
+  return relays->summing && relay_group_is_first_relay(relays->group, now);
 }
 
 static void send_beats(Relays *relays, gint64 now) {
@@ -125,14 +125,14 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_CRASHES;
-  router_tell_crashes(relays->router, TRUE, &message.u.crashes, now);
+  router_report_crashes(relays->router, TRUE, &message.u.crashes, now);
   if (message.u.crashes.n == 0 && message.u.crashes.suspected_n == 0)
     return;
   send_far(relays, &message, now);
   send_to_all(relays, relay_group_members(relays->group), &message);
 }
 
-void relays_crashes(Relays *relays) {
+void relays_on_crashes(Relays *relays) {
   send_crashes(relays, clock_now());
 }
 
@@ -143,7 +143,7 @@
     return;
   memset(&message, 0, sizeof message);
   message.kind = MP_MSG_RATES;
-  router_tell_rates(relays->router, TRUE, &message.u.rates, now);
+  router_report_rates(relays->router, TRUE, &message.u.rates, now);
   if (message.u.rates.n == 0)
     return;
   relays->rates_at = now;
@@ -152,7 +152,7 @@
   send_far(relays, &message, now);
 }
 
-void relays_rates(Relays *relays) {
+void relays_on_rates(Relays *relays) {
   gint64 now = clock_now();
   if (now - relays->rates_at >= SUMMARY_LEAST)
     send_rates(relays, now);
@@ -171,7 +171,7 @@
 /* an instance that knows nothing yet does not wait to be found */
 static void ask(Relays *relays) {
   mp_Addr asked[ASKED];
-  unsigned count = relay_group_ask(relays->group, asked, ASKED);
+  unsigned count = relay_group_first_members(relays->group, asked, ASKED);
   ask_all(relays, asked, count);
 }
 
@@ -179,7 +179,7 @@
 static void ask_clocks(Relays *relays, gint64 now) {
   mp_Addr asked[CLOCKS_AT_ONCE];
   unsigned count =
-      relay_group_unbounded(relays->group, now, asked, CLOCKS_AT_ONCE);
+      relay_group_clocks_to_bound(relays->group, now, asked, CLOCKS_AT_ONCE);
   ask_all(relays, asked, count);
 }
 
@@ -189,7 +189,7 @@
   if (role == relays->role)
     return;
   relays->role = role;
-  before = relay_group_before(relays->group, now);
+  before = relay_group_relays_before(relays->group, now);
   log_numbered(relays->log, MP_LOG_RELAY_ROLE,
                " role=%s members=%u relays_heard=%u relays_fresh=%u age_ms=%d",
                relay_role_name(role), relay_group_members(relays->group)->len,
@@ -204,11 +204,12 @@
   send_summary(relays, now);
   send_crashes(relays, now);
   send_rates(relays, now);
-  if (relays->role == RELAY_ROLE_MEMBER && !directory_knows(relays->directory))
+  if (relays->role == RELAY_ROLE_MEMBER &&
+      !directory_is_loaded(relays->directory))
     ask(relays);
   if (relays->proving)
     ask_clocks(relays, now);
-  directory_look(relays->directory);
+  directory_poll(relays->directory);
   start_timer(relays);
 }
 
@@ -223,33 +224,33 @@
   look(relays);
 }
 
-void relays_loads(Relays *relays) {
+void relays_on_loads(Relays *relays) {
   gint64 now = clock_now();
   if (!relays->summing || now - relays->summary_at < SUMMARY_LEAST ||
-      !relay_group_is_first(relays->group, now))
+      !relay_group_is_first_relay(relays->group, now))
     return;
   if (router_urgent_set(relays->router, now) != relays->urgent ||
-      router_limits_untold(relays->router) > UNTOLD_MOST)
+      router_limits_unreported(relays->router) > UNTOLD_MOST)
     send_summary(relays, now);
 }
 
-void relays_news(Relays *relays) {
+void relays_on_news(Relays *relays) {
   StorePosition changed[MP_RELAY_KINDS];
   gint64 now = clock_now();
-  directory_changed(relays->directory, changed);
+  directory_newest_changes(relays->directory, changed);
   if (memcmp(changed, relays->told, sizeof changed) != 0)
     send_beats(relays, now);
 }
 
 static void take_beat(Relays *relays, mp_Addr from, const mp_Msg *message,
                       gint64 now) {
-  relay_group_hear(relays->group, from, &message->u.beat, now);
+  relay_group_receive_heartbeat(relays->group, from, &message->u.beat, now);
   router_configuration_proved(relays->router,
                               relay_group_proof(relays->group)->at);
-  router_news_heard(relays->router,
-                    now - relay_group_news_age(relays->group, now));
+  router_store_answered(relays->router,
+                        now - relay_group_news_age(relays->group, now));
   take_role(relays, now);
-  directory_look(relays->directory);
+  directory_poll(relays->directory);
 }
 
 static void take_wish(Relays *relays, mp_Addr from, const mp_Msg *message,
@@ -269,7 +270,7 @@
     return;
   router_zone_load(relays->router, message->seq, &message->u.summary, now);
   if (from == message->u.summary.relay &&
-      relay_group_is_first(relays->group, now))
+      relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
@@ -279,12 +280,12 @@
   const mp_RateUpdate *news = &message->u.rates;
   if (news->zone == relays->zone)
     return;
-  router_hear_rates(relays->router, from, news, now);
-  if (from == news->relay && relay_group_is_first(relays->group, now))
+  router_receive_rates(relays->router, from, news, now);
+  if (from == news->relay && relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
 }
 
-void relays_take(Relays *relays, mp_Addr from, const mp_Msg *message) {
+void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message) {
   gint64 now = clock_now();
   switch (message->kind) {
   case MP_MSG_RELAY_HEARTBEAT:
--- a/io/relays.h
+++ b/io/relays.h
@@ -31,19 +31,19 @@
 void relays_free(Relays *relays);
 
 /* a heartbeat, the wish for one, or a summary */
-void relays_take(Relays *relays, mp_Addr from, const mp_Msg *message);
+void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message);
 /* the members are known, or have changed; 'summing': loads are told between
 ** data centres in summaries */
 void relays_set_members(Relays *relays, gboolean summing);
 /* loads were heard: endpoints that begin to fail are told to the other data
 ** centres at once */
-void relays_loads(Relays *relays);
+void relays_on_loads(Relays *relays);
 /* requests that end endpoints were heard of: told to the other data centres,
 ** and here, at once */
-void relays_crashes(Relays *relays);
+void relays_on_crashes(Relays *relays);
 /* the same of endpoints that name rates */
-void relays_rates(Relays *relays);
+void relays_on_rates(Relays *relays);
 /* the store has answered; news are told to the others at once */
-void relays_news(Relays *relays);
+void relays_on_news(Relays *relays);
 
 #endif
--- a/io/status_server.c
+++ b/io/status_server.c
@@ -61,7 +61,7 @@
   }
   server->hooks.news(server->hooks.data, &query, &known);
   body = news_write_reply(&known);
-  reply_bytes(request, news_status(&known), "application/json",
+  reply_bytes(request, news_reply_status(&known), "application/json",
               g_bytes_get_data(body, NULL), g_bytes_get_size(body));
   store_reply_clear(&known);
   g_bytes_unref(body);
--- a/io/store_link.c
+++ b/io/store_link.c
@@ -29,7 +29,7 @@
   struct event *timer;
   gboolean open;
   gint64 patience; /* of the open call */
-  gint64 heard_at; /* as store_link_heard_at */
+  gint64 heard_at; /* as store_link_received_at */
   StoreCall call;
   GString *text; /* the request, until it is written */
   HttpHead *head;
@@ -94,7 +94,7 @@
     g_set_error(&error, MP_ERROR, MP_ERR_STORE, "the store answered %d",
                 link->head->status);
   if (clean)
-    http_reader_next(link->reader);
+    http_reader_start_next(link->reader);
   else
     disconnect(link);
   end_call(link, &reply, error);
@@ -120,7 +120,7 @@
     size_t size = evbuffer_get_contiguous_space(in);
     const char *bytes = (const char *)evbuffer_pullup(in, (ev_ssize_t)size);
     evbuffer_drain(in, http_reader_feed(link->reader, bytes, size));
-    if (http_reader_state(link->reader) == HTTP_READER_BAD) {
+    if (http_reader_state(link->reader) == HTTP_READER_FAILED) {
       fail(link, "the store's answer is no HTTP");
       return;
     }
@@ -154,11 +154,11 @@
   fail(data, "the store did not answer in time");
 }
 
-static const HttpReaderHooks reader_hooks = {on_head, on_body};
+static const HttpReaderCallbacks reader_hooks = {on_head, on_body};
 
 static void connect_link(StoreLink *link) {
-  link->reader = http_reader_new(HTTP_ANSWERS, &reader_hooks, link);
-  http_reader_limit(link->reader, 0, MAX_ANSWER);
+  link->reader = http_reader_new(HTTP_RESPONSES, &reader_hooks, link);
+  http_reader_set_limits(link->reader, 0, MAX_ANSWER);
   link->events = bufferevent_socket_new(
       link->base, -1, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS);
   bufferevent_setcb(link->events, on_read, NULL, on_event, link);
@@ -246,10 +246,10 @@
   return link->calls;
 }
 
-gint64 store_link_heard_at(const StoreLink *link) {
+gint64 store_link_received_at(const StoreLink *link) {
   return link->heard_at;
 }
 
-gsize store_link_received(const StoreLink *link) {
+gsize store_link_received_bytes(const StoreLink *link) {
   return link->body->len;
 }
--- a/io/store_link.h
+++ b/io/store_link.h
@@ -38,8 +38,8 @@
 
 guint64 store_link_calls(const StoreLink *link);
 /* when the last piece of the open call's answer came; 0: none has */
-gint64 store_link_heard_at(const StoreLink *link);
+gint64 store_link_received_at(const StoreLink *link);
 /* bytes of the open call's answer so far; 0: none is open */
-gsize store_link_received(const StoreLink *link);
+gsize store_link_received_bytes(const StoreLink *link);
 
 #endif
--- a/router/account_limits.c
+++ b/router/account_limits.c
@@ -21,7 +21,7 @@
 ** ones: in a bucket that large ones keep empty there is nearly always enough
 ** left for them (a day with two floods, prompts of 5,000 tokens and plain
 ** requests of 200: 10.3% of the requests refused without it, 3.2% with it) */
-#define SMALL_SHARE 0.02
+#define SMALL_REQUEST_SHARE 0.02
 /* and so many floors lower: what is on its way in a flood */
 #define SMALL_FLOORS 2
 /* the chance of the one request that passes before the level is known: in the
@@ -95,7 +95,7 @@
   limits->born = now;
   limits->all = g_ptr_array_new_with_free_func(limit_free);
   limits->by_hash = g_hash_table_new(NULL, NULL);
-  limits->peers = shared_totals_new(ACCOUNT_SILENCE);
+  limits->peers = shared_totals_new(ACCOUNT_PEER_TIMEOUT);
   return limits;
 }
 
@@ -135,7 +135,7 @@
   double used = USED_SHARE * (whole + tolerated);
   limit->rate = account->rate;
   limit->burst = account->burst;
-  limit->step = account->unit == ACCOUNT_TOKENS ? ACCOUNT_STEP : 1;
+  limit->step = account->unit == ACCOUNT_TOKENS ? ACCOUNT_TOKENS_PER_STEP : 1;
   limit->floor = FLOOR_SHARE * tolerated;
   limit->extra = MAX(used - whole - limit->floor, 0) / seconds;
   limit->bucket.level = MIN(limit->bucket.level, account->burst);
@@ -204,7 +204,7 @@
   double level = limit->bucket.level;
   if (limit->is_unknown)
     return unknown_chance(limit);
-  if (cost <= SMALL_SHARE * limit->burst)
+  if (cost <= SMALL_REQUEST_SHARE * limit->burst)
     level += SMALL_FLOORS * floor; /* where no large one passes any more */
   return CLAMP((level + floor) / MAX(floor, cost), 0, 1);
 }
@@ -230,9 +230,9 @@
   limit->own += cost - again;
 }
 
-gboolean account_limits_take(AccountLimits *limits, const Account *account,
-                             double cost, const LimitSharers *sharers,
-                             double draw, gint64 now, gint64 *come_back) {
+gboolean account_limits_admit(AccountLimits *limits, const Account *account,
+                              double cost, const LimitSharers *sharers,
+                              double draw, gint64 now, gint64 *come_back) {
   Limit *limit = limit_of(limits, account->name);
   double share = limit_share(sharers);
   if (limit == NULL)
@@ -247,7 +247,7 @@
   return FALSE;
 }
 
-void account_limits_return(AccountLimits *limits, const char *account,
+void account_limits_refund(AccountLimits *limits, const char *account,
                            double cost) {
   Limit *limit = limit_of(limits, account);
   if (limit == NULL)
@@ -323,7 +323,7 @@
   write_page(limits, out, FALSE);
 }
 
-void account_limits_write_sum(AccountLimits *limits, mp_LoadDigest *out) {
+void account_limits_write_summary(AccountLimits *limits, mp_LoadDigest *out) {
   guint i;
   write_page(limits, out, TRUE);
   for (i = 0; i < limits->all->len; i++) {
@@ -332,7 +332,7 @@
   }
 }
 
-double account_limits_untold(const AccountLimits *limits) {
+double account_limits_unreported_share(const AccountLimits *limits) {
   double most = 0;
   guint i;
   for (i = 0; i < limits->all->len; i++) {
@@ -346,13 +346,13 @@
 static void hear(AccountLimits *limits, guint64 address, gboolean is_near,
                  const mp_LoadDigest *digest, const LimitSharers *sharers,
                  gint64 now) {
-  PeerTotals *peer = shared_totals_hear(limits->peers, address, now);
+  PeerTotals *peer = shared_totals_receive(limits->peers, address, now);
   double share = limit_share(sharers);
   double drawn = now - limits->born < YOUNG ? DRAWN_YOUNG : DRAWN_OLD;
   guint i;
   for (i = 0; i < digest->account_count; i++) {
     const mp_AccountRow *row = &digest->account[i];
-    double more = peer_totals_grown(peer, row->account, row->spent);
+    double more = peer_totals_increase(peer, row->account, row->spent);
     Limit *limit =
         g_hash_table_lookup(limits->by_hash, GUINT_TO_POINTER(row->account));
     if (limit == NULL)
@@ -364,15 +364,15 @@
   }
 }
 
-void account_limits_hear(AccountLimits *limits, mp_Addr peer,
-                         const mp_LoadDigest *digest,
-                         const LimitSharers *sharers, gint64 now) {
+void account_limits_receive(AccountLimits *limits, mp_Addr peer,
+                            const mp_LoadDigest *digest,
+                            const LimitSharers *sharers, gint64 now) {
   hear(limits, peer, TRUE, digest, sharers, now);
 }
 
-void account_limits_hear_sum(AccountLimits *limits, mp_Addr relay,
-                             const mp_LoadDigest *digest,
-                             const LimitSharers *sharers, gint64 now) {
+void account_limits_receive_summary(AccountLimits *limits, mp_Addr relay,
+                                    const mp_LoadDigest *digest,
+                                    const LimitSharers *sharers, gint64 now) {
   /* a relay's sums have an address of their own, beside its digests */
   hear(limits, relay | 1ULL << 63, FALSE, digest, sharers, now);
 }
--- a/router/account_limits.h
+++ b/router/account_limits.h
@@ -32,10 +32,10 @@
 #include "router/shared_totals.h"
 
 /* tokens in one step of a total that is told; requests are told one by one */
-#define ACCOUNT_STEP 64
+#define ACCOUNT_TOKENS_PER_STEP 64
 /* a peer that is silent this long is taken as out of reach: digests come every
 ** 0.5 s at least, summaries every 0.2 s */
-#define ACCOUNT_SILENCE (700 * MP_MS)
+#define ACCOUNT_PEER_TIMEOUT (700 * MP_MS)
 
 typedef struct LimitTolerance {
   double share; /* of a limit over the window */
@@ -56,11 +56,11 @@
 ** May a request of this cost (units of the limit) pass? Spends it when so;
 ** else '*come_back' is when it is likely to. 'draw' is random, from 0 to 1.
 */
-gboolean account_limits_take(AccountLimits *limits, const Account *account,
-                             double cost, const LimitSharers *sharers,
-                             double draw, gint64 now, gint64 *come_back);
+gboolean account_limits_admit(AccountLimits *limits, const Account *account,
+                              double cost, const LimitSharers *sharers,
+                              double draw, gint64 now, gint64 *come_back);
 /* what was taken reached no endpoint */
-void account_limits_return(AccountLimits *limits, const char *account,
+void account_limits_refund(AccountLimits *limits, const char *account,
                            double cost);
 /* what the bucket held when it was looked at last; 0: no such limit */
 double account_limits_level(const AccountLimits *limits, const char *account);
@@ -68,18 +68,18 @@
 /* what was spent here, for the instances that hear this one's digests */
 void account_limits_write(AccountLimits *limits, mp_LoadDigest *out);
 /* the same and what those spent, for other data centres */
-void account_limits_write_sum(AccountLimits *limits, mp_LoadDigest *out);
+void account_limits_write_summary(AccountLimits *limits, mp_LoadDigest *out);
 /* the largest part of a burst that was spent since the last sum was written:
 ** the other data centres should know soon when it is large */
-double account_limits_untold(const AccountLimits *limits);
+double account_limits_unreported_share(const AccountLimits *limits);
 
 /* another instance told what it has spent since its start */
-void account_limits_hear(AccountLimits *limits, mp_Addr peer,
-                         const mp_LoadDigest *digest,
-                         const LimitSharers *sharers, gint64 now);
+void account_limits_receive(AccountLimits *limits, mp_Addr peer,
+                            const mp_LoadDigest *digest,
+                            const LimitSharers *sharers, gint64 now);
 /* a relay told what its data centre has spent */
-void account_limits_hear_sum(AccountLimits *limits, mp_Addr relay,
-                             const mp_LoadDigest *digest,
-                             const LimitSharers *sharers, gint64 now);
+void account_limits_receive_summary(AccountLimits *limits, mp_Addr relay,
+                                    const mp_LoadDigest *digest,
+                                    const LimitSharers *sharers, gint64 now);
 
 #endif
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -4,7 +4,7 @@
 **
 ** Invariant: no dispatch of a request with a key leaves unless the newest
 ** configuration known here has the key, and was certainly the newest one at
-** most RouterOptions.revoke_bound ago (router/config_proof.h).
+** most RouterOptions.proof_age_max ago (router/config_proof.h).
 */
 
 #include <string.h>
@@ -16,8 +16,8 @@
 #define RETRY_AFTER_OLD_MS 300
 
 static gboolean is_too_old(const Router *router, gint64 now) {
-  return router->revoke_bound > 0 &&
-         now - router->proved_at > router->revoke_bound;
+  return router->proof_age_max > 0 &&
+         now - router->proved_at > router->proof_age_max;
 }
 
 gint64 accounts_configuration_age(const Router *router, gint64 now) {
@@ -29,8 +29,8 @@
   if (!router->is_listed)
     return sharers;
   sharers.instances = router->instances;
-  sharers.heard =
-      1 + peer_loads_heard(router->endpoints->peers, ACCOUNT_SILENCE, now);
+  sharers.heard = 1 + peer_loads_count_reachable(router->endpoints->peers,
+                                                 ACCOUNT_PEER_TIMEOUT, now);
   return sharers;
 }
 
@@ -57,8 +57,8 @@
   double cost =
       account_cost(account, call->prompt_tokens, call->output_tokens);
   gint64 come_back = 0;
-  if (account_limits_take(router->limits, account, cost, &sharers,
-                          g_rand_double(router->random), now, &come_back))
+  if (account_limits_admit(router->limits, account, cost, &sharers,
+                           g_rand_double(router->random), now, &come_back))
     return TRUE;
   refusal->kind = REFUSAL_LIMIT;
   refusal->retry_after_ms = come_back / MP_MS;
@@ -84,12 +84,12 @@
   }
   if (call->keys == 1) {
     mp_digest(call->key, strlen(call->key), digest);
-    account = route_table_account(router->routes, digest);
+    account = route_table_find_account(router->routes, digest);
   }
   if (account != NULL)
     return account;
   refusal->kind = REFUSAL_KEY;
-  if (call->keys == 1 && router_lacks_news(router, now))
+  if (call->keys == 1 && router_may_be_outdated(router, now))
     refuse_as_old(router, refusal);
   else
     router_count(router, REFUSED_KEY);
@@ -110,8 +110,8 @@
   return FALSE;
 }
 
-void accounts_set(Request *request, const CallerRequest *call,
-                  const Account *account) {
+void accounts_attach(Request *request, const CallerRequest *call,
+                     const Account *account) {
   if (account == NULL)
     return;
   request->account = account;
@@ -130,11 +130,11 @@
   *why = REFUSAL_KEY;
   return request->table == router->routes ||
          router->routes->accounts == NULL ||
-         route_table_account(router->routes, request->key_digest) != NULL;
+         route_table_find_account(router->routes, request->key_digest) != NULL;
 }
 
-void accounts_return(Router *router, const Request *request) {
+void accounts_refund(Router *router, const Request *request) {
   if (request->account != NULL)
-    account_limits_return(router->limits, request->account->name,
+    account_limits_refund(router->limits, request->account->name,
                           request->cost);
 }
--- a/router/admission.c
+++ b/router/admission.c
@@ -61,13 +61,13 @@
   const Route *route = request->route;
   const char *name = route->name != NULL ? route->name : route->prefix;
   gint64 patience = request->caller_deadline - request->arrived;
-  gint64 usual =
-      patience_table_note(router->patiences, name, patience, request->arrived);
+  gint64 usual = patience_table_observe(router->patience_table, name, patience,
+                                        request->arrived);
   usual = MIN(usual, route->timeout); /* who allows more is fresh as well */
   request->returned = (double)patience < FRESH_SHARE * (double)usual;
-  request->first_try = request->arrived;
+  request->first_attempt_at = request->arrived;
   if (request->returned)
-    request->first_try -= usual - patience;
+    request->first_attempt_at -= usual - patience;
 }
 
 /* longest expected wait of one that has not been refused before */
@@ -88,21 +88,21 @@
 ** are as frequent as here.
 */
 static gint64 expected_wait(const Router *router, guint place) {
-  guint ahead = place + peer_loads_in_time(router->endpoints->peers);
-  return (gint64)((ahead + 1) * router->end_interval / router->near);
+  guint ahead = place + peer_loads_waiting_in_time(router->endpoints->peers);
+  return (gint64)((ahead + 1) * router->mean_end_interval / router->near);
 }
 
-void admission_ended(Router *router, gint64 now) {
-  double interval = (double)(now - router->last_end);
-  if (router->last_end != 0)
-    router->end_interval +=
-        INTERVAL_STEP * (MIN(interval, 1.0 * MP_SEC) - router->end_interval);
-  router->last_end = now;
+void admission_note_run_end(Router *router, gint64 now) {
+  double interval = (double)(now - router->last_run_end);
+  if (router->last_run_end != 0)
+    router->mean_end_interval += INTERVAL_STEP * (MIN(interval, 1.0 * MP_SEC) -
+                                                  router->mean_end_interval);
+  router->last_run_end = now;
 }
 
 static Endpoint *engine_with_room(Router *router, const Request *request,
                                   gint64 now) {
-  EndpointWish wish = path_wish(router, request, STAGE_DECODE, now);
+  EndpointQuery wish = path_query(router, request, STAGE_DECODE, now);
   wish.must_fit = TRUE;
   return endpoint_table_choose(router->endpoints, &wish, now);
 }
@@ -116,7 +116,7 @@
 
 static void refuse(Router *router, Request *request, gint64 now) {
   prefill_drop_handle(router, request, now);
-  request->was_busy = TRUE;
+  request->was_rejected = TRUE;
   request->come_back = come_back(router, request);
   finish_refuse(router, request, REFUSAL_BUSY);
 }
@@ -125,14 +125,14 @@
 ** them takes requests again */
 static void refuse_for_rest(Router *router, Request *request, gint64 now) {
   prefill_drop_handle(router, request, now);
-  shortage_note(router, request, now);
+  shortage_record(router, request, now);
   finish_refuse(router, request, REFUSAL_REST);
 }
 
 /* can its first token still come within the objective? */
 static gboolean is_in_time(const Request *request, gint64 now) {
   return request->handle != NULL ||
-         (double)(now - request->first_try) <
+         (double)(now - request->first_attempt_at) <
              IN_TIME_SHARE * (double)request->route->objective;
 }
 
@@ -161,10 +161,10 @@
 static gint64 seniority(const Request *request) {
   if (request->handle != NULL)
     return request->arrived - READ_AHEAD;
-  return request->first_try;
+  return request->first_attempt_at;
 }
 
-gint64 admission_oldest(const Router *router, gint64 now) {
+gint64 admission_oldest_wait(const Router *router, gint64 now) {
   gint64 first = now;
   guint i;
   for (i = 0; i < router->waiting->len; i++) {
@@ -189,7 +189,7 @@
   return count;
 }
 
-guint admission_in_time(const Router *router, gint64 now) {
+guint admission_count_in_time(const Router *router, gint64 now) {
   return in_time_before(router, NULL, now);
 }
 
@@ -208,8 +208,9 @@
                       gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   gboolean in_time = is_in_time(request, now);
-  guint count = in_time ? peer_loads_older(peers, seniority(request))
-                        : peer_loads_with_waiting(peers);
+  guint count =
+      in_time ? peer_loads_count_waiting_longer(peers, seniority(request))
+              : peer_loads_count_with_waiting(peers);
   guint i;
   for (i = 0; i < router->waiting->len; i++)
     count += goes_before(router->waiting->pdata[i], request, in_time, now);
@@ -218,8 +219,8 @@
 
 /* how long a request waits for its turn, now that there is some room */
 static gint64 turn_wait(Router *router, const Request *request, gint64 now) {
-  EndpointWish wish = path_wish(router, request, STAGE_DECODE, now);
-  guint rooms = endpoint_table_rooms(router->endpoints, &wish, now);
+  EndpointQuery wish = path_query(router, request, STAGE_DECODE, now);
+  guint rooms = endpoint_table_count_fitting(router->endpoints, &wish, now);
   gint64 turn = TURN_LEAST + TURN_PER_INSTANCE * router->near;
   return ahead_of(router, request, now) / MAX(rooms, 1) * turn;
 }
@@ -238,20 +239,20 @@
   admission_leave(router, request);
   count_start(router, request, now);
   request->stall_at = 0;
-  request->turn_at = 0;
-  path_place(router, request, engine, now);
+  request->start_at = 0;
+  path_start_on_engine(router, request, engine, now);
 }
 
 /* room that somebody in time waits for, perhaps a larger one than there is, is
 ** not for who is late */
 static gboolean must_yield(const Router *router, const Request *request,
                            gint64 now) {
-  return !is_in_time(request, now) && admission_in_time(router, now) > 0;
+  return !is_in_time(request, now) && admission_count_in_time(router, now) > 0;
 }
 
-void admission_turn(Router *router, Request *request, gint64 now) {
+void admission_take_turn(Router *router, Request *request, gint64 now) {
   Endpoint *engine = engine_with_room(router, request, now);
-  request->turn_at = 0;
+  request->start_at = 0;
   if (engine != NULL && !must_yield(router, request, now))
     start(router, request, engine, now);
 }
@@ -261,19 +262,19 @@
   Endpoint *engine = engine_with_room(router, request, now);
   gint64 wait;
   if (engine == NULL) {
-    request->turn_at = 0;
+    request->start_at = 0;
     return FALSE;
   }
   wait = turn_wait(router, request, now);
   if (wait == 0)
     start(router, request, engine, now);
-  else if (request->turn_at == 0)
-    request->turn_at = now + wait;
+  else if (request->start_at == 0)
+    request->start_at = now + wait;
   return TRUE;
 }
 
 /* the longest that it would wait for room, from now on */
-static gint64 most_patience(const Request *request, gint64 now) {
+static gint64 wait_left_max(const Request *request, gint64 now) {
   gint64 limit = request->returned ? wait_most(request) : wait_fresh(request);
   return MIN(request->arrived + limit, request->expires) - now;
 }
@@ -281,12 +282,12 @@
 void admission_enter(Router *router, Request *request, gint64 now) {
   guint place;
   note_first_try(router, request);
-  if (shortage_lasts(router, request, most_patience(request, now), now)) {
+  if (shortage_outlasts(router, request, wait_left_max(request, now), now)) {
     refuse_for_rest(router, request, now);
     return;
   }
   if (!request->returned &&
-      expected_wait(router, admission_in_time(router, now)) >
+      expected_wait(router, admission_count_in_time(router, now)) >
           wait_fresh(request) &&
       engine_with_room(router, request, now) == NULL) {
     refuse(router, request, now);
@@ -298,7 +299,7 @@
   router->load_version++;
   if (!must_yield(router, request, now) && try_start(router, request, now))
     return;
-  shortage_plan_look(router, now);
+  shortage_schedule_recheck(router, now);
   place = in_time_before(router, request, now);
   router_log(router, MP_LOG_ROUTE_WAIT,
              " request=%s place=%u expected_ms=%d came_back=%d", request->id,
@@ -306,7 +307,7 @@
              request->returned);
 }
 
-void admission_return(Router *router, Request *request, gint64 now) {
+void admission_requeue(Router *router, Request *request, gint64 now) {
   request->phase = PHASE_WAIT;
   enqueue(router, request);
   request->stall_at = request->handle_until;
@@ -323,12 +324,12 @@
     router->load_version++;
 }
 
-void admission_look(Router *router, Request *request, gint64 now) {
+void admission_review(Router *router, Request *request, gint64 now) {
   gint64 waited = now - request->arrived;
   guint place = in_time_before(router, request, now);
   if (request->handle != NULL && now >= request->handle_until)
     prefill_drop_handle(router, request, now); /* it is read anew */
-  if (shortage_lasts(router, request, most_patience(request, now), now)) {
+  if (shortage_outlasts(router, request, wait_left_max(request, now), now)) {
     refuse_for_rest(router, request, now);
     return;
   }
@@ -342,7 +343,7 @@
 }
 
 /* start what fits among those in time, or among the others */
-static guint run_some(Router *router, gboolean in_time, gint64 now) {
+static guint start_some(Router *router, gboolean in_time, gint64 now) {
   guint left = 0;
   guint i = 0;
   while (i < router->waiting->len) {
@@ -356,8 +357,8 @@
 }
 
 /* who is late anyway starts only when nobody in time waits for the room */
-void admission_run(Router *router, gint64 now) {
-  if (router->waiting->len > 0 && run_some(router, TRUE, now) == 0)
-    run_some(router, FALSE, now);
-  shortage_plan_look(router, now);
+void admission_start_waiting(Router *router, gint64 now) {
+  if (router->waiting->len > 0 && start_some(router, TRUE, now) == 0)
+    start_some(router, FALSE, now);
+  shortage_schedule_recheck(router, now);
 }
--- a/router/config_proof.c
+++ b/router/config_proof.c
@@ -23,17 +23,18 @@
   g_hash_table_destroy(proof->clocks);
 }
 
-void config_proof_by_store(ConfigProof *proof, gint64 at) {
+void config_proof_confirm_by_store(ConfigProof *proof, gint64 at) {
   proof->at = MAX(proof->at, at);
 }
 
-void config_proof_know(ConfigProof *proof, StorePosition position) {
+void config_proof_advance_known(ConfigProof *proof, StorePosition position) {
   proof->known = store_position_later(proof->known, position);
 }
 
 /* of the same era alone: what the relay's store had lost, or has lost since,
 ** is not told by a revision */
-static gboolean knows_all_of(const ConfigProof *proof, StorePosition changed) {
+static gboolean knows_changes_up_to(const ConfigProof *proof,
+                                    StorePosition changed) {
   return changed.era == proof->known.era &&
          !store_position_is_before(proof->known, changed);
 }
@@ -50,24 +51,24 @@
   clock->bounded = now;
 }
 
-void config_proof_by_relay(ConfigProof *proof, mp_Addr relay,
-                           const mp_RelayHeartbeat *beat, gint64 now) {
+void config_proof_apply_heartbeat(ConfigProof *proof, mp_Addr relay,
+                                  const mp_RelayHeartbeat *beat, gint64 now) {
   const RelayClock *clock;
   gint64 at;
   if (beat->asked_us != 0 && (gint64)beat->asked_us <= now)
     bound_clock(proof, relay, beat, now);
   clock = g_hash_table_lookup(proof->clocks, &relay);
   if (clock == NULL || beat->proof_ms == CONFIG_PROOF_NONE ||
-      !knows_all_of(proof, beat->changed[STORE_CONFIGURATION]))
+      !knows_changes_up_to(proof, beat->changed[STORE_CONFIGURATION]))
     return;
   at = (gint64)beat->sent_us + clock->behind - beat->proof_ms * MP_MS;
   proof->at = MAX(proof->at, MIN(at, now));
 }
 
-gboolean config_proof_must_ask(const ConfigProof *proof, mp_Addr relay,
-                               gint64 now) {
+gboolean config_proof_must_bound_clock(const ConfigProof *proof, mp_Addr relay,
+                                       gint64 now) {
   const RelayClock *clock = g_hash_table_lookup(proof->clocks, &relay);
-  return clock == NULL || now - clock->bounded > CONFIG_PROOF_CLOCK_LIFE;
+  return clock == NULL || now - clock->bounded > CONFIG_PROOF_CLOCK_AGE_MAX;
 }
 
 guint32 config_proof_age_ms(const ConfigProof *proof, gint64 now) {
--- a/router/config_proof.h
+++ b/router/config_proof.h
@@ -25,7 +25,7 @@
 #define CONFIG_PROOF_NONE G_MAXUINT32
 /* a relay's clock is bounded anew after this, so that a drift of 100 us a
 ** second between two clocks makes 1 ms at most */
-#define CONFIG_PROOF_CLOCK_LIFE (10 * MP_SEC)
+#define CONFIG_PROOF_CLOCK_AGE_MAX (10 * MP_SEC)
 
 typedef struct ConfigProof {
   gint64 at;           /* it was the newest then; 0: never known */
@@ -37,15 +37,15 @@
 void config_proof_clear(ConfigProof *proof);
 
 /* the store has answered that there was nothing newer at that moment */
-void config_proof_by_store(ConfigProof *proof, gint64 at);
+void config_proof_confirm_by_store(ConfigProof *proof, gint64 at);
 /* changes up to there are known */
-void config_proof_know(ConfigProof *proof, StorePosition position);
+void config_proof_advance_known(ConfigProof *proof, StorePosition position);
 /* a relay's heartbeat; counts when this instance knows the changes it names */
-void config_proof_by_relay(ConfigProof *proof, mp_Addr relay,
-                           const mp_RelayHeartbeat *beat, gint64 now);
+void config_proof_apply_heartbeat(ConfigProof *proof, mp_Addr relay,
+                                  const mp_RelayHeartbeat *beat, gint64 now);
 /* should this relay be asked, so that its clock is bounded? */
-gboolean config_proof_must_ask(const ConfigProof *proof, mp_Addr relay,
-                               gint64 now);
+gboolean config_proof_must_bound_clock(const ConfigProof *proof, mp_Addr relay,
+                                       gint64 now);
 
 /* since the configuration was the newest; milliseconds, CONFIG_PROOF_NONE */
 guint32 config_proof_age_ms(const ConfigProof *proof, gint64 now);
--- a/router/connections.c
+++ b/router/connections.c
@@ -15,7 +15,7 @@
 
 static guint most_of(const Router *router, const char *name) {
   const Service *service = router->routes != NULL
-                               ? route_table_service(router->routes, name)
+                               ? route_table_find_service(router->routes, name)
                                : NULL;
   return service != NULL && !service->is_engine ? service->max_connections : 0;
 }
@@ -45,8 +45,9 @@
   view->usual = view->most > 0 ? usual(router, service) : 0;
 }
 
-gboolean connections_told(const Router *router, const Endpoint *endpoint,
-                          ConnectionsView *view) {
+gboolean connections_must_report(const Router *router,
+                                 const Endpoint *endpoint,
+                                 ConnectionsView *view) {
   guint known;
   if (endpoint->connections == 0 || endpoint->record.stage != STAGE_NONE)
     return FALSE;
--- a/router/connections.h
+++ b/router/connections.h
@@ -22,7 +22,8 @@
 } ConnectionsView;
 
 /* must the others know this instance's resting connections there? */
-gboolean connections_told(const Router *router, const Endpoint *endpoint,
-                          ConnectionsView *view);
+gboolean connections_must_report(const Router *router,
+                                 const Endpoint *endpoint,
+                                 ConnectionsView *view);
 
 #endif
--- a/router/crash_watch.c
+++ b/router/crash_watch.c
@@ -13,7 +13,7 @@
 /* a process that ended refuses within a round trip, some milliseconds */
 #define CHECK_PATIENCE (300 * MP_MS)
 /* an outcome later than this is silence, not a refusal */
-#define REFUSED_WITHIN (250 * MP_MS)
+#define REFUSAL_TIME_MAX (250 * MP_MS)
 /* between two checks of an endpoint: with faulty ones that break off runs all
 ** the time a check costs a connection each */
 #define CHECK_PAUSE (500 * MP_MS)
@@ -136,10 +136,10 @@
       watch->host.check(watch->host.data, endpoint, CHECK_PATIENCE, now);
 }
 
-void crash_watch_broken(CrashWatch *watch, const Endpoint *endpoint,
-                        const QuarantineSuspect *suspect, gint64 now) {
+void crash_watch_run_broken(CrashWatch *watch, const Endpoint *endpoint,
+                            const QuarantineSuspect *suspect, gint64 now) {
   Watched *watched;
-  if (endpoint_leaves(endpoint))
+  if (endpoint_is_leaving(endpoint))
     return; /* its planned end is nobody's doing */
   watched = need(watch, endpoint);
   watched->since = now;
@@ -170,15 +170,15 @@
       continue;
     watched->check = 0;
     if (outcome->kind == OUTCOME_UNREACHABLE &&
-        now - watched->checked_at < REFUSED_WITHIN)
+        now - watched->checked_at < REFUSAL_TIME_MAX)
       prove(watch, watched, "refused", now);
     return TRUE;
   }
   return FALSE;
 }
 
-void crash_watch_over(CrashWatch *watch, const char *endpoint, guint32 life,
-                      const char *how, gint64 now) {
+void crash_watch_life_ended(CrashWatch *watch, const char *endpoint,
+                            guint32 life, const char *how, gint64 now) {
   Watched *watched = find(watch, endpoint, life);
   if (watched != NULL && now - watched->since < CRASH_PROOF)
     prove(watch, watched, how, now);
--- a/router/crash_watch.h
+++ b/router/crash_watch.h
@@ -41,14 +41,14 @@
 void crash_watch_free(CrashWatch *watch);
 
 /* a run, or the reading of a prompt, broke off there; copied */
-void crash_watch_broken(CrashWatch *watch, const Endpoint *endpoint,
-                        const QuarantineSuspect *suspect, gint64 now);
+void crash_watch_run_broken(CrashWatch *watch, const Endpoint *endpoint,
+                            const QuarantineSuspect *suspect, gint64 now);
 /* FALSE: no check has this number */
 gboolean crash_watch_outcome(CrashWatch *watch, const Outcome *outcome,
                              gint64 now);
 /* the list says that this life is over */
-void crash_watch_over(CrashWatch *watch, const char *endpoint, guint32 life,
-                      const char *how, gint64 now);
+void crash_watch_life_ended(CrashWatch *watch, const char *endpoint,
+                            guint32 life, const char *how, gint64 now);
 void crash_watch_expire(CrashWatch *watch, gint64 now);
 
 #endif
--- a/router/dispatcher.c
+++ b/router/dispatcher.c
@@ -34,7 +34,7 @@
 
 guint64 dispatcher_send(Router *router, Dispatch *dispatch, Endpoint *endpoint,
                         gint64 now) {
-  GateVerdict verdict = gate_ask(endpoint, dispatch->kind, now);
+  GateVerdict verdict = gate_check(endpoint, dispatch->kind, now);
   if (verdict != GATE_OPEN) {
     hold_back(router, dispatch, endpoint, verdict);
     return 0;
@@ -44,8 +44,8 @@
   dispatch->endpoint = endpoint->record.id;
   dispatch->life = endpoint->hash;
   if (dispatch->kind != DISPATCH_CHECK) {
-    rate_limits_sent(router->rates, endpoint->hash);
-    endpoint->availability.is_disturbed = TRUE;
+    rate_limits_count_sent(router->rates, endpoint->hash);
+    endpoint->availability.has_dispatch_in_rest = TRUE;
   }
   router->host.dispatch(router->host.data, dispatch);
   return dispatch->number;
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -62,7 +62,7 @@
 
 /* a life that is not listed now */
 typedef struct UnlistedLife {
-  gint64 born_unix_ms;
+  gint64 started_unix_ms;
   StorePosition position; /* as in its last record */
   gboolean ready;         /* likewise */
   Availability availability;
@@ -99,15 +99,15 @@
   return g_hash_table_lookup(table->by_id, id);
 }
 
-Endpoint *endpoint_table_get_life(const EndpointTable *table, const char *id,
-                                  guint32 hash) {
+Endpoint *endpoint_table_get_incarnation(const EndpointTable *table,
+                                         const char *id, guint32 hash) {
   Endpoint *endpoint = endpoint_table_get(table, id);
   return endpoint != NULL && endpoint->hash == hash ? endpoint : NULL;
 }
 
-guint32 endpoint_life_hash(const EndpointRecord *record) {
+guint32 endpoint_incarnation_hash(const EndpointRecord *record) {
   gsize size = strlen(record->id);
-  guint64 seed = (guint64)record->born_unix_ms;
+  guint64 seed = (guint64)record->started_unix_ms;
   guint64 message[2] = {0};
   if (size > SHORT_ID)
     return (guint32)XXH3_64bits_withSeed(record->id, size, seed);
@@ -127,8 +127,8 @@
 /* a start that is not said tells nothing of another life */
 static gboolean is_same_life(const EndpointRecord *one,
                              const EndpointRecord *other) {
-  return one->born_unix_ms == 0 || other->born_unix_ms == 0 ||
-         one->born_unix_ms == other->born_unix_ms;
+  return one->started_unix_ms == 0 || other->started_unix_ms == 0 ||
+         one->started_unix_ms == other->started_unix_ms;
 }
 
 gboolean endpoint_record_is_restored(const EndpointRecord *record,
@@ -150,12 +150,12 @@
       !store_position_is_none(known->position) &&
       !endpoint_record_is_restored(record, known))
     return !store_position_is_before(record->position, known->position);
-  return record->born_unix_ms >= known->born_unix_ms ||
+  return record->started_unix_ms >= known->started_unix_ms ||
          is_same_life(record, known);
 }
 
-EndpointNews endpoint_table_compare(const EndpointTable *table,
-                                    const EndpointRecord *record) {
+EndpointComparison endpoint_table_compare(const EndpointTable *table,
+                                          const EndpointRecord *record) {
   const Endpoint *known = endpoint_table_get(table, record->id);
   if (known == NULL)
     return ENDPOINT_NEW;
@@ -193,7 +193,7 @@
   if (g_hash_table_size(table->unlisted) >= most)
     return;
   life = g_new(UnlistedLife, 1);
-  life->born_unix_ms = endpoint->record.born_unix_ms;
+  life->started_unix_ms = endpoint->record.started_unix_ms;
   life->position = endpoint->record.position;
   life->ready = endpoint->record.ready;
   life->availability = endpoint->availability;
@@ -206,16 +206,17 @@
 static void doubt_return(Endpoint *endpoint, const UnlistedLife *life,
                          gint64 now) {
   if (!life->ready)
-    availability_leave(&endpoint->availability, now);
+    availability_set_leaving(&endpoint->availability, now);
   else
-    availability_rest(&endpoint->availability, RETURN_DOUBTED, now);
+    availability_extend_rest(&endpoint->availability, RETURN_DOUBTED, now);
 }
 
 static void restore_unlisted(EndpointTable *table, Endpoint *endpoint,
                              const EndpointRecord *record, gint64 now) {
   const UnlistedLife *life = g_hash_table_lookup(table->unlisted, record->id);
-  if (life != NULL && (life->born_unix_ms == record->born_unix_ms ||
-                       life->born_unix_ms == 0 || record->born_unix_ms == 0)) {
+  if (life != NULL &&
+      (life->started_unix_ms == record->started_unix_ms ||
+       life->started_unix_ms == 0 || record->started_unix_ms == 0)) {
     endpoint->availability = life->availability;
     if (record->position.era > life->position.era)
       doubt_return(endpoint, life, now);
@@ -241,7 +242,7 @@
 void endpoint_table_set(EndpointTable *table, const EndpointRecord *record,
                         gint64 now) {
   Endpoint *endpoint = endpoint_table_get(table, record->id);
-  EndpointNews news = endpoint_table_compare(table, record);
+  EndpointComparison news = endpoint_table_compare(table, record);
   gint64 born;
   if (news == ENDPOINT_OUTDATED)
     return;
@@ -253,16 +254,16 @@
     endpoint = add(table, record, now);
   if (endpoint->changing_until != 0 && record->stage == endpoint->changing_to)
     endpoint->changing_until = 0;
-  born = record->born_unix_ms != 0 ? record->born_unix_ms
-                                   : endpoint->record.born_unix_ms;
+  born = record->started_unix_ms != 0 ? record->started_unix_ms
+                                      : endpoint->record.started_unix_ms;
   record_copy(&endpoint->record, record);
-  endpoint->record.born_unix_ms = born;
-  endpoint->hash = endpoint_life_hash(&endpoint->record);
+  endpoint->record.started_unix_ms = born;
+  endpoint->hash = endpoint_incarnation_hash(&endpoint->record);
   g_hash_table_insert(table->by_id, endpoint->record.id, endpoint);
 }
 
-void endpoint_table_outdated(EndpointTable *table,
-                             const EndpointRecord *record) {
+void endpoint_table_advance_position(EndpointTable *table,
+                                     const EndpointRecord *record) {
   Endpoint *known = endpoint_table_get(table, record->id);
   known->record.position =
       store_position_later(known->record.position, record->position);
@@ -293,7 +294,7 @@
 ** ===================================================================
 */
 
-static gboolean is_excluded(const EndpointWish *wish, const char *id) {
+static gboolean is_excluded(const EndpointQuery *wish, const char *id) {
   guint i;
   for (i = 0; i < wish->excluded_count; i++) {
     if (strcmp(wish->excluded[i], id) == 0)
@@ -302,10 +303,10 @@
   return FALSE;
 }
 
-gboolean endpoint_changing(const EndpointTable *table,
-                           const Endpoint *endpoint, gint64 now) {
+gboolean endpoint_is_changing_stage(const EndpointTable *table,
+                                    const Endpoint *endpoint, gint64 now) {
   return endpoint->changing_until > now ||
-         peer_loads_changing(table->peers, endpoint->hash);
+         peer_loads_is_changing_stage(table->peers, endpoint->hash);
 }
 
 /* no rate is asked: that is done last, for it draws */
@@ -313,11 +314,11 @@
                      const char *service, EndpointStage stage, gint64 now) {
   return endpoint->record.stage == stage &&
          strcmp(endpoint->record.service, service) == 0 &&
-         gate_ask(endpoint, DISPATCH_RUN, now) == GATE_OPEN &&
-         !endpoint_changing(table, endpoint, now);
+         gate_check(endpoint, DISPATCH_RUN, now) == GATE_OPEN &&
+         !endpoint_is_changing_stage(table, endpoint, now);
 }
 
-double endpoint_failing(const Endpoint *endpoint, gint64 now) {
+double endpoint_failure_rate(const Endpoint *endpoint, gint64 now) {
   double age = (double)(now - endpoint->failed_at);
   if (endpoint->failures == 0)
     return 0; /* most endpoints, asked with each choice and each digest */
@@ -335,25 +336,27 @@
   return endpoint->connections + (guint)blocks;
 }
 
-guint endpoint_open(const EndpointTable *table, const Endpoint *endpoint) {
-  return endpoint->open + peer_loads_open(table->peers, endpoint->hash);
+guint endpoint_open_count(const EndpointTable *table,
+                          const Endpoint *endpoint) {
+  return endpoint->open +
+         peer_loads_open_dispatches(table->peers, endpoint->hash);
 }
 
-static gboolean has_room(const EndpointTable *table, const EndpointWish *wish,
+static gboolean has_room(const EndpointTable *table, const EndpointQuery *wish,
                          const Endpoint *endpoint) {
   double planned = (double)(endpoint_tokens(table, endpoint) + wish->tokens);
   return wish->capacity == 0 ||
          planned <= MEMORY_FILL * (double)wish->capacity;
 }
 
-static gboolean takes_more(const EndpointTable *table,
-                           const EndpointWish *wish, const Endpoint *endpoint,
-                           gint64 now) {
-  return gate_ask_limits(table, endpoint, &wish->limits, now) == GATE_OPEN;
+static gboolean is_within_limits(const EndpointTable *table,
+                                 const EndpointQuery *wish,
+                                 const Endpoint *endpoint, gint64 now) {
+  return gate_check_limits(table, endpoint, &wish->limits, now) == GATE_OPEN;
 }
 
 static double cost_of_distance(const EndpointTable *table,
-                               const EndpointWish *wish) {
+                               const EndpointQuery *wish) {
   if (wish->capacity == 0)
     return COST_OTHER_ZONE;
   if (wish->stage == STAGE_PREFILL || !table->is_late)
@@ -362,21 +365,21 @@
 }
 
 /* smaller is better */
-static double cost(const EndpointTable *table, const EndpointWish *wish,
+static double cost(const EndpointTable *table, const EndpointQuery *wish,
                    const Endpoint *endpoint, gint64 now) {
   const char *zone = wish->zone != NULL ? wish->zone : table->zone;
-  double sum = endpoint_open(table, endpoint);
+  double sum = endpoint_open_count(table, endpoint);
   if (wish->capacity > 0)
     sum = COST_MEMORY *
           (double)(endpoint_tokens(table, endpoint) + wish->tokens) /
           (double)wish->capacity;
   if (strcmp(endpoint->record.zone, zone) != 0)
     sum += cost_of_distance(table, wish);
-  if (endpoint->record.cold_left > 0)
+  if (endpoint->record.warmup_left > 0)
     sum += COST_COLD;
-  sum += COST_FAILURES * endpoint_failing(endpoint, now);
+  sum += COST_FAILURES * endpoint_failure_rate(endpoint, now);
   sum += COST_PEERS_FAILURES *
-         MIN(peer_loads_failing(table->peers, endpoint->hash),
+         MIN(peer_loads_failure_shares(table->peers, endpoint->hash),
              MOST_PEERS_FAILURES);
   return sum;
 }
@@ -392,8 +395,9 @@
   double cost;
 } Candidate;
 
-static GArray *candidates(const EndpointTable *table, const EndpointWish *wish,
-                          gboolean avoided_too, gint64 now) {
+static GArray *candidates(const EndpointTable *table,
+                          const EndpointQuery *wish, gboolean avoided_too,
+                          gint64 now) {
   GArray *found = g_array_new(FALSE, FALSE, sizeof(Candidate));
   guint i;
   for (i = 0; i < table->all->len; i++) {
@@ -405,7 +409,7 @@
     if (!avoided_too && endpoint->avoid_until > now)
       continue;
     if ((wish->must_fit && !has_room(table, wish, endpoint)) ||
-        !takes_more(table, wish, endpoint, now))
+        !is_within_limits(table, wish, endpoint, now))
       continue;
     candidate.endpoint = endpoint;
     candidate.cost = cost(table, wish, endpoint, now);
@@ -414,11 +418,11 @@
   return found;
 }
 
-static Endpoint *best_of(const GArray *found, const EndpointWish *wish) {
-  double reach = wish->at_home         ? HUGE_VAL
-                 : wish->affinity != 0 ? AFFINITY_REACH
-                 : wish->must_fit      ? SPREAD_REACH
-                                       : 0.01;
+static Endpoint *best_of(const GArray *found, const EndpointQuery *wish) {
+  double reach = wish->affinity_overrides_load ? HUGE_VAL
+                 : wish->affinity != 0         ? AFFINITY_REACH
+                 : wish->must_fit              ? SPREAD_REACH
+                                               : 0.01;
   guint64 seed = wish->affinity != 0 ? wish->affinity : wish->spread;
   double least = HUGE_VAL;
   Endpoint *best = NULL;
@@ -440,7 +444,7 @@
 }
 
 Endpoint *endpoint_table_choose(const EndpointTable *table,
-                                const EndpointWish *wish, gint64 now) {
+                                const EndpointQuery *wish, gint64 now) {
   GArray *found = candidates(table, wish, FALSE, now);
   Endpoint *best;
   if (found->len == 0 && !wish->must_fit) { /* better a doubtful one */
@@ -452,17 +456,17 @@
   return best;
 }
 
-static guint rooms_at(const EndpointTable *table, const EndpointWish *wish,
+static guint rooms_at(const EndpointTable *table, const EndpointQuery *wish,
                       const Endpoint *endpoint, guint64 planned, gint64 now) {
   guint64 rooms = (wish->capacity - planned) / MAX(wish->tokens, 1);
   if (wish->limits.rates != NULL &&
-      rate_limits_of(wish->limits.rates, endpoint->hash) >= 0)
-    rooms = MIN(rooms, takes_more(table, wish, endpoint, now) ? 1 : 0);
+      rate_limits_rate(wish->limits.rates, endpoint->hash) >= 0)
+    rooms = MIN(rooms, is_within_limits(table, wish, endpoint, now) ? 1 : 0);
   return (guint)rooms;
 }
 
-guint endpoint_table_rooms(const EndpointTable *table,
-                           const EndpointWish *wish, gint64 now) {
+guint endpoint_table_count_fitting(const EndpointTable *table,
+                                   const EndpointQuery *wish, gint64 now) {
   guint rooms = 0;
   guint i;
   for (i = 0; i < table->all->len; i++) {
@@ -475,8 +479,9 @@
   return rooms;
 }
 
-gboolean endpoint_table_has(const EndpointTable *table, const char *service,
-                            EndpointStage stage, gint64 now) {
+gboolean endpoint_table_has_usable(const EndpointTable *table,
+                                   const char *service, EndpointStage stage,
+                                   gint64 now) {
   guint i;
   for (i = 0; i < table->all->len; i++) {
     const Endpoint *endpoint = table->all->pdata[i];
@@ -489,27 +494,27 @@
 
 /* }================================================================== */
 
-gboolean endpoint_leaves(const Endpoint *endpoint) {
+gboolean endpoint_is_leaving(const Endpoint *endpoint) {
   return !endpoint->record.ready || endpoint->availability.leaving_since != 0;
 }
 
 static void count_failure(Endpoint *endpoint, double failed, gint64 now) {
-  double recent = endpoint_failing(endpoint, now);
+  double recent = endpoint_failure_rate(endpoint, now);
   endpoint->failures = recent + FAILURE_STEP * (failed - recent);
   endpoint->failed_at = now;
 }
 
-void endpoint_succeeded(Endpoint *endpoint, gint64 now) {
+void endpoint_note_success(Endpoint *endpoint, gint64 now) {
   count_failure(endpoint, 0, now);
   endpoint->misses = 0;
   endpoint->avoid_until = 0;
 }
 
-void endpoint_failed(Endpoint *endpoint, gint64 now) {
+void endpoint_note_failure(Endpoint *endpoint, gint64 now) {
   count_failure(endpoint, 1, now);
 }
 
-void endpoint_unreachable(Endpoint *endpoint, gint64 now) {
+void endpoint_note_unreachable(Endpoint *endpoint, gint64 now) {
   gint64 wait = AVOID_FIRST << MIN(endpoint->misses, 3);
   endpoint->misses++;
   endpoint->avoid_until = now + MIN(wait, AVOID_MOST);
--- a/router/estimate.c
+++ b/router/estimate.c
@@ -15,7 +15,8 @@
 #define PROMPT_STEP 0.1
 
 guint64 estimate_memory(Router *router, const Request *request) {
-  const ServiceState *state = router_service(router, request->service->name);
+  const ServiceState *state =
+      router_service_state(router, request->service->name);
   double usual = state->mean_output;
   double grown;
   if (usual <= 0)
@@ -25,14 +26,14 @@
          (guint64)MIN(grown, (double)request->output_tokens);
 }
 
-double estimate_usual_memory(Router *router, const Service *service) {
-  const ServiceState *state = router_service(router, service->name);
+double estimate_mean_memory(Router *router, const Service *service) {
+  const ServiceState *state = router_service_state(router, service->name);
   return state->mean_prompt + state->mean_output / 2;
 }
 
 /* learn how long the streams of a service are */
-void estimate_learn_output(Router *router, const Request *request) {
-  ServiceState *state = router_service(router, request->service->name);
+void estimate_observe_output(Router *router, const Request *request) {
+  ServiceState *state = router_service_state(router, request->service->name);
   if (request->made == 0)
     return;
   if (state->mean_output <= 0)
@@ -40,8 +41,8 @@
   state->mean_output += OUTPUT_STEP * (request->made - state->mean_output);
 }
 
-void estimate_learn_prompt(Router *router, const Request *request) {
-  ServiceState *state = router_service(router, request->service->name);
+void estimate_observe_prompt(Router *router, const Request *request) {
+  ServiceState *state = router_service_state(router, request->service->name);
   if (state->mean_prompt <= 0)
     state->mean_prompt = request->prompt_tokens;
   state->mean_prompt +=
--- a/router/finish.c
+++ b/router/finish.c
@@ -15,7 +15,7 @@
 static void forget(Router *router, Request *request) {
   path_close_dispatch(router, request, TRUE);
   admission_leave(router, request);
-  prefill_unreserve(router, request);
+  prefill_release_reservation(router, request);
   g_hash_table_remove(router->requests, &request->number);
 }
 
@@ -27,7 +27,7 @@
   forget(router, request);
 }
 
-gint64 finish_retry_after(RefusalKind kind) {
+gint64 finish_default_retry_ms(RefusalKind kind) {
   switch (kind) {
   case REFUSAL_BUSY:
   case REFUSAL_LIMIT:
@@ -42,7 +42,7 @@
   case REFUSAL_DRAINING:
     return RETRY_AFTER_DRAINING_MS;
   case REFUSAL_HELD:
-  case REFUSAL_SUSPECTED: /* the request says when: suspects_may_send */
+  case REFUSAL_SUSPECTED: /* the request says when: suspects_may_dispatch */
   default:
     return 0;
   }
@@ -68,15 +68,15 @@
 }
 
 /* the caller is told that it did not run, so it spent nothing */
-static gboolean promises_not_run(RefusalKind kind) {
+static gboolean is_told_not_run(RefusalKind kind) {
   return kind != REFUSAL_OUTCOME_UNKNOWN && kind != REFUSAL_TIMEOUT;
 }
 
 void finish_refuse(Router *router, Request *request, RefusalKind kind) {
-  Refusal refusal = {kind, finish_retry_after(kind)};
-  if (promises_not_run(kind))
-    accounts_return(router, request);
-  if (request->come_back != 0 && promises_not_run(kind))
+  Refusal refusal = {kind, finish_default_retry_ms(kind)};
+  if (is_told_not_run(kind))
+    accounts_refund(router, request);
+  if (request->come_back != 0 && is_told_not_run(kind))
     refusal.retry_after_ms = request->come_back / MP_MS;
   router_count(router, REFUSED);
   if (kind == REFUSAL_HELD)
@@ -110,9 +110,9 @@
     break_off(router, request, "endpoint_lost");
   else if (request->runs > 0)
     finish_refuse(router, request, REFUSAL_OUTCOME_UNKNOWN);
-  else if (request->is_short)
-    finish_refuse(router, request, request->short_for);
-  else if (request->was_busy)
+  else if (request->has_shortage)
+    finish_refuse(router, request, request->shortage_reason);
+  else if (request->was_rejected)
     finish_refuse(router, request, REFUSAL_BUSY);
   else
     finish_refuse(router, request, REFUSAL_NO_ENDPOINT);
@@ -148,7 +148,7 @@
 
 void finish_hangup(Router *router, Request *request, gint64 now) {
   if (!may_have_run(request))
-    accounts_return(router, request);
+    accounts_refund(router, request);
   router_count(router, HANGUPS);
   router_log(router, MP_LOG_ROUTE_HANGUP, " request=%s after_ms=%d runs=%u",
              request->id, (int)((now - request->arrived) / MP_MS),
--- a/router/follower.c
+++ b/router/follower.c
@@ -22,7 +22,7 @@
 ** is known to have gone then, if the list is whole; one call in 5 s for each
 ** instance that follows the store is a hundredth of what a small store takes
 */
-#define PARTIAL_AGAIN (5 * MP_SEC)
+#define PARTIAL_RELIST_DELAY (5 * MP_SEC)
 /* the first list of an era is read again after this, and counts then as it
 ** stands: endpoints that live have entered themselves anew within 2 s of the
 ** store's return */
@@ -77,7 +77,7 @@
   follower->host = *host;
   follower->watch_wait = watch_wait;
   follower->pause = pause;
-  follower->retry_most = RETRY_MOST;
+  follower->retry_wait_max = RETRY_MOST;
   follower->names =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   follower->objects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
@@ -90,7 +90,7 @@
   g_free(follower->after);
 }
 
-gint64 follower_next_call(const Follower *follower) {
+gint64 follower_next_call_time(const Follower *follower) {
   return follower->open || follower->taking ? G_MAXINT64 : follower->retry_at;
 }
 
@@ -118,18 +118,18 @@
   return digest;
 }
 
-void follower_look(Follower *follower, gint64 now) {
-  if (!follower->open && !follower->taking && follower->list_at != 0 &&
-      follower->list_at <= now)
+void follower_check_relist(Follower *follower, gint64 now) {
+  if (!follower->open && !follower->taking && follower->relist_at != 0 &&
+      follower->relist_at <= now)
     list_again(follower);
 }
 
-void follower_begin(Follower *follower, gboolean by_instance,
-                    StoreCall *call) {
+void follower_begin_call(Follower *follower, gboolean by_instance,
+                         StoreCall *call) {
   memset(call, 0, sizeof *call);
   follower->open = TRUE;
   follower->by_instance = by_instance;
-  follower->is_stale = FALSE;
+  follower->open_list_is_stale = FALSE;
   follower->listing =
       !follower->watching || (follower->lapsed && !by_instance);
   call->kind = follower->kind;
@@ -160,7 +160,7 @@
     return TRUE;
   if (object->gone)
     return known->text != NULL;
-  if (follower->by_stale)
+  if (follower->from_stale_list)
     return store_position_compare(known->position, object->position) != 0 ||
            g_strcmp0(known->text, object->text) != 0;
   if (known->text == NULL)
@@ -227,7 +227,7 @@
 
 /* others are told that there is news; not by a list that may be old */
 static void name_change(Follower *follower, StorePosition at) {
-  if (!follower->is_stale)
+  if (!follower->open_list_is_stale)
     follower->changed = store_position_later(follower->changed, at);
 }
 
@@ -243,7 +243,7 @@
     follower->gone -= object->text == NULL;
   keep_history(object, told);
   object->position =
-      follower->by_stale
+      follower->from_stale_list
           ? told->position
           : store_position_later(object->position, told->position);
   object->learned = is_new(follower, told)
@@ -332,18 +332,19 @@
   follower->position = follower->listed;
   if (follower->partial) {
     g_hash_table_remove_all(follower->names);
-    follower->list_at = now + PARTIAL_AGAIN;
+    follower->relist_at = now + PARTIAL_RELIST_DELAY;
   } else if (follower->reconciling) {
     g_hash_table_remove_all(follower->names);
-    follower->list_at = now + RECONCILE_AFTER;
+    follower->relist_at = now + RECONCILE_AFTER;
     /* an era in which nothing has changed is news, too */
     follower->changed =
         store_position_later(follower->changed, follower->position);
   } else
     take_names(follower, follower->position);
-  follower->by_stale = follower->is_stale || reply->by_stale;
-  if (follower->by_stale)
-    follower->list_at = now + VERIFY_AFTER;
+  follower->from_stale_list =
+      follower->open_list_is_stale || reply->from_stale_list;
+  if (follower->from_stale_list)
+    follower->relist_at = now + VERIFY_AFTER;
   follower->reconciling = FALSE;
   follower->watching = TRUE;
   follower->known = store_position_later(follower->known, follower->position);
@@ -370,7 +371,7 @@
   follower->position = store_position_none();
   follower->reconciling = FALSE;
   follower->partial = FALSE;
-  follower->list_at = 0;
+  follower->relist_at = 0;
   g_clear_pointer(&follower->after, g_free);
   g_hash_table_remove_all(follower->names);
 }
@@ -379,9 +380,9 @@
   return follower->kind == STORE_CONFIGURATION;
 }
 
-void follower_leave_store(Follower *follower, gint64 now) {
+void follower_abandon_store_call(Follower *follower, gint64 now) {
   follower->lapsed = has_one_object(follower);
-  follower_abandon(follower, now);
+  follower_abandon_call(follower, now);
 }
 
 static void failed(Follower *follower, gint64 now) {
@@ -389,7 +390,7 @@
   if (follower->failures++ == 0)
     follower->host.lost(follower->host.data, follower->kind);
   follower->lapsed = has_one_object(follower);
-  follower->retry_at = now + MIN(wait, follower->retry_most);
+  follower->retry_at = now + MIN(wait, follower->retry_wait_max);
 }
 
 /* a list that is older than what is known would bring old things back, and so
@@ -410,18 +411,18 @@
   return !follower->by_instance && reply->at.era != follower->known.era;
 }
 
-void follower_hear_era(Follower *follower, guint64 era) {
-  if (follower_knows(follower) && follower->known.era < era &&
+void follower_observe_era(Follower *follower, guint64 era) {
+  if (follower_is_synced(follower) && follower->known.era < era &&
       follower->watching && !follower->open)
     list_again(follower);
 }
 
-void follower_abandon(Follower *follower, gint64 now) {
+void follower_abandon_call(Follower *follower, gint64 now) {
   follower->open = FALSE;
   follower->retry_at = now;
 }
 
-gboolean follower_knows(const Follower *follower) {
+gboolean follower_is_synced(const Follower *follower) {
   return !store_position_is_none(follower->known);
 }
 
@@ -429,7 +430,7 @@
 static void take_whole(Follower *follower, const StoreReply *reply,
                        gint64 now) {
   if (reply->whole && reply->at.era > follower->known.era)
-    follower->list_at = now + RECONCILE_AFTER;
+    follower->relist_at = now + RECONCILE_AFTER;
   else if (reply->whole &&
            !store_position_is_before(reply->at, follower->known))
     take_names(follower, reply->at);
@@ -462,14 +463,15 @@
 
 static gboolean is_disproved(const Follower *follower,
                              const StoreReply *reply) {
-  return follower->by_stale && follower->listing && !reply->by_stale &&
-         reply->status == STORE_OK && reply->at.era == follower->known.era &&
+  return follower->from_stale_list && follower->listing &&
+         !reply->from_stale_list && reply->status == STORE_OK &&
+         reply->at.era == follower->known.era &&
          store_position_is_before(reply->at, follower->known);
 }
 
 static void take(Follower *follower, const StoreReply *reply, gint64 now) {
   gboolean disproved = is_disproved(follower, reply);
-  gboolean returned = disproved || (follower_knows(follower) &&
+  gboolean returned = disproved || (follower_is_synced(follower) &&
                                     reply->at.era != follower->known.era);
   if (disproved)
     forget_positions(follower);
@@ -513,13 +515,14 @@
     take_list(follower, reply, now);
 }
 
-void follower_reply(Follower *follower, const StoreReply *reply, gint64 now) {
+void follower_handle_reply(Follower *follower, const StoreReply *reply,
+                           gint64 now) {
   follower->open = FALSE;
   follower->retry_at = now;
   follower->taking = TRUE;
   take(follower, reply, now);
   follower->taking = FALSE;
-  follower_look(follower, now);
+  follower_check_relist(follower, now);
 }
 
 /* the text, or what has changed since */
@@ -541,8 +544,8 @@
   gpointer value;
   memset(out, 0, sizeof *out);
   out->at = follower->known;
-  out->by_stale = follower->by_stale;
-  out->status = follower_knows(follower) ? STORE_OK : STORE_FAILED;
+  out->from_stale_list = follower->from_stale_list;
+  out->status = follower_is_synced(follower) ? STORE_OK : STORE_FAILED;
   if (out->status != STORE_OK)
     return;
   out->whole =
--- a/router/follower.h
+++ b/router/follower.h
@@ -86,8 +86,8 @@
 typedef enum StoreStatus {
   STORE_OK,
   STORE_HISTORY_GONE, /* WATCH: list again */
-  STORE_EXISTS,       /* CREATE; REPLACE: at another revision */
-  STORE_ABSENT,       /* READ, REPLACE, REMOVE */
+  STORE_CONFLICT,     /* CREATE; REPLACE: at another revision */
+  STORE_NOT_FOUND,    /* READ, REPLACE, REMOVE */
   STORE_FAILED        /* no answer, or none that can be used */
 } StoreStatus;
 
@@ -109,9 +109,10 @@
                     ** unless there was no answer */
   gboolean whole;   /* WATCH: it names all objects there are, those that have
                     ** not changed without their text; others are gone */
-  guint nameless;   /* objects that were left out: their names can't be read */
+  guint unreadable_names; /* objects that were left out: their names can't be
+                             read */
   gboolean partial; /* LIST: there may be others than those that it names */
-  gboolean by_stale; /* an instance that knows an old list alone */
+  gboolean from_stale_list; /* an instance that knows an old list alone */
 } StoreReply;
 
 /* an empty array of StoreObject that clears its elements */
@@ -144,33 +145,33 @@
   FollowerHost host;
   gint64 watch_wait; /* longest wait of one watch */
   gint64 pause; /* after news: what comes meanwhile costs no call of its own */
-  gint64 retry_most;    /* longest wait after failures in a row */
-  gboolean watching;    /* else the next call lists */
-  gboolean lapsed;      /* watching: the store has first to be listed again */
-  gboolean listing;     /* the open call is a list */
-  gboolean in_full;     /* changes did not fit: whole texts are asked for */
-  gboolean open;        /* a call is out */
-  gboolean taking;      /* a reply is being taken: no call begins. (One that a
-                        ** hook began before a list was whole was answered with
-                        ** a page, which was read as a watch's events; the next
-                        ** page was never asked for) */
-  gboolean by_instance; /* the open call is not the store's to answer */
+  gint64 retry_wait_max; /* longest wait after failures in a row */
+  gboolean watching;     /* else the next call lists */
+  gboolean lapsed;       /* watching: the store has first to be listed again */
+  gboolean listing;      /* the open call is a list */
+  gboolean in_full;      /* changes did not fit: whole texts are asked for */
+  gboolean open;         /* a call is out */
+  gboolean taking;       /* a reply is being taken: no call begins. (One that a
+                         ** hook began before a list was whole was answered with
+                         ** a page, which was read as a watch's events; the next
+                         ** page was never asked for) */
+  gboolean by_instance;  /* the open call is not the store's to answer */
   StorePosition position; /* of the store, as far as it was read */
-  StorePosition listed;  /* of the store, at the first page of the open list */
-  gboolean reconciling;  /* the open list is the first one of an era */
-  gboolean is_stale;     /* the open list may be older than its era */
-  gboolean by_stale;     /* so may be all that is known */
-  char *after;           /* a list goes on behind this name */
-  gboolean partial;      /* the list may hide objects: it removes none */
-  gint64 list_at;        /* it is read again then; 0: no need */
-  GHashTable *names;     /* seen by the list that is being read */
-  GHashTable *objects;   /* name -> FollowedObject */
-  guint gone;            /* of these, objects that are gone */
-  StorePosition known;   /* every change up to there is in 'objects' */
-  StorePosition changed; /* the last 'learned' that others are told of */
-  StorePosition forgotten; /* removals up to there may not be known */
-  gint64 retry_at;         /* no call before then */
-  unsigned failures;       /* in a row */
+  StorePosition listed; /* of the store, at the first page of the open list */
+  gboolean reconciling; /* the open list is the first one of an era */
+  gboolean open_list_is_stale; /* the open list may be older than its era */
+  gboolean from_stale_list;    /* so may be all that is known */
+  char *after;                 /* a list goes on behind this name */
+  gboolean partial;            /* the list may hide objects: it removes none */
+  gint64 relist_at;            /* it is read again then; 0: no need */
+  GHashTable *names;           /* seen by the list that is being read */
+  GHashTable *objects;         /* name -> FollowedObject */
+  guint gone;                  /* of these, objects that are gone */
+  StorePosition known;         /* every change up to there is in 'objects' */
+  StorePosition changed;       /* the last 'learned' that others are told of */
+  StorePosition forgotten;     /* removals up to there may not be known */
+  gint64 retry_at;             /* no call before then */
+  unsigned failures;           /* in a row */
   gboolean history_gone; /* the last watch said so, and none has ended since */
   guint overtaken;       /* lists older than what was known, since the start */
 } Follower;
@@ -180,21 +181,23 @@
 void follower_clear(Follower *follower);
 
 /* when the next call may be made; G_MAXINT64 while one is out */
-gint64 follower_next_call(const Follower *follower);
+gint64 follower_next_call_time(const Follower *follower);
 /* it is about to be asked whether a call is due */
-void follower_look(Follower *follower, gint64 now);
+void follower_check_relist(Follower *follower, gint64 now);
 /* the call to make now, of the store or ('by_instance') of another instance;
 ** the texts live until its reply is handed in */
-void follower_begin(Follower *follower, gboolean by_instance, StoreCall *call);
-void follower_reply(Follower *follower, const StoreReply *reply, gint64 now);
+void follower_begin_call(Follower *follower, gboolean by_instance,
+                         StoreCall *call);
+void follower_handle_reply(Follower *follower, const StoreReply *reply,
+                           gint64 now);
 /* the call went to somebody else than the store, and came to nothing */
-void follower_abandon(Follower *follower, gint64 now);
+void follower_abandon_call(Follower *follower, gint64 now);
 /* the store names an era, to whomever: a watch of an older one is in vain */
-void follower_hear_era(Follower *follower, guint64 era);
+void follower_observe_era(Follower *follower, guint64 era);
 /* the store is silent, and its call was given up */
-void follower_leave_store(Follower *follower, gint64 now);
+void follower_abandon_store_call(Follower *follower, gint64 now);
 /* a list was whole, or a watch has gone on from one */
-gboolean follower_knows(const Follower *follower);
+gboolean follower_is_synced(const Follower *follower);
 
 /* what another follower asks for */
 typedef struct FollowerQuery {
--- a/router/gate.c
+++ b/router/gate.c
@@ -20,14 +20,15 @@
 
 static gboolean may_disturb(const Availability *known, DispatchKind kind) {
   return kind == DISPATCH_CHECK ||
-         (kind == DISPATCH_RELEASE && !known->is_disturbed);
+         (kind == DISPATCH_RELEASE && !known->has_dispatch_in_rest);
 }
 
-GateVerdict gate_ask(const Endpoint *endpoint, DispatchKind kind, gint64 now) {
+GateVerdict gate_check(const Endpoint *endpoint, DispatchKind kind,
+                       gint64 now) {
   const Availability *known = &endpoint->availability;
-  if (endpoint_leaves(endpoint) && !may_leave(kind))
+  if (endpoint_is_leaving(endpoint) && !may_leave(kind))
     return GATE_LEAVING;
-  if (availability_rest_left(known, now) > 0 && !may_disturb(known, kind))
+  if (availability_rest_remaining(known, now) > 0 && !may_disturb(known, kind))
     return GATE_RESTING;
   return GATE_OPEN;
 }
@@ -50,17 +51,17 @@
                             const Endpoint *endpoint, const GateLimits *limits,
                             gint64 now) {
   double room;
-  if (limits->most_connections == 0 || endpoint->resting > 0)
+  if (limits->connections_max == 0 || endpoint->resting > 0)
     return TRUE;
-  room = OPENED_SHARE * limits->most_connections -
+  room = OPENED_SHARE * limits->connections_max -
          endpoint_connections(table, endpoint);
   return room > 0 &&
          draw(endpoint, limits, now) < room / (1 + limits->sharers.rivals);
 }
 
-GateVerdict gate_ask_limits(const EndpointTable *table,
-                            const Endpoint *endpoint, const GateLimits *limits,
-                            gint64 now) {
+GateVerdict gate_check_limits(const EndpointTable *table,
+                              const Endpoint *endpoint,
+                              const GateLimits *limits, gint64 now) {
   if (!may_connect(table, endpoint, limits, now))
     return GATE_CONNECTIONS;
   if (limits->rates == NULL ||
@@ -69,10 +70,11 @@
   return GATE_RATE;
 }
 
-gboolean gate_keeps(const EndpointTable *table, const Endpoint *endpoint,
-                    guint most_connections, guint instances) {
-  double most = KEPT_SHARE * most_connections;
-  if (most_connections == 0 ||
+gboolean gate_keeps_connection(const EndpointTable *table,
+                               const Endpoint *endpoint, guint connections_max,
+                               guint instances) {
+  double most = KEPT_SHARE * connections_max;
+  if (connections_max == 0 ||
       endpoint_connections(table, endpoint) <= (guint)most)
     return TRUE;
   return endpoint->connections <= (guint)(most / MAX(instances, 1));
--- a/router/gate.h
+++ b/router/gate.h
@@ -30,16 +30,18 @@
 } GateVerdict;
 
 /* by what the endpoint forbids; what is sent must pass this */
-GateVerdict gate_ask(const Endpoint *endpoint, DispatchKind kind, gint64 now);
+GateVerdict gate_check(const Endpoint *endpoint, DispatchKind kind,
+                       gint64 now);
 /* by what all instances together may send there: for choices of runs and
 ** prompts. The answer holds until something is sent */
-GateVerdict gate_ask_limits(const EndpointTable *table,
-                            const Endpoint *endpoint, const GateLimits *limits,
-                            gint64 now);
+GateVerdict gate_check_limits(const EndpointTable *table,
+                              const Endpoint *endpoint,
+                              const GateLimits *limits, gint64 now);
 /* is a connection that is free now kept, or closed so that others may open
 ** one? */
-gboolean gate_keeps(const EndpointTable *table, const Endpoint *endpoint,
-                    guint most_connections, guint instances);
+gboolean gate_keeps_connection(const EndpointTable *table,
+                               const Endpoint *endpoint, guint connections_max,
+                               guint instances);
 /* as logs and traces have it */
 const char *gate_verdict_name(GateVerdict verdict);
 
--- a/router/lease.c
+++ b/router/lease.c
@@ -34,7 +34,7 @@
 }
 
 /* when another's lease has certainly lapsed, and one length more */
-static gint64 free_at(const Lease *lease) {
+static gint64 takeover_allowed_at(const Lease *lease) {
   if (lease->own || lease->absent)
     return lease->free_from;
   return MAX(lease->free_from,
@@ -42,13 +42,13 @@
 }
 
 static StoreOperation next_operation(const Lease *lease, gint64 now) {
-  if (!lease->known || now < free_at(lease))
+  if (!lease->known || now < takeover_allowed_at(lease))
     return STORE_READ;
   return lease->absent ? STORE_CREATE : STORE_REPLACE;
 }
 
-gboolean lease_step(Lease *lease, StoreCall *call, LeaseRecord *record,
-                    gint64 now) {
+gboolean lease_begin_call(Lease *lease, StoreCall *call, LeaseRecord *record,
+                          gint64 now) {
   if (lease->length == 0 || lease->open || now < lease->retry_at)
     return FALSE;
   memset(call, 0, sizeof *call);
@@ -71,8 +71,8 @@
 
 /* until another one may take it, it is looked at now and then */
 static void wait_until_free(Lease *lease, gint64 now) {
-  if (now < free_at(lease))
-    lease->retry_at = MIN(now + lease->length, free_at(lease));
+  if (now < takeover_allowed_at(lease))
+    lease->retry_at = MIN(now + lease->length, takeover_allowed_at(lease));
 }
 
 /* the object as the store has it */
@@ -95,7 +95,7 @@
   lease->retry_at = now + LEASE_RETRY;
 }
 
-void lease_hear_era(Lease *lease, guint64 era, gint64 now) {
+void lease_observe_era(Lease *lease, guint64 era, gint64 now) {
   gboolean is_return = lease->era != 0 || lease->known;
   if (era <= lease->era)
     return;
@@ -114,18 +114,18 @@
 }
 
 static gboolean has_object(const LeaseReply *reply) {
-  return (reply->status == STORE_OK || reply->status == STORE_EXISTS) &&
+  return (reply->status == STORE_OK || reply->status == STORE_CONFLICT) &&
          !store_position_is_none(reply->position);
 }
 
-void lease_reply(Lease *lease, const LeaseReply *reply, gint64 now) {
+void lease_handle_reply(Lease *lease, const LeaseReply *reply, gint64 now) {
   gboolean wrote = lease->operation != STORE_READ;
   lease->open = FALSE;
   lease->retry_at = now;
-  lease_hear_era(lease, reply->era, now);
+  lease_observe_era(lease, reply->era, now);
   if (is_of_past(lease, reply))
     forget(lease, now);
-  else if (reply->status == STORE_ABSENT) {
+  else if (reply->status == STORE_NOT_FOUND) {
     lease->known = !wrote;
     lease->absent = !wrote;
     wait_until_free(lease, now);
@@ -142,15 +142,15 @@
          lease->position.revision;
 }
 
-gint64 lease_next(const Lease *lease) {
+gint64 lease_next_call_time(const Lease *lease) {
   return lease->open ? G_MAXINT64 : lease->retry_at;
 }
 
-gboolean lease_held(const Lease *lease, gint64 span, gint64 now) {
+gboolean lease_is_held(const Lease *lease, gint64 span, gint64 now) {
   return now + span < lease->held_until;
 }
 
-void lease_lose(Lease *lease, gint64 now) {
+void lease_give_up(Lease *lease, gint64 now) {
   lease->held_until = 0;
   forget(lease, now + LEASE_PATIENCE * lease->length);
 }
--- a/router/lease.h
+++ b/router/lease.h
@@ -66,23 +66,24 @@
 
 /*
 ** The duty is wanted: the next call towards holding the lease. FALSE when
-** none is due now; lease_next tells when to ask again. Texts in 'call' live
+** none is due now; lease_next_call_time tells when to ask again. Texts in
+*'call' live
 ** until its reply is handed in.
 */
-gboolean lease_step(Lease *lease, StoreCall *call, LeaseRecord *record,
-                    gint64 now);
-void lease_reply(Lease *lease, const LeaseReply *reply, gint64 now);
+gboolean lease_begin_call(Lease *lease, StoreCall *call, LeaseRecord *record,
+                          gint64 now);
+void lease_handle_reply(Lease *lease, const LeaseReply *reply, gint64 now);
 /* G_MAXINT64 while a call is out */
-gint64 lease_next(const Lease *lease);
+gint64 lease_next_call_time(const Lease *lease);
 
 /* the store has named this era, here or to another instance */
-void lease_hear_era(Lease *lease, guint64 era, gint64 now);
+void lease_observe_era(Lease *lease, guint64 era, gint64 now);
 /* what the holder's orders bear: grows with each holder and each era */
 gint64 lease_fence(const Lease *lease);
 
 /* is it held, and for at least 'span' more? */
-gboolean lease_held(const Lease *lease, gint64 span, gint64 now);
+gboolean lease_is_held(const Lease *lease, gint64 span, gint64 now);
 /* somebody has seen a newer fence: stop at once */
-void lease_lose(Lease *lease, gint64 now);
+void lease_give_up(Lease *lease, gint64 now);
 
 #endif
--- a/router/lives.c
+++ b/router/lives.c
@@ -14,7 +14,7 @@
 static guint64 check_endpoint(void *data, const Endpoint *endpoint,
                               gint64 timeout, gint64 now) {
   Router *router = data;
-  Endpoint *target = endpoint_table_get_life(
+  Endpoint *target = endpoint_table_get_incarnation(
       router->endpoints, endpoint->record.id, endpoint->hash);
   Dispatch dispatch = {0};
   dispatch.kind = DISPATCH_CHECK;
@@ -31,11 +31,11 @@
   router_log(router, MP_LOG_EP_ENDED, " endpoint=%s requests=%u proof=%s",
              endpoint, count, how);
   for (i = 0; i < count; i++)
-    suspects_strike(router, &suspects[i], life, now);
-  suspects_sweep(router, now);
+    suspects_add_strike(router, &suspects[i], life, now);
+  suspects_refuse_held(router, now);
 }
 
-CrashWatch *lives_watch_new(Router *router) {
+CrashWatch *lives_new_crash_watch(Router *router) {
   CrashWatchHost host = {router, check_endpoint, endpoint_ended};
   return crash_watch_new(&host);
 }
@@ -85,7 +85,7 @@
   guint64 number;
   router_log(router, MP_LOG_EP_RESTARTED, " endpoint=%s", id);
   drop_prompts(router, id);
-  stages_restarted(router->stages, id);
+  stages_drop_changes(router->stages, id);
   endpoint->avoid_until = G_MAXINT64; /* none is sent there any more */
   while ((number = open_dispatch(router, id, life)) != 0) {
     Outcome outcome = {0};
@@ -94,7 +94,7 @@
     router->host.cancel(router->host.data, number);
     router_outcome(router, &outcome, now);
   }
-  crash_watch_over(router->crashes, id, life, "restarted", now);
+  crash_watch_life_ended(router->crashes, id, life, "restarted", now);
   g_free(id);
 }
 
@@ -109,7 +109,7 @@
   router_log(router, MP_LOG_EP_LEAVING, " endpoint=%s gone=1", id);
   endpoint_table_remove(router->endpoints, id, now);
   rates_endpoints_changed(router);
-  crash_watch_over(router->crashes, id, life, "gone", now);
+  crash_watch_life_ended(router->crashes, id, life, "gone", now);
   g_free(id);
 }
 
@@ -118,21 +118,21 @@
                          gint64 now) {
   if (endpoint_record_is_restored(record, &known->record) &&
       !known->record.ready)
-    availability_leave(&known->availability, now);
+    availability_set_leaving(&known->availability, now);
 }
 
 void router_set_endpoint(Router *router, const EndpointRecord *record,
                          gboolean gone, gint64 now) {
   Endpoint *known = endpoint_table_get(router->endpoints, record->id);
   gboolean was_ready = known != NULL && known->record.ready;
-  EndpointNews news;
+  EndpointComparison news;
   if (gone) {
     forget_endpoint(router, known, now);
     return;
   }
   news = endpoint_table_compare(router->endpoints, record);
   if (news == ENDPOINT_OUTDATED) {
-    endpoint_table_outdated(router->endpoints, record);
+    endpoint_table_advance_position(router->endpoints, record);
     return;
   }
   if (known != NULL && news == ENDPOINT_RESTARTED)
--- a/router/loads.c
+++ b/router/loads.c
@@ -29,9 +29,9 @@
 */
 static guint share_failing(const Endpoint *endpoint, gint64 now) {
   if (endpoint->avoid_until > now ||
-      availability_rest_left(&endpoint->availability, now) > 0)
+      availability_rest_remaining(&endpoint->availability, now) > 0)
     return 100;
-  return (guint)(100 * endpoint_failing(endpoint, now));
+  return (guint)(100 * endpoint_failure_rate(endpoint, now));
 }
 
 /* as mp_LoadRow.tokens */
@@ -53,13 +53,14 @@
 gboolean router_keeps_connection(const Router *router, const char *id) {
   const Endpoint *endpoint = endpoint_table_get(router->endpoints, id);
   const Service *service;
-  if (endpoint == NULL || endpoint_leaves(endpoint) || router->routes == NULL)
+  if (endpoint == NULL || endpoint_is_leaving(endpoint) ||
+      router->routes == NULL)
     return FALSE;
-  service = route_table_service(router->routes, endpoint->record.service);
+  service = route_table_find_service(router->routes, endpoint->record.service);
   if (service == NULL || service->is_engine)
     return TRUE;
-  return gate_keeps(router->endpoints, endpoint, service->max_connections,
-                    router->instances);
+  return gate_keeps_connection(router->endpoints, endpoint,
+                               service->max_connections, router->instances);
 }
 
 static void write_row(const Endpoint *endpoint, mp_LoadDigest *out,
@@ -92,21 +93,21 @@
     const Endpoint *endpoint = all->pdata[i];
     guint failing = share_failing(endpoint, now);
     if (!is_loaded(endpoint, failing) &&
-        connections_told(router, endpoint, &view))
+        connections_must_report(router, endpoint, &view))
       write_row(endpoint, out, failing);
   }
 }
 
 void router_load_digest(const Router *router, mp_LoadDigest *out, gint64 now) {
   out->waiting = router->waiting->len;
-  out->in_time = admission_in_time(router, now);
-  out->oldest_ms = (uint32_t)(admission_oldest(router, now) / MP_MS);
+  out->in_time = admission_count_in_time(router, now);
+  out->oldest_ms = (uint32_t)(admission_oldest_wait(router, now) / MP_MS);
   write_rows(router, out, now);
   retry_exchange_write(router, out);
   account_limits_write(router->limits, out);
-  out->changing_count = stages_changing(router->stages, out->changing,
-                                        MP_LOAD_DIGEST_CHANGING, now);
-  signals_write(router, out, now);
+  out->changing_count = stages_list_changing(router->stages, out->changing,
+                                             MP_LOAD_DIGEST_CHANGING, now);
+  signals_write_digest(router, out, now);
 }
 
 void router_load_summary(const Router *router, mp_LoadSummary *out,
@@ -114,9 +115,9 @@
   memset(out, 0, sizeof *out);
   router_load_digest(router, &out->loads, now);
   out->instances = 1;
-  peer_loads_sum(router->endpoints->peers, out, now);
+  peer_loads_add_to_summary(router->endpoints->peers, out, now);
   retry_exchange_write_sum(router, &out->loads);
-  account_limits_write_sum(router->limits, &out->loads);
+  account_limits_write_summary(router->limits, &out->loads);
 }
 
 guint64 router_urgent_set(const Router *router, gint64 now) {
@@ -126,7 +127,7 @@
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
     if (share_failing(endpoint, now) >= FAILING_SHARE ||
-        peer_loads_failing(router->endpoints->peers, endpoint->hash) >=
+        peer_loads_failure_shares(router->endpoints->peers, endpoint->hash) >=
             FAILING_SHARE / 100.0)
       set += (guint64)endpoint->hash * endpoint->hash;
     if (endpoint->availability.leaving_since != 0)
@@ -135,46 +136,48 @@
   return set;
 }
 
-double router_limits_untold(const Router *router) {
-  return account_limits_untold(router->limits);
+double router_limits_unreported(const Router *router) {
+  return account_limits_unreported_share(router->limits);
 }
 
 void router_zone_load(Router *router, guint32 sequence,
                       const mp_LoadSummary *summary, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
-  const mp_LoadDigest *known = peer_loads_last_summary(peers, summary->relay);
+  const mp_LoadDigest *known =
+      peer_loads_latest_summary(peers, summary->relay);
   mp_LoadDigest before;
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
-  if (!peer_loads_take_summary(peers, sequence, summary, now))
+  if (!peer_loads_update_summary(peers, sequence, summary, now))
     return;
-  retry_exchange_hear_sum(router, known != NULL ? &before : NULL,
-                          &summary->loads, now);
+  retry_exchange_receive_sum(router, known != NULL ? &before : NULL,
+                             &summary->loads, now);
   sharers = accounts_sharers(router, now);
-  account_limits_hear_sum(router->limits, summary->relay, &summary->loads,
-                          &sharers, now);
-  signals_hear(router, &summary->loads, now);
-  admission_run(router, now);
+  account_limits_receive_summary(router->limits, summary->relay,
+                                 &summary->loads, &sharers, now);
+  signals_read_digest(router, &summary->loads, now);
+  admission_start_waiting(router, now);
 }
 
 void router_peer_load(Router *router, mp_Addr peer, guint32 sequence,
                       const mp_LoadDigest *digest, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
-  const mp_LoadDigest *known = peer_loads_last(peers, peer);
+  const mp_LoadDigest *known = peer_loads_latest_digest(peers, peer);
   mp_LoadDigest before;
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
-  if (!peer_loads_take(peers, peer, sequence, digest, now))
+  if (!peer_loads_update(peers, peer, sequence, digest, now))
     return;
-  retry_exchange_hear(router, known != NULL ? &before : NULL, digest, now);
+  retry_exchange_receive(router, known != NULL ? &before : NULL, digest, now);
   sharers = accounts_sharers(router, now);
-  account_limits_hear(router->limits, peer, digest, &sharers, now);
-  signals_hear(router, digest, now);
-  admission_run(router, now);
+  account_limits_receive(router->limits, peer, digest, &sharers, now);
+  signals_read_digest(router, digest, now);
+  admission_start_waiting(router, now);
 }
 
-void router_peer_note(Router *router, mp_Addr peer, const mp_LoadNote *note) {
-  peer_loads_note(router->endpoints->peers, peer, note);
+void router_peer_reservation(Router *router, mp_Addr peer,
+                             const mp_LoadNote *note) {
+  peer_loads_add_reservation(router->endpoints->peers, peer, note);
 }
--- a/router/news_source.c
+++ b/router/news_source.c
@@ -19,7 +19,7 @@
 #define INSTANCE_PATIENCE (1000 * MP_MS)
 /* a store that is silent for so long while another instance has news is left
 ** for a relay; a slow one answers within 200 ms */
-#define BEHIND_MOST (300 * MP_MS)
+#define STORE_SILENCE_MAX (300 * MP_MS)
 
 /* longest waits after failures: instances change rarely, and what ends
 ** endpoints is told between instances besides; and who stands in for relays
@@ -36,42 +36,42 @@
   source->seeds_count = seeds_count;
   if (source->follower.kind == STORE_INSTANCES ||
       source->follower.kind == STORE_QUARANTINE)
-    source->follower.retry_most = RARE_RETRY;
+    source->follower.retry_wait_max = RARE_RETRY;
 }
 
 static gboolean knows(const NewsSource *source) {
-  return follower_knows(&source->follower);
+  return follower_is_synced(&source->follower);
 }
 
 static mp_Addr relay_with_news(const NewsSource *source, gint64 now) {
-  return relay_group_source(source->group, source->follower.kind,
-                            source->follower.known, now);
+  return relay_group_choose_source(source->group, source->follower.kind,
+                                   source->follower.known, now);
 }
 
 /* the same, or any relay that knows something while all is to be listed */
 static mp_Addr relay_to_ask(const NewsSource *source, gint64 now) {
   if (source->follower.watching)
     return relay_with_news(source, now);
-  return relay_group_source(source->group, source->follower.kind,
-                            store_position_none(), now);
+  return relay_group_choose_source(source->group, source->follower.kind,
+                                   store_position_none(), now);
 }
 
 /*
 ** Ask a relay that has news; FALSE when none can be asked. One that is not
 ** listed yet has no known address: another one is asked, or the store.
 */
-static gboolean ask_relay(NewsSource *source, gint64 now, NewsWanted *out) {
+static gboolean ask_relay(NewsSource *source, gint64 now, NewsAction *out) {
   mp_Addr relay;
   while ((relay = relay_to_ask(source, now)) != 0) {
     out->instance = source->host.control_of(source->host.data, relay);
     if (out->instance != 0) {
       source->asked = relay;
-      source->must_ask = FALSE;
+      source->must_ask_store = FALSE;
       out->step = NEWS_ASK_INSTANCE;
       return TRUE;
     }
-    relay_group_doubt(source->group, relay);
-    source->must_ask = TRUE;
+    relay_group_suspend_relay(source->group, relay);
+    source->must_ask_store = TRUE;
   }
   return FALSE;
 }
@@ -82,7 +82,7 @@
 ** by 1.2 s otherwise, and an instance that started 0.3 s before the store
 ** entered itself that late.
 */
-static gboolean ask_seed(NewsSource *source, NewsWanted *out) {
+static gboolean ask_seed(NewsSource *source, NewsAction *out) {
   gboolean has_failed = source->seed_failed;
   source->seed_failed = FALSE;
   if (has_failed || knows(source) || source->seeds_count == 0 ||
@@ -93,16 +93,16 @@
   return TRUE;
 }
 
-static void ask_store(NewsWanted *out) {
+static void ask_store(NewsAction *out) {
   out->step = NEWS_ASK_STORE;
 }
 
 /* one that follows the store: others only when the store has not answered */
 static void choose_for_follower(NewsSource *source, gint64 now,
-                                NewsWanted *out) {
+                                NewsAction *out) {
   gboolean is_behind = source->is_behind || source->follower.failures > 0;
   source->is_behind = FALSE;
-  if (is_behind && !source->must_ask && ask_relay(source, now, out))
+  if (is_behind && !source->must_ask_store && ask_relay(source, now, out))
     return;
   if (!ask_seed(source, out))
     ask_store(out);
@@ -123,11 +123,11 @@
 ** answers it about what matters more: a call that fails is a call */
 static gboolean may_wait(const NewsSource *source, gint64 now) {
   return source->follower.kind == STORE_QUARANTINE &&
-         relay_group_stands_in(source->group, now) &&
-         !relay_group_store_answers(source->group, now);
+         relay_group_is_substitute(source->group, now) &&
+         !relay_group_is_store_answering(source->group, now);
 }
 
-static void choose(NewsSource *source, gint64 now, NewsWanted *out) {
+static void choose(NewsSource *source, gint64 now, NewsAction *out) {
   RelayRole role = relay_group_role(source->group, now);
   if (may_wait(source, now))
     return;
@@ -135,9 +135,9 @@
     choose_for_follower(source, now, out);
   else if (role == RELAY_ROLE_STARTING)
     return; /* nobody to ask yet */
-  else if (role != RELAY_ROLE_MEMBER || source->must_ask)
+  else if (role != RELAY_ROLE_MEMBER || source->must_ask_store)
     choose_for_follower(source, now, out);
-  else if (!ask_relay(source, now, out) && source->must_ask)
+  else if (!ask_relay(source, now, out) && source->must_ask_store)
     ask_store(out);
 }
 
@@ -158,14 +158,14 @@
 ** at all when it has not answered this instance lately */
 static gint64 silence_most(const NewsSource *source, gint64 now) {
   gboolean answers = source->progress_at > source->asked_at ||
-                     relay_group_store_answers(source->group, now);
-  return answers ? BEHIND_MOST : 0;
+                     relay_group_is_store_answering(source->group, now);
+  return answers ? STORE_SILENCE_MAX : 0;
 }
 
-static void leave_store(NewsSource *source, gint64 now, NewsWanted *out) {
+static void leave_store(NewsSource *source, gint64 now, NewsAction *out) {
   source->behind_since = 0;
-  follower_leave_store(&source->follower, now);
-  out->step = NEWS_LEAVE_STORE;
+  follower_abandon_store_call(&source->follower, now);
+  out->step = NEWS_ABANDON_STORE_CALL;
 }
 
 /* a watch of an older era than one that was heard of since tells nothing */
@@ -179,7 +179,7 @@
 ** brought. It should answer any moment; one that is silent is lost. An answer
 ** that arrives is not given up, however long it takes.
 */
-static void look_behind(NewsSource *source, gint64 now, NewsWanted *out) {
+static void look_behind(NewsSource *source, gint64 now, NewsAction *out) {
   if (is_in_vain(source)) {
     leave_store(source, now, out);
     return;
@@ -195,15 +195,16 @@
   if (now < out->at)
     return;
   source->is_behind = TRUE;
-  source->must_ask = FALSE; /* a relay that failed before may answer now */
+  source->must_ask_store =
+      FALSE; /* a relay that failed before may answer now */
   leave_store(source, now, out);
 }
 
 static void note_call(NewsSource *source, StoreCall *call, gint64 now) {
-  if (source->follower.list_at > now)
-    call->wait = MIN(call->wait, source->follower.list_at - now);
-  if (source->proof_within > 0)
-    call->wait = MIN(call->wait, source->proof_within);
+  if (source->follower.relist_at > now)
+    call->wait = MIN(call->wait, source->follower.relist_at - now);
+  if (source->proof_wait_max > 0)
+    call->wait = MIN(call->wait, source->proof_wait_max);
   if (call->kind == STORE_CONFIGURATION || call->kind == STORE_ENDPOINTS)
     call->wait = MIN(call->wait,
                      relay_group_watch_wait(source->group, call->kind, now));
@@ -230,16 +231,16 @@
   if (source->asked_for == STORE_WATCH && is_empty(reply) &&
       now - source->asked_at >= source->asked_wait)
     at += source->asked_wait;
-  config_proof_by_store(relay_group_proof(source->group), at);
+  config_proof_confirm_by_store(relay_group_proof(source->group), at);
 }
 
-void news_source_next(NewsSource *source, gint64 now, NewsWanted *out) {
-  gint64 due = follower_next_call(&source->follower);
+void news_source_next(NewsSource *source, gint64 now, NewsAction *out) {
+  gint64 due = follower_next_call_time(&source->follower);
   memset(out, 0, sizeof *out);
   out->at = G_MAXINT64;
   if (source->follower.taking)
     return;
-  follower_look(&source->follower, now);
+  follower_check_relist(&source->follower, now);
   if (due == G_MAXINT64) {
     look_behind(source, now, out);
     return;
@@ -257,13 +258,13 @@
     return;
   source->at_store = out->step == NEWS_ASK_STORE;
   if (source->at_store)
-    follower_hear_era(&source->follower, relay_group_era(source->group));
-  follower_begin(&source->follower, !source->at_store, &out->call);
+    follower_observe_era(&source->follower, relay_group_era(source->group));
+  follower_begin_call(&source->follower, !source->at_store, &out->call);
   source->progress_at = now;
   out->call.stale =
-      out->call.operation == STORE_LIST && source->proof_within == 0 &&
+      out->call.operation == STORE_LIST && source->proof_wait_max == 0 &&
       is_first_list(source, relay_group_role(source->group, now));
-  source->follower.is_stale = out->call.stale;
+  source->follower.open_list_is_stale = out->call.stale;
   note_call(source, &out->call, now);
   out->patience = source->at_store ? store_patience(source, &out->call)
                                    : INSTANCE_PATIENCE;
@@ -277,7 +278,7 @@
       relay_group_news(source->group, source->follower.kind);
   return source->at_store && source->asked_for == STORE_WATCH &&
          reply->status == STORE_OK && is_empty(reply) &&
-         news_state_lacks(news) &&
+         news_state_is_behind(news) &&
          !store_position_is_before(reply->at, news->newest);
 }
 
@@ -296,7 +297,8 @@
   if (source->at_store)
     return FALSE;
   return reply->at.era < follower->known.era ||
-         (reply->by_stale && follower_knows(follower) && !follower->by_stale);
+         (reply->from_stale_list && follower_is_synced(follower) &&
+          !follower->from_stale_list);
 }
 
 void news_source_reply(NewsSource *source, const StoreReply *reply,
@@ -304,38 +306,38 @@
   static const StoreReply list_again = {.status = STORE_HISTORY_GONE};
   gboolean by_relay = source->asked != 0;
   gboolean is_answer = reply->status != STORE_FAILED;
-  relay_group_hear_era(source->group, reply->at.era);
+  relay_group_observe_era(source->group, reply->at.era);
   if (is_of_past(source, reply))
     is_answer = FALSE;
   if (misses_change(source, reply)) {
     source->missed++;
-    follower_reply(&source->follower, &list_again, now);
+    follower_handle_reply(&source->follower, &list_again, now);
     return;
   }
   if (source->at_store) {
-    source->must_ask = FALSE;
+    source->must_ask_store = FALSE;
     if (tells_present(source, reply))
-      relay_group_confirm(source->group, source->follower.kind, now);
+      relay_group_confirm_store(source->group, source->follower.kind, now);
   }
   if (!source->at_store && !by_relay && !is_answer) {
     source->seed_failed = TRUE; /* that is no failure of the store */
-    follower_abandon(&source->follower, now);
+    follower_abandon_call(&source->follower, now);
     return;
   }
   if (by_relay && !is_answer) {
     /* that is no outage of the store */
-    relay_group_doubt(source->group, source->asked);
-    source->must_ask = TRUE;
-    follower_abandon(&source->follower, now);
+    relay_group_suspend_relay(source->group, source->asked);
+    source->must_ask_store = TRUE;
+    follower_abandon_call(&source->follower, now);
     return;
   }
-  follower_reply(&source->follower, reply, now);
-  relay_group_hold(source->group, source->follower.kind,
-                   source->follower.known, now);
+  follower_handle_reply(&source->follower, reply, now);
+  relay_group_advance_held(source->group, source->follower.kind,
+                           source->follower.known, now);
   if (source->at_store && reply->status == STORE_OK)
     prove(source, reply, now);
   if (source->at_store && reply->status == STORE_FAILED &&
-      relay_group_stands_in(source->group, now))
+      relay_group_is_substitute(source->group, now))
     source->follower.retry_at =
         MAX(source->follower.retry_at, now + STAND_IN_RETRY);
 }
--- a/router/news_source.h
+++ b/router/news_source.h
@@ -19,19 +19,20 @@
 #include "router/relay_group.h"
 
 typedef enum NewsStep {
-  NEWS_WAIT,         /* nothing to ask before 'at', or before a look */
-  NEWS_ASK_STORE,    /* make the call there */
-  NEWS_ASK_INSTANCE, /* make the call at 'instance' */
-  NEWS_LEAVE_STORE   /* forget the open call to the store, and look again */
+  NEWS_WAIT,              /* nothing to ask before 'at', or before a look */
+  NEWS_ASK_STORE,         /* make the call there */
+  NEWS_ASK_INSTANCE,      /* make the call at 'instance' */
+  NEWS_ABANDON_STORE_CALL /* forget the open call to the store, and look again
+                           */
 } NewsStep;
 
-typedef struct NewsWanted {
+typedef struct NewsAction {
   NewsStep step;
   gint64 at; /* WAIT: look again then; G_MAXINT64: when something changes */
   StoreCall call;
   gint64 patience;  /* how long an answer may be silent */
   mp_Addr instance; /* where it answers news */
-} NewsWanted;
+} NewsAction;
 
 typedef struct NewsSourceHost {
   void *data;
@@ -53,14 +54,14 @@
   StoreOperation asked_for;
   gint64 asked_wait; /* WATCH: as in the call */
   gboolean asked_stale;
-  guint64 asked_era;   /* the latest era of the store that was heard of then */
-  gint64 proof_within; /* the age of the configuration must be known: longest
-                       ** wait of its watches; 0: it need not be */
-  mp_Addr asked;       /* the relay that the open call went to; 0: none */
-  gboolean must_ask;   /* a relay's news could not be had: ask the store */
-  gint64 behind_since; /* others know more than the open watch; 0: no */
-  gboolean is_behind;  /* they are asked in the store's place */
-  guint missed;        /* watches that missed a change, since the start */
+  guint64 asked_era; /* the latest era of the store that was heard of then */
+  gint64 proof_wait_max; /* the age of the configuration must be known: longest
+                          ** wait of its watches; 0: it need not be */
+  mp_Addr asked;         /* the relay that the open call went to; 0: none */
+  gboolean must_ask_store; /* a relay's news could not be had: ask the store */
+  gint64 behind_since;     /* others know more than the open watch; 0: no */
+  gboolean is_behind;      /* they are asked in the store's place */
+  guint missed;            /* watches that missed a change, since the start */
 } NewsSource;
 
 /* 'follower' is initialised by the caller, and cleared by it */
@@ -69,7 +70,7 @@
                       unsigned seeds_count);
 
 /* what to do now; a call that is handed out is open from then on */
-void news_source_next(NewsSource *source, gint64 now, NewsWanted *out);
+void news_source_next(NewsSource *source, gint64 now, NewsAction *out);
 /* bytes of the open call's answer have come */
 void news_source_progress(NewsSource *source, gint64 now);
 /* the open call's answer; news_source_next says how it goes on */
--- a/router/news_state.h
+++ b/router/news_state.h
@@ -20,11 +20,13 @@
 } NewsState;
 
 /* changes up to there are known here now */
-void news_state_hold(NewsState *state, StorePosition position, gint64 now);
+void news_state_advance_held(NewsState *state, StorePosition position,
+                             gint64 now);
 /* another instance has named a change there */
-void news_state_name(NewsState *state, StorePosition position, gint64 now);
+void news_state_advance_newest(NewsState *state, StorePosition position,
+                               gint64 now);
 /* has a change been named that is not known here? */
-gboolean news_state_lacks(const NewsState *state);
+gboolean news_state_is_behind(const NewsState *state);
 /* for how long a newer change has been known elsewhere, us; 0: none is */
 gint64 news_state_lag(const NewsState *state, gint64 now);
 
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -65,10 +65,11 @@
   g_clear_pointer(&request->handle_endpoint, g_free);
 }
 
-void outcomes_try_again(Router *router, Request *request,
-                        gboolean may_have_run, gint64 now) {
+void outcomes_retry(Router *router, Request *request, gboolean may_have_run,
+                    gint64 now) {
   gboolean allowed = may_try_again(request, may_have_run, now);
-  if (allowed && !retry_exchange_take(router, request->service->name, now)) {
+  if (allowed &&
+      !retry_exchange_try_take(router, request->service->name, now)) {
     router_count(router, RETRIES_DENIED);
     allowed = FALSE;
   }
@@ -82,9 +83,11 @@
 }
 
 /* is there an endpoint beside those that failed and the open run's own? */
-static gboolean has_elsewhere(Router *router, Request *request, gint64 now) {
-  EndpointWish wish = path_wish(router, request, path_run_stage(request), now);
-  const char *others[MAX_EXCLUDED + 1];
+static gboolean has_other_endpoint(Router *router, Request *request,
+                                   gint64 now) {
+  EndpointQuery wish =
+      path_query(router, request, path_run_stage(request), now);
+  const char *others[EXCLUDED_ENDPOINTS_MAX + 1];
   guint i;
   for (i = 0; i < request->excluded_count; i++)
     others[i] = request->excluded[i];
@@ -104,8 +107,8 @@
   if (request->runs + 1 >= request->route->attempts ||
       request->arrivals + 1 >= MOST_ARRIVALS ||
       !may_try_again(request, TRUE, now) ||
-      !has_elsewhere(router, request, now) ||
-      !retry_exchange_take(router, request->service->name, now))
+      !has_other_endpoint(router, request, now) ||
+      !retry_exchange_try_take(router, request->service->name, now))
     return FALSE;
   request->arrivals++;
   request->runs++;
@@ -119,10 +122,10 @@
 }
 
 /* silence alone ends no answer: without another run this one goes on */
-void outcomes_stalled(Router *router, Request *request, gint64 now) {
+void outcomes_handle_stall(Router *router, Request *request, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   if (endpoint != NULL)
-    endpoint_failed(endpoint, now);
+    endpoint_note_failure(endpoint, now);
   if (!leave_for_another(router, request, TRUE, now))
     request->stall_at = now + STALL_AGAIN;
 }
@@ -132,7 +135,7 @@
                         gint64 now) {
   router_count(router, UNREACHABLE);
   if (endpoint != NULL)
-    endpoint_unreachable(endpoint, now);
+    endpoint_note_unreachable(endpoint, now);
   path_close_dispatch(router, request, FALSE);
   if (++request->unreachable >= MOST_UNREACHABLE ||
       now + LEAST_TIME_LEFT >= request->expires)
@@ -145,14 +148,14 @@
                     const Outcome *outcome, gint64 now) {
   router_count(router, NOT_RUN);
   request->arrivals++;
-  request->was_busy = TRUE;
+  request->was_rejected = TRUE;
   if (endpoint != NULL) {
-    endpoint_failed(endpoint, now);
+    endpoint_note_failure(endpoint, now);
     if (outcome->misdirected)
-      endpoint_unreachable(endpoint, now);
+      endpoint_note_unreachable(endpoint, now);
   }
   path_close_dispatch(router, request, FALSE);
-  outcomes_try_again(router, request, FALSE, now);
+  outcomes_retry(router, request, FALSE, now);
 }
 
 static void broken(Router *router, Request *request, Endpoint *endpoint,
@@ -161,13 +164,13 @@
   request->arrivals++;
   request->runs++;
   if (endpoint != NULL) {
-    endpoint_failed(endpoint, now);
-    suspects_broken(router, request, endpoint, now);
+    endpoint_note_failure(endpoint, now);
+    suspects_note_broken(router, request, endpoint, now);
   }
   path_close_dispatch(router, request, FALSE);
   if (request->head_sent)
     router_count(router, RESUMED);
-  outcomes_try_again(router, request, TRUE, now);
+  outcomes_retry(router, request, TRUE, now);
 }
 
 /* }================================================================== */
@@ -183,10 +186,10 @@
                      const Outcome *outcome, gint64 now) {
   gboolean failed = outcome->status >= 500;
   if (endpoint != NULL && failed)
-    endpoint_failed(endpoint, now);
+    endpoint_note_failure(endpoint, now);
   else if (endpoint != NULL)
-    endpoint_succeeded(endpoint, now);
-  suspects_succeeded(router, request);
+    endpoint_note_success(endpoint, now);
+  suspects_note_success(router, request);
   if (failed && leave_for_another(router, request, FALSE, now))
     return;
   if (request->head_sent) { /* a resumed stream got no stream */
@@ -194,7 +197,7 @@
     finish_give_up(router, request, now);
     return;
   }
-  router_time(router, request, DURATION_PLAIN, now);
+  router_record_duration(router, request, DURATION_PLAIN, now);
   finish_answered(router, request, outcome);
 }
 
@@ -211,21 +214,21 @@
     g_free(request->last_event);
     request->last_event = g_strdup(outcome->event);
     request->made = (guint32)(g_ascii_strtoull(outcome->event, NULL, 10) *
-                              request->service->event_tokens);
+                              request->service->tokens_per_event);
     count_memory(router, request);
   }
   if (request->stall_at != 0)
-    request->stall_at = now + silence_piece(request);
+    request->stall_at = now + silence_piece_timeout(request);
   router->host.answer(router->host.data, request->number, outcome);
 }
 
 /* the run goes on; only the next choices are told */
-void outcomes_suspect(Router *router, Request *request, gint64 now) {
+void outcomes_mark_suspect(Router *router, Request *request, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   request->suspect_at = 0;
   if (endpoint == NULL)
     return;
-  endpoint_failed(endpoint, now);
+  endpoint_note_failure(endpoint, now);
   router->load_version++;
 }
 
@@ -233,11 +236,11 @@
                         const Outcome *outcome, gint64 now) {
   request->suspect_at = 0;
   if (request->stall_at != 0)
-    request->stall_at = now + silence_head(request);
+    request->stall_at = now + silence_head_timeout(request);
   if (request->head_sent)
     return; /* resumed: the caller keeps its first head */
   request->head_sent = TRUE;
-  router_time(router, request, DURATION_FIRST_PIECE, now);
+  router_record_duration(router, request, DURATION_FIRST_PIECE, now);
   router->host.answer(router->host.data, request->number, outcome);
 }
 
@@ -246,11 +249,11 @@
   Endpoint *prefill =
       endpoint_table_get(router->endpoints, request->handle_endpoint);
   if (prefill != NULL)
-    endpoint_failed(prefill, now);
+    endpoint_note_failure(prefill, now);
 }
 
-void outcomes_take(Router *router, Request *request, const Outcome *outcome,
-                   gint64 now) {
+void outcomes_handle(Router *router, Request *request, const Outcome *outcome,
+                     gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   if (outcome->kind != OUTCOME_STREAM_PIECE)
     router_log(router, MP_LOG_ROUTE_OUTCOME,
@@ -294,11 +297,11 @@
     break;
   case OUTCOME_STREAM_END:
     if (endpoint != NULL)
-      endpoint_succeeded(endpoint, now);
-    estimate_learn_output(router, request);
-    suspects_succeeded(router, request);
-    router_time(router, request, DURATION_STREAM, now);
-    admission_ended(router, now);
+      endpoint_note_success(endpoint, now);
+    estimate_observe_output(router, request);
+    suspects_note_success(router, request);
+    router_record_duration(router, request, DURATION_STREAM, now);
+    admission_note_run_end(router, now);
     finish_answered(router, request, outcome);
     break;
   }
--- a/router/path.c
+++ b/router/path.c
@@ -22,9 +22,9 @@
 #define CONNECT_LEAST (100 * MP_MS)
 #define CONNECT_MOST (400 * MP_MS)
 
-EndpointWish path_wish(Router *router, const Request *request,
-                       EndpointStage stage, gint64 now) {
-  EndpointWish wish = {0};
+EndpointQuery path_query(Router *router, const Request *request,
+                         EndpointStage stage, gint64 now) {
+  EndpointQuery wish = {0};
   wish.service = request->service->name;
   wish.stage = stage;
   wish.capacity = request->service->kv_tokens;
@@ -37,7 +37,7 @@
 }
 
 void path_exclude(Request *request, const char *endpoint) {
-  if (request->excluded_count == MAX_EXCLUDED)
+  if (request->excluded_count == EXCLUDED_ENDPOINTS_MAX)
     return;
   request->excluded[request->excluded_count++] = g_strdup(endpoint);
 }
@@ -59,8 +59,8 @@
 
 Endpoint *path_open_endpoint(const Router *router, const Request *request) {
   const OpenDispatch *open = &request->open;
-  return endpoint_table_get_life(router->endpoints, open->endpoint,
-                                 open->life);
+  return endpoint_table_get_incarnation(router->endpoints, open->endpoint,
+                                        open->life);
 }
 
 /* what is open at an engine is memory that others may promise too: they
@@ -102,7 +102,7 @@
              "failures=%.2f config=%u left_ms=%d handle=%s resume_after=%s",
              request->id, dispatch->kind == DISPATCH_RUN ? "run" : "prefill",
              endpoint->record.id, endpoint->record.zone,
-             endpoint_open(table, endpoint) - 1,
+             endpoint_open_count(table, endpoint) - 1,
              (guint)endpoint_tokens(table, endpoint), endpoint->failures,
              (guint)request->table->version, (int)dispatch->deadline_ms,
              dispatch->handle != NULL ? dispatch->handle : "-",
@@ -155,9 +155,9 @@
   Endpoint *endpoint;
   if (request->decode == NULL)
     return NULL;
-  endpoint = endpoint_table_get_life(router->endpoints, request->decode,
-                                     request->decode_life);
-  if (endpoint == NULL || gate_ask(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
+  endpoint = endpoint_table_get_incarnation(router->endpoints, request->decode,
+                                            request->decode_incarnation);
+  if (endpoint == NULL || gate_check(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
     return NULL;
   return endpoint;
 }
@@ -178,7 +178,7 @@
 static Endpoint *choose_with_room(Router *router, const Request *request,
                                   gint64 now) {
   EndpointStage stage = path_run_stage(request);
-  EndpointWish wish = path_wish(router, request, stage, now);
+  EndpointQuery wish = path_query(router, request, stage, now);
   Endpoint *endpoint = reserved_decode(router, request, now);
   if (endpoint != NULL && !is_overbooked(router, request, endpoint))
     return endpoint;
@@ -187,7 +187,8 @@
 }
 
 static Endpoint *choose(Router *router, const Request *request, gint64 now) {
-  EndpointWish wish = path_wish(router, request, path_run_stage(request), now);
+  EndpointQuery wish =
+      path_query(router, request, path_run_stage(request), now);
   Endpoint *endpoint = reserved_decode(router, request, now);
   Endpoint *other = choose_with_room(router, request, now);
   if (other != NULL)
@@ -202,20 +203,20 @@
 ** The prompt is read and no decode engine has room for it: wait for room as
 ** long as the handle lives, instead of being turned away by a full engine.
 */
-static gboolean waits_with_handle(Router *router, Request *request,
-                                  gint64 now) {
+static gboolean requeue_with_handle(Router *router, Request *request,
+                                    gint64 now) {
   if (request->handle == NULL || request->runs > 0 || request->head_sent ||
       router->stopping || choose_with_room(router, request, now) != NULL)
     return FALSE;
-  prefill_unreserve(router, request);
-  admission_return(router, request, now);
+  prefill_release_reservation(router, request);
+  admission_requeue(router, request, now);
   return TRUE;
 }
 
-gboolean path_may_send(Router *router, Request *request, RefusalKind *why,
-                       gint64 now) {
+gboolean path_may_dispatch(Router *router, Request *request, RefusalKind *why,
+                           gint64 now) {
   return accounts_may_dispatch(router, request, why, now) &&
-         suspects_may_send(router, request, why, now);
+         suspects_may_dispatch(router, request, why, now);
 }
 
 void path_run(Router *router, Request *request, gint64 now) {
@@ -223,25 +224,25 @@
   guint64 tokens = 0;
   gboolean is_reserved;
   RefusalKind why;
-  if (!path_may_send(router, request, &why, now)) {
+  if (!path_may_dispatch(router, request, &why, now)) {
     finish_forbidden(router, request, why, now);
     return;
   }
   request->phase = PHASE_RUN;
   if (request->handle != NULL && now >= request->handle_until)
     prefill_drop_handle(router, request, now);
-  if (waits_with_handle(router, request, now) ||
-      prefill_again(router, request, now))
+  if (requeue_with_handle(router, request, now) ||
+      prefill_repeat(router, request, now))
     return;
   endpoint = choose(router, request, now);
   if (endpoint == NULL) {
-    shortage_note(router, request, now);
+    shortage_record(router, request, now);
     finish_give_up(router, request, now);
     return;
   }
   is_reserved = request->decode != NULL &&
                 strcmp(request->decode, endpoint->record.id) == 0;
-  prefill_unreserve(router, request);
+  prefill_release_reservation(router, request);
   if (request->service->is_engine)
     tokens = estimate_memory(router, request);
   if (request->service->is_engine && !is_reserved)
@@ -250,22 +251,22 @@
     finish_give_up(router, request, now);
     return;
   }
-  request->stall_at = silence_limit(request, now);
-  request->suspect_at = now + silence_suspect(request);
+  request->stall_at = silence_deadline(request, now);
+  request->suspect_at = now + silence_suspect_after(request);
 }
 
-void path_place(Router *router, Request *request, Endpoint *decode,
-                gint64 now) {
-  router_time(router, request, DURATION_WAIT, now);
+void path_start_on_engine(Router *router, Request *request, Endpoint *decode,
+                          gint64 now) {
+  router_record_duration(router, request, DURATION_WAIT, now);
   prefill_reserve(router, request, decode);
   /* a second reading is an extra arrival: path_run asks the budget */
   if (request->prefills > 0 || !prefill_begin(router, request, now))
     path_run(router, request, now);
 }
 
-void path_begin(Router *router, Request *request, gint64 now) {
+void path_start(Router *router, Request *request, gint64 now) {
   if (request->service->is_engine)
-    estimate_learn_prompt(router, request);
+    estimate_observe_prompt(router, request);
   if (request->service->is_engine)
     admission_enter(router, request, now);
   else
