--- a/router/patience.c
+++ b/router/patience.c
@@ -51,8 +51,8 @@
   row->began = now;
 }
 
-gint64 patience_table_note(PatienceTable *table, const char *route,
-                           gint64 patience, gint64 now) {
+gint64 patience_table_observe(PatienceTable *table, const char *route,
+                              gint64 patience, gint64 now) {
   Row *row = g_hash_table_lookup(table->rows, route);
   if (row == NULL)
     row = row_new(table, route, now);
--- a/router/patience.h
+++ b/router/patience.h
@@ -30,7 +30,7 @@
 ** A caller of the route waits for 'patience' from now on (microseconds).
 ** Returns the longest that one of it had lately, this one among them.
 */
-gint64 patience_table_note(PatienceTable *table, const char *route,
-                           gint64 patience, gint64 now);
+gint64 patience_table_observe(PatienceTable *table, const char *route,
+                              gint64 patience, gint64 now);
 
 #endif
--- a/router/peer_loads.c
+++ b/router/peer_loads.c
@@ -143,8 +143,8 @@
   return TRUE;
 }
 
-gboolean peer_loads_take(PeerLoads *loads, mp_Addr address, guint32 sequence,
-                         const mp_LoadDigest *digest, gint64 now) {
+gboolean peer_loads_update(PeerLoads *loads, mp_Addr address, guint32 sequence,
+                           const mp_LoadDigest *digest, gint64 now) {
   return take(loads, need_peer(loads, address), sequence, digest, now);
 }
 
@@ -167,8 +167,8 @@
   return relay | 1ULL << 63;
 }
 
-gboolean peer_loads_take_summary(PeerLoads *loads, guint32 sequence,
-                                 const mp_LoadSummary *summary, gint64 now) {
+gboolean peer_loads_update_summary(PeerLoads *loads, guint32 sequence,
+                                   const mp_LoadSummary *summary, gint64 now) {
   Peer *peer = need_peer(loads, summary_address(summary->relay));
   if (!take(loads, peer, sequence, &summary->loads, now))
     return FALSE;
@@ -217,21 +217,22 @@
     sum_changing(out, digest->changing[i]);
 }
 
-void peer_loads_sum(const PeerLoads *loads, mp_LoadSummary *out, gint64 now) {
+void peer_loads_add_to_summary(const PeerLoads *loads, mp_LoadSummary *out,
+                               gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, loads->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Peer *peer = value;
-    if (peer->zone != 0 || now - peer->heard >= PEER_SILENCE)
+    if (peer->zone != 0 || now - peer->heard >= PEER_LOAD_TIMEOUT)
       continue;
     out->instances++;
     sum_digest(&out->loads, &peer->digest);
   }
 }
 
-void peer_loads_note(PeerLoads *loads, mp_Addr address,
-                     const mp_LoadNote *note) {
+void peer_loads_add_reservation(PeerLoads *loads, mp_Addr address,
+                                const mp_LoadNote *note) {
   Peer *peer = g_hash_table_lookup(loads->peers, &address);
   mp_LoadRow row = {note->endpoint, note->tokens, 0, 0};
   /* a digest that is newer has it already */
@@ -242,17 +243,19 @@
   add(loads, &row);
 }
 
-const mp_LoadDigest *peer_loads_last(const PeerLoads *loads, mp_Addr address) {
+const mp_LoadDigest *peer_loads_latest_digest(const PeerLoads *loads,
+                                              mp_Addr address) {
   const Peer *peer = g_hash_table_lookup(loads->peers, &address);
   return peer != NULL ? &peer->digest : NULL;
 }
 
-const mp_LoadDigest *peer_loads_last_summary(const PeerLoads *loads,
-                                             mp_Addr relay) {
-  return peer_loads_last(loads, summary_address(relay));
+const mp_LoadDigest *peer_loads_latest_summary(const PeerLoads *loads,
+                                               mp_Addr relay) {
+  return peer_loads_latest_digest(loads, summary_address(relay));
 }
 
-guint peer_loads_heard(const PeerLoads *loads, gint64 silence, gint64 now) {
+guint peer_loads_count_reachable(const PeerLoads *loads, gint64 silence,
+                                 gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   guint count = 0;
@@ -271,7 +274,7 @@
   g_hash_table_iter_init(&iterator, loads->peers);
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     Peer *peer = value;
-    if (now - peer->heard < PEER_SILENCE ||
+    if (now - peer->heard < PEER_LOAD_TIMEOUT ||
         (peer->digest.n == 0 && peer->digest.waiting == 0 &&
          peer->digest.changing_count == 0 && peer->notes->len == 0))
       continue;
@@ -294,17 +297,17 @@
   return sum != NULL ? sum->tokens : 0;
 }
 
-double peer_loads_failing(const PeerLoads *loads, guint32 endpoint) {
+double peer_loads_failure_shares(const PeerLoads *loads, guint32 endpoint) {
   const LoadSum *sum = sum_of(loads, endpoint);
   return sum != NULL ? sum->failing / 100.0 : 0;
 }
 
-guint peer_loads_open(const PeerLoads *loads, guint32 endpoint) {
+guint peer_loads_open_dispatches(const PeerLoads *loads, guint32 endpoint) {
   const LoadSum *sum = sum_of(loads, endpoint);
   return sum != NULL ? sum->open : 0;
 }
 
-guint peer_loads_older(const PeerLoads *loads, gint64 came) {
+guint peer_loads_count_waiting_longer(const PeerLoads *loads, gint64 came) {
   GHashTableIter iterator;
   gpointer value;
   guint count = 0;
@@ -316,7 +319,7 @@
   return count;
 }
 
-guint peer_loads_in_time(const PeerLoads *loads) {
+guint peer_loads_waiting_in_time(const PeerLoads *loads) {
   GHashTableIter iterator;
   gpointer value;
   guint count = 0;
@@ -326,7 +329,7 @@
   return count;
 }
 
-guint peer_loads_with_waiting(const PeerLoads *loads) {
+guint peer_loads_count_with_waiting(const PeerLoads *loads) {
   GHashTableIter iterator;
   gpointer value;
   guint count = 0;
@@ -336,12 +339,13 @@
   return count;
 }
 
-gboolean peer_loads_changing(const PeerLoads *loads, guint32 endpoint) {
+gboolean peer_loads_is_changing_stage(const PeerLoads *loads,
+                                      guint32 endpoint) {
   const LoadSum *sum = sum_of(loads, endpoint);
   return sum != NULL && sum->changing > 0;
 }
 
-guint peer_loads_waiting(const PeerLoads *loads) {
+guint peer_loads_waiting_requests(const PeerLoads *loads) {
   GHashTableIter iterator;
   gpointer value;
   guint count = 0;
@@ -351,7 +355,8 @@
   return count;
 }
 
-guint peer_loads_before(const PeerLoads *loads, mp_Addr address, gint64 now) {
+guint peer_loads_count_lower_addresses(const PeerLoads *loads, mp_Addr address,
+                                       gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   guint count = 0;
@@ -359,7 +364,7 @@
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Peer *peer = value;
     count += peer->zone == 0 && peer->address < address &&
-             now - peer->heard < PEER_SILENCE;
+             now - peer->heard < PEER_LOAD_TIMEOUT;
   }
   return count;
 }
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -38,16 +38,16 @@
 /* patience with an engine that is told to free a handle */
 #define RELEASE_CONNECT (300 * MP_MS)
 
-void prefill_unreserve(Router *router, Request *request) {
+void prefill_release_reservation(Router *router, Request *request) {
   Endpoint *endpoint;
   if (request->decode == NULL)
     return;
-  endpoint = endpoint_table_get_life(router->endpoints, request->decode,
-                                     request->decode_life);
+  endpoint = endpoint_table_get_incarnation(router->endpoints, request->decode,
+                                            request->decode_incarnation);
   if (endpoint != NULL) {
     endpoint->tokens -= MIN(endpoint->tokens, request->decode_tokens);
-    if (request->decode_counted)
-      rate_limits_return(router->rates, endpoint->hash);
+    if (request->is_decode_counted)
+      rate_limits_refund(router->rates, endpoint->hash);
   }
   router->load_version++;
   g_clear_pointer(&request->decode, g_free);
@@ -55,26 +55,28 @@
 
 void prefill_reserve(Router *router, Request *request, Endpoint *decode) {
   request->decode = g_strdup(decode->record.id);
-  request->decode_life = decode->hash;
+  request->decode_incarnation = decode->hash;
   request->decode_tokens = estimate_memory(router, request);
   decode->tokens += request->decode_tokens;
   /* the run will come there: counted now, so that nobody else is given the
   ** same place in the engine's rate while the prompt is read */
-  request->decode_counted = rate_limits_sent(router->rates, decode->hash);
+  request->is_decode_counted =
+      rate_limits_count_sent(router->rates, decode->hash);
   router->load_version++;
   router->host.note(router->host.data, decode->hash,
                     (guint32)request->decode_tokens);
 }
 
 static gint64 expected_time(Router *router, const Request *request) {
-  const ServiceState *state = router_service(router, request->service->name);
+  const ServiceState *state =
+      router_service_state(router, request->service->name);
   double pace = state->prefill_pace > 0 ? state->prefill_pace : FIRST_PACE;
   return (gint64)(request->prompt_tokens / pace * MP_MS);
 }
 
 /* learn how fast prompts are read, their waiting included */
 static void learn_pace(Router *router, const Request *request, gint64 now) {
-  ServiceState *state = router_service(router, request->service->name);
+  ServiceState *state = router_service_state(router, request->service->name);
   double ms = MAX((double)(now - request->open.sent) / MP_MS, 1.0);
   double pace = request->prompt_tokens / ms;
   if (state->prefill_pace <= 0)
@@ -92,9 +94,10 @@
   endpoint = endpoint_table_get(router->endpoints, request->read_by);
   if (endpoint == NULL || endpoint->record.stage != STAGE_PREFILL ||
       endpoint->avoid_until > now ||
-      endpoint_changing(router->endpoints, endpoint, now) ||
-      gate_ask(endpoint, DISPATCH_PREFILL, now) != GATE_OPEN ||
-      gate_ask_limits(router->endpoints, endpoint, &limits, now) != GATE_OPEN)
+      endpoint_is_changing_stage(router->endpoints, endpoint, now) ||
+      gate_check(endpoint, DISPATCH_PREFILL, now) != GATE_OPEN ||
+      gate_check_limits(router->endpoints, endpoint, &limits, now) !=
+          GATE_OPEN)
     return NULL;
   return endpoint;
 }
@@ -108,11 +111,11 @@
                              gint64 now) {
   return router->near < router->instances &&
          now - router->retry.born >= router->retry.window &&
-         !retry_exchange_left(router, request->service->name, now);
+         !retry_exchange_has_extra(router, request->service->name, now);
 }
 
 gboolean prefill_begin(Router *router, Request *request, gint64 now) {
-  EndpointWish wish = path_wish(router, request, STAGE_PREFILL, now);
+  EndpointQuery wish = path_query(router, request, STAGE_PREFILL, now);
   const Endpoint *decode =
       request->decode != NULL
           ? endpoint_table_get(router->endpoints, request->decode)
@@ -120,17 +123,17 @@
   Endpoint *prefill;
   RefusalKind why;
   gint64 expected;
-  if (!path_may_send(router, request, &why, now))
+  if (!path_may_dispatch(router, request, &why, now))
     return FALSE; /* the run that comes in its place is refused */
   if (request->prefills_sent >= MOST_PREFILLS ||
       is_too_risky(router, request, now) ||
-      !endpoint_table_has(router->endpoints, request->service->name,
-                          STAGE_PREFILL, now))
+      !endpoint_table_has_usable(router->endpoints, request->service->name,
+                                 STAGE_PREFILL, now))
     return FALSE;
   wish.tokens = request->prompt_tokens;
   wish.zone = decode != NULL ? decode->record.zone : NULL;
   wish.affinity = request->session;
-  wish.at_home = request->resumes;
+  wish.affinity_overrides_load = request->resumes;
   prefill = earlier_reader(router, request, now);
   if (prefill == NULL)
     prefill = endpoint_table_choose(router->endpoints, &wish, now);
@@ -151,10 +154,10 @@
 ** milliseconds; a decode engine would read all of it and slow its runs. It is
 ** an extra arrival, which the retry budget must allow.
 */
-gboolean prefill_again(Router *router, Request *request, gint64 now) {
+gboolean prefill_repeat(Router *router, Request *request, gint64 now) {
   return request->handle == NULL && request->read_by != NULL &&
          earlier_reader(router, request, now) != NULL &&
-         retry_exchange_take(router, request->service->name, now) &&
+         retry_exchange_try_take(router, request->service->name, now) &&
          prefill_begin(router, request, now);
 }
 
@@ -182,11 +185,12 @@
   if (kind == OUTCOME_UNREACHABLE)
     return TRUE; /* it arrived nowhere */
   if (kind == OUTCOME_NOT_RUN)
-    return retry_exchange_left(router, service, now);
-  return retry_exchange_take(router, service, now);
+    return retry_exchange_has_extra(router, service, now);
+  return retry_exchange_try_take(router, service, now);
 }
 
-static void log_again(Router *router, const Request *request, gboolean again) {
+static void log_prompt_retry(Router *router, const Request *request,
+                             gboolean again) {
   router_log(router, MP_LOG_ROUTE_RETRY,
              " request=%s again=%d prompt=1 prefills=%u", request->id, again,
              request->prefills_sent);
@@ -194,16 +198,16 @@
 
 /* the next arrival is paid for: another prefill engine, or a decode engine */
 static void read_elsewhere(Router *router, Request *request, gint64 now) {
-  log_again(router, request, TRUE);
+  log_prompt_retry(router, request, TRUE);
   if (!prefill_begin(router, request, now))
     path_run(router, request, now);
 }
 
 /* nothing more may arrive for this request; it has not run since */
 static void give_up(Router *router, Request *request, gint64 now) {
-  log_again(router, request, FALSE);
+  log_prompt_retry(router, request, FALSE);
   router_count(router, RETRIES_DENIED);
-  request->was_busy = TRUE;
+  request->was_rejected = TRUE;
   finish_give_up(router, request, now);
 }
 
@@ -214,17 +218,18 @@
   if (outcome->kind == OUTCOME_UNREACHABLE)
     router_count(router, UNREACHABLE);
   if (outcome->kind == OUTCOME_NOT_RUN)
-    retry_budget_spend(router_budget(router, request->service->name),
-                       &router->retry, now);
+    retry_budget_count_extra(
+        router_retry_budget(router, request->service->name), &router->retry,
+        now);
   if (endpoint == NULL)
     return;
   /* one that turns a prompt away may be about to change its stage */
   if (outcome->kind == OUTCOME_UNREACHABLE || outcome->kind == OUTCOME_NOT_RUN)
-    endpoint_unreachable(endpoint, now);
+    endpoint_note_unreachable(endpoint, now);
   else
-    endpoint_failed(endpoint, now);
+    endpoint_note_failure(endpoint, now);
   if (outcome->kind == OUTCOME_BROKEN)
-    suspects_broken(router, request, endpoint, now);
+    suspects_note_broken(router, request, endpoint, now);
 }
 
 static void log_prefill(Router *router, const Request *request,
@@ -236,8 +241,8 @@
              (int)((now - request->open.sent) / MP_MS));
 }
 
-void prefill_outcome(Router *router, Request *request, const Outcome *outcome,
-                     gint64 now) {
+void prefill_handle_outcome(Router *router, Request *request,
+                            const Outcome *outcome, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   gboolean is_read =
       outcome->kind == OUTCOME_ANSWER && outcome->handle != NULL;
@@ -245,7 +250,7 @@
     request->prefills++;
     learn_pace(router, request, now);
     if (endpoint != NULL) {
-      endpoint_succeeded(endpoint, now);
+      endpoint_note_success(endpoint, now);
       take_handle(request, outcome, endpoint, now);
     }
   } else {
@@ -266,10 +271,10 @@
 ** Without a retry to spend it waits on: the prompt may come up in the engine's
 ** queue, and to leave it would be an arrival more.
 */
-void prefill_stalled(Router *router, Request *request, gint64 now) {
+void prefill_handle_stall(Router *router, Request *request, gint64 now) {
   Endpoint *endpoint = path_open_endpoint(router, request);
   if (endpoint != NULL)
-    endpoint_failed(endpoint, now);
+    endpoint_note_failure(endpoint, now);
   learn_pace(router, request, now); /* it is no faster than this */
   if (!may_send_again(router, request, OUTCOME_BROKEN, now)) {
     request->stall_at = now + LOOK_AGAIN;
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -18,14 +18,14 @@
 /* strikes below a hold are remembered for so long */
 #define SUSPECT_LIFE (3600 * MP_SEC)
 /* what was lifted is remembered for so long: instances tell a strike for
-** TELL_FOR after they learned it */
+** NEWS_REPEAT_TIME after they learned it */
 #define LIFTED_LIFE (60 * MP_SEC)
 /* news of strikes are repeated for so long: a datagram that is lost, or a data
 ** centre cut off for some seconds, is made good */
-#define TELL_FOR (10 * MP_SEC)
+#define NEWS_REPEAT_TIME (10 * MP_SEC)
 /* a strike alone is not written to the store: a dozen requests get one
 ** whenever an endpoint ends, and nearly all of them never another */
-#define SAVED_FROM 2
+#define STORED_STRIKES_MIN 2
 /* after a write that failed */
 #define SAVE_RETRY (300 * MP_MS)
 /* what is over leaves the store within this: the first instance removes it,
@@ -34,7 +34,7 @@
 /* between two looks for what is over */
 #define EXPIRE_PAUSE (1 * MP_SEC)
 /* strikes remembered against one request, those taken off included */
-#define STRIKES_KEPT (2 * QUARANTINE_MOST)
+#define STRIKES_KEPT (2 * QUARANTINE_STRIKES_MAX)
 /* requests remembered: 100 bytes each, and a dozen for each endpoint's end.
 ** Beyond, those with the fewest strikes are forgotten first */
 #define ROWS_MOST 4096
@@ -185,9 +185,9 @@
   *to = g_strdup(from);
 }
 
-gboolean quarantine_strike(Quarantine *quarantine,
-                           const QuarantineSuspect *suspect, guint32 crash,
-                           gint64 now) {
+gboolean quarantine_add_strike(Quarantine *quarantine,
+                               const QuarantineSuspect *suspect, guint32 crash,
+                               gint64 now) {
   Row *row = need(quarantine, suspect->content);
   Strike *strike = add_strike(quarantine, row, crash, now, now);
   if (strike == NULL)
@@ -206,8 +206,8 @@
                      : now;
 }
 
-gboolean quarantine_hear(Quarantine *quarantine,
-                         const QuarantineRecord *record, gint64 now) {
+gboolean quarantine_merge(Quarantine *quarantine,
+                          const QuarantineRecord *record, gint64 now) {
   gint64 at = steady(quarantine, record->last_unix_ms, now);
   gboolean is_news = FALSE;
   Row *row;
@@ -221,10 +221,10 @@
   return is_news;
 }
 
-void quarantine_succeeded(Quarantine *quarantine, guint64 content) {
+void quarantine_run_succeeded(Quarantine *quarantine, guint64 content) {
   Row *row = find(quarantine, content);
   guint i;
-  if (row == NULL || count_of(row) >= QUARANTINE_STRIKES)
+  if (row == NULL || count_of(row) >= QUARANTINE_HOLD_STRIKES)
     return;
   for (i = 0; i < row->count && row->strikes[i].off; i++) {
   }
@@ -247,7 +247,7 @@
   row->over = TRUE;
 }
 
-guint quarantine_strikes(const Quarantine *quarantine, guint64 content) {
+guint quarantine_strike_count(const Quarantine *quarantine, guint64 content) {
   const Row *row = find(quarantine, content);
   return row != NULL ? count_of(row) : 0;
 }
@@ -261,9 +261,9 @@
 static gint64 hold_length(guint strikes) {
   gint64 length = HOLD_FIRST;
   guint i;
-  if (strikes >= QUARANTINE_MOST)
+  if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
-  for (i = QUARANTINE_STRIKES; i < strikes; i++)
+  for (i = QUARANTINE_HOLD_STRIKES; i < strikes; i++)
     length *= HOLD_GROWTH;
   return length;
 }
@@ -271,7 +271,7 @@
 static gint64 held_until(const Row *row) {
   guint strikes = count_of(row);
   gint64 length;
-  if (strikes < QUARANTINE_STRIKES)
+  if (strikes < QUARANTINE_HOLD_STRIKES)
     return 0;
   length = hold_length(strikes);
   return length == G_MAXINT64 ? length : row->last + length;
@@ -307,7 +307,7 @@
 ** ===================================================================
 */
 
-static gboolean has_own(const Row *row) {
+static gboolean has_own_strike(const Row *row) {
   guint i;
   for (i = 0; i < row->count; i++) {
     if (row->strikes[i].own && !row->strikes[i].off)
@@ -342,8 +342,8 @@
     out->row[least] = *row;
 }
 
-void quarantine_tell(const Quarantine *quarantine, gboolean all,
-                     mp_CrashUpdate *out, gint64 now) {
+void quarantine_write_news(const Quarantine *quarantine, gboolean all,
+                           mp_CrashUpdate *out, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   out->n = 0;
@@ -351,7 +351,8 @@
   while (g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Row *row = value;
     mp_CrashRow told;
-    if (now - row->learned >= TELL_FOR || !(all || has_own(row)))
+    if (now - row->learned >= NEWS_REPEAT_TIME ||
+        !(all || has_own_strike(row)))
       continue;
     write_row(row, &told);
     if (told.n > 0)
@@ -368,7 +369,7 @@
 */
 
 /* a strike that this instance saw, and the store does not have */
-static gboolean has_unsaved(const Row *row) {
+static gboolean has_unstored_strike(const Row *row) {
   guint i;
   for (i = 0; i < row->count; i++) {
     const Strike *strike = &row->strikes[i];
@@ -381,7 +382,7 @@
 static gboolean needs_save(const Row *row) {
   if (row->over)
     return !store_position_is_none(row->position);
-  return count_of(row) >= SAVED_FROM && has_unsaved(row);
+  return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);
 }
 
 static void write_record(const Quarantine *quarantine, const Row *row,
@@ -400,10 +401,10 @@
   out->account = row->account;
 }
 
-gboolean quarantine_stored(Quarantine *quarantine,
-                           const QuarantineRecord *record,
-                           StorePosition position, gint64 now) {
-  gboolean is_news = quarantine_hear(quarantine, record, now);
+gboolean quarantine_merge_stored(Quarantine *quarantine,
+                                 const QuarantineRecord *record,
+                                 StorePosition position, gint64 now) {
+  gboolean is_news = quarantine_merge(quarantine, record, now);
   Row *row = need(quarantine, record->content);
   guint i;
   quarantine->may_need_save = TRUE;
@@ -416,7 +417,7 @@
   return is_news;
 }
 
-void quarantine_restored(Quarantine *quarantine, guint64 era) {
+void quarantine_store_restored(Quarantine *quarantine, guint64 era) {
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, quarantine->rows);
@@ -470,9 +471,9 @@
   guint strikes = count_of(row);
   if (strikes == 0)
     return row->learned + LIFTED_LIFE;
-  if (strikes >= QUARANTINE_MOST)
+  if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
-  if (strikes >= QUARANTINE_STRIKES)
+  if (strikes >= QUARANTINE_HOLD_STRIKES)
     return held_until(row) + SUSPECT_LIFE;
   return row->last + SUSPECT_LIFE;
 }
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -5,7 +5,7 @@
 ** A request is told by the digest of its content and client account, whatever
 ** id it bears. When an endpoint ends while it runs, that is a strike against
 ** it, and against all others that ran there: one alone says little. From
-** QUARANTINE_STRIKES on it is held: no instance sends it to an endpoint.
+** QUARANTINE_HOLD_STRIKES on it is held: no instance sends it to an endpoint.
 **
 ** Invariants.
 ** 1. The strikes against a request are a set, by the endpoint that ended and
@@ -14,8 +14,9 @@
 **    know, and none has to be the first.
 ** 2. A hold ends by itself so that one that was blamed wrongly is served
 **    again, but each time the endpoint ends the next hold is longer, and from
-**    QUARANTINE_MOST strikes on only an operator ends it. So
-**    QUARANTINE_MOST - QUARANTINE_STRIKES runs at most are tried after the
+**    QUARANTINE_STRIKES_MAX strikes on only an operator ends it. So
+**    QUARANTINE_STRIKES_MAX - QUARANTINE_HOLD_STRIKES runs at most are tried
+*after the
 **    third strike is known, however long it is sent.
 ** 3. A run that ends well takes the oldest strike off one that is not held: a
 **    request that many callers send is at work whenever an endpoint ends.
@@ -34,17 +35,17 @@
 
 /* two engines may end by themselves under one that has come back; with three,
 ** chance is rare (and the platform allows three) */
-#define QUARANTINE_STRIKES 3
+#define QUARANTINE_HOLD_STRIKES 3
 /* held until an operator lifts it; the platform allows three more runs */
-#define QUARANTINE_MOST MP_CRASHES_PER_ROW
+#define QUARANTINE_STRIKES_MAX MP_CRASHES_PER_ROW
 
 /* the strikes against one request, as instances tell them and the store keeps
 ** them */
 typedef struct QuarantineRecord {
   guint64 content; /* digest of the request's content and account */
   guint count;
-  guint32 crashes[QUARANTINE_MOST]; /* of the endpoint and its life */
-  gint64 last_unix_ms;              /* the last of them */
+  guint32 crashes[QUARANTINE_STRIKES_MAX]; /* of the endpoint and its life */
+  gint64 last_unix_ms;                     /* the last of them */
   /* for operators: the last one that came with it; NULL: not known */
   char *request;
   char *route;
@@ -69,18 +70,18 @@
 } QuarantineSuspect;
 
 /* an endpoint ended under it, as this instance saw. FALSE: that is known */
-gboolean quarantine_strike(Quarantine *quarantine,
-                           const QuarantineSuspect *suspect, guint32 crash,
-                           gint64 now);
+gboolean quarantine_add_strike(Quarantine *quarantine,
+                               const QuarantineSuspect *suspect, guint32 crash,
+                               gint64 now);
 /* another instance, or the store, tells so. FALSE: nothing is new */
-gboolean quarantine_hear(Quarantine *quarantine,
-                         const QuarantineRecord *record, gint64 now);
+gboolean quarantine_merge(Quarantine *quarantine,
+                          const QuarantineRecord *record, gint64 now);
 /* a run of it ended well */
-void quarantine_succeeded(Quarantine *quarantine, guint64 content);
+void quarantine_run_succeeded(Quarantine *quarantine, guint64 content);
 /* an operator, or an instance for whom it was over, removed it */
 void quarantine_lift(Quarantine *quarantine, guint64 content, gint64 now);
 
-guint quarantine_strikes(const Quarantine *quarantine, guint64 content);
+guint quarantine_strike_count(const Quarantine *quarantine, guint64 content);
 /* is this end known of it, whether it counts still or was taken off? */
 gboolean quarantine_has_strike(const Quarantine *quarantine, guint64 content,
                                guint32 crash);
@@ -94,8 +95,8 @@
 /* grows whenever there is something new to tell the other instances */
 guint64 quarantine_version(const Quarantine *quarantine);
 /* what was learned lately: by this instance alone, or 'all' of it */
-void quarantine_tell(const Quarantine *quarantine, gboolean all,
-                     mp_CrashUpdate *out, gint64 now);
+void quarantine_write_news(const Quarantine *quarantine, gboolean all,
+                           mp_CrashUpdate *out, gint64 now);
 
 /*
 ** The store
@@ -108,15 +109,15 @@
   QuarantineRecord record; /* texts belong to the quarantine */
 } QuarantineSave;
 
-/* the object stands there at this position and says that; as quarantine_hear
+/* the object stands there at this position and says that; as quarantine_merge
  */
-gboolean quarantine_stored(Quarantine *quarantine,
-                           const QuarantineRecord *record,
-                           StorePosition position, gint64 now);
+gboolean quarantine_merge_stored(Quarantine *quarantine,
+                                 const QuarantineRecord *record,
+                                 StorePosition position, gint64 now);
 /* FALSE: nothing has to be written now */
 /* the store was restored from a copy, and this era began: what stands there is
 ** not known, and what this instance saw is written again */
-void quarantine_restored(Quarantine *quarantine, guint64 era);
+void quarantine_store_restored(Quarantine *quarantine, guint64 era);
 gboolean quarantine_next_save(Quarantine *quarantine, QuarantineSave *out,
                               gint64 now);
 /* the write has failed, or another one was faster: again a little later */
--- a/router/rate_limits.c
+++ b/router/rate_limits.c
@@ -14,15 +14,15 @@
 #define BURST_SECONDS 0.5
 /* requests a second at least, whatever was named: an endpoint that names 0, or
 ** one in a minute, says that this is over in an answer alone */
-#define LEAST_RATE 0.25
+#define RATE_MIN 0.25
 /* a peer that was not heard for so long is out of reach: three times its
 ** refresh (io/load_exchange.c) */
 #define SILENCE (1500 * MP_MS)
 /* an answer without a rate ends it when none has named it for so long: answers
 ** overtake one another, by some tens of milliseconds */
-#define OVER_AFTER (500 * MP_MS)
+#define RATE_END_DELAY (500 * MP_MS)
 /* that a rate is over is told to the others for so long */
-#define TELL_OVER (5 * MP_SEC)
+#define RATE_END_REPORT_TIME (5 * MP_SEC)
 /* who is refused comes back when a request passes by this chance */
 #define COME_BACK_CHANCE 0.6
 /* a rate that is not this side's at all, for a wait */
@@ -36,7 +36,7 @@
 
 /* one endpoint that names a rate, or did so lately */
 typedef struct Limit {
-  double rate;     /* requests a second; RATE_ANY: it names none any more */
+  double rate; /* requests a second; RATE_UNLIMITED: it names none any more */
   gint64 said_at;  /* when an answer said so, here or at a peer */
   Bucket bucket;   /* requests */
   guint32 own;     /* sent by this instance since the entry is there */
@@ -82,9 +82,9 @@
   return limit != NULL && limit->rate >= 0;
 }
 
-double rate_limits_of(const RateLimits *limits, guint32 endpoint) {
+double rate_limits_rate(const RateLimits *limits, guint32 endpoint) {
   const Limit *limit = limit_of(limits, endpoint);
-  return is_limited(limit) ? limit->rate : RATE_ANY;
+  return is_limited(limit) ? limit->rate : RATE_UNLIMITED;
 }
 
 guint rate_limits_count(const RateLimits *limits) {
@@ -108,14 +108,15 @@
 
 static gboolean is_overtaken(const Limit *limit, double rate, gint64 at) {
   gint64 newer = at - limit->said_at;
-  return newer < 0 || (rate < 0 && is_limited(limit) && newer < OVER_AFTER);
+  return newer < 0 ||
+         (rate < 0 && is_limited(limit) && newer < RATE_END_DELAY);
 }
 
 /* an answer said so at that time; news that were overtaken change nothing */
 static void take_saying(RateLimits *limits, guint32 endpoint, double rate,
                         gint64 at, gint64 now) {
   Limit *limit = limit_of(limits, endpoint);
-  double before = is_limited(limit) ? limit->rate : RATE_ANY;
+  double before = is_limited(limit) ? limit->rate : RATE_UNLIMITED;
   if (limit == NULL && rate < 0)
     return;
   if (limit == NULL) {
@@ -133,14 +134,15 @@
   count_limited(limits);
 }
 
-void rate_limits_named(RateLimits *limits, guint32 endpoint, double rate,
-                       gint64 now) {
+void rate_limits_set(RateLimits *limits, guint32 endpoint, double rate,
+                     gint64 now) {
   take_saying(limits, endpoint, rate, now, now);
 }
 
-void rate_limits_keep(RateLimits *limits,
-                      gboolean (*is_listed)(void *data, guint32 endpoint),
-                      void *data) {
+void rate_limits_keep_listed(RateLimits *limits,
+                             gboolean (*is_listed)(void *data,
+                                                   guint32 endpoint),
+                             void *data) {
   GHashTableIter iterator;
   gpointer key;
   g_hash_table_iter_init(&iterator, limits->all);
@@ -160,7 +162,7 @@
 */
 
 static double rate_of(const Limit *limit) {
-  return MAX(limit->rate, LEAST_RATE);
+  return MAX(limit->rate, RATE_MIN);
 }
 
 static void refill(Limit *limit, const RateSharers *sharers, gint64 now) {
@@ -196,7 +198,7 @@
   return limits->skips;
 }
 
-gboolean rate_limits_sent(RateLimits *limits, guint32 endpoint) {
+gboolean rate_limits_count_sent(RateLimits *limits, guint32 endpoint) {
   Limit *limit = limit_of(limits, endpoint);
   if (limit == NULL)
     return FALSE;
@@ -211,7 +213,7 @@
   return TRUE;
 }
 
-void rate_limits_return(RateLimits *limits, guint32 endpoint) {
+void rate_limits_refund(RateLimits *limits, guint32 endpoint) {
   Limit *limit = limit_of(limits, endpoint);
   if (limit == NULL)
     return;
@@ -219,8 +221,8 @@
   limit->unused++;
 }
 
-gint64 rate_limits_wait(RateLimits *limits, guint32 endpoint,
-                        const RateSharers *sharers, gint64 now) {
+gint64 rate_limits_retry_delay(RateLimits *limits, guint32 endpoint,
+                               const RateSharers *sharers, gint64 now) {
   Limit *limit = limit_of(limits, endpoint);
   double share = MAX(limit_share(&sharers->instances), LEAST_SHARE);
   double wanted = COME_BACK_CHANCE * (1 + sharers->rivals);
@@ -251,7 +253,7 @@
 }
 
 static double rate_of_steps(guint32 steps) {
-  return steps == MP_RATE_UNLIMITED ? RATE_ANY : steps / STEPS_PER_UNIT;
+  return steps == MP_RATE_UNLIMITED ? RATE_UNLIMITED : steps / STEPS_PER_UNIT;
 }
 
 static void write_rows(const RateLimits *limits, gboolean with_near,
@@ -266,7 +268,7 @@
     const Limit *limit = value;
     mp_RateRow *row = &out->row[out->n];
     gint64 age = now - limit->said_at;
-    if (!is_limited(limit) && age > TELL_OVER)
+    if (!is_limited(limit) && age > RATE_END_REPORT_TIME)
       continue;
     row->endpoint = GPOINTER_TO_UINT(key);
     row->rate = steps_of(limit->rate);
@@ -281,8 +283,8 @@
   write_rows(limits, FALSE, out, now);
 }
 
-void rate_limits_write_sum(const RateLimits *limits, mp_RateUpdate *out,
-                           gint64 now) {
+void rate_limits_write_summary(const RateLimits *limits, mp_RateUpdate *out,
+                               gint64 now) {
   write_rows(limits, TRUE, out, now);
 }
 
@@ -291,15 +293,15 @@
   return news->zone != 0 ? news->relay | 1ULL << 63 : peer;
 }
 
-void rate_limits_hear(RateLimits *limits, mp_Addr peer,
-                      const mp_RateUpdate *news, const RateSharers *sharers,
-                      gint64 now) {
+void rate_limits_receive(RateLimits *limits, mp_Addr peer,
+                         const mp_RateUpdate *news, const RateSharers *sharers,
+                         gint64 now) {
   PeerTotals *totals =
-      shared_totals_hear(limits->peers, address_of(peer, news), now);
+      shared_totals_receive(limits->peers, address_of(peer, news), now);
   unsigned i;
   for (i = 0; i < news->n; i++) {
     const mp_RateRow *row = &news->row[i];
-    guint32 more = peer_totals_grown(totals, row->endpoint, row->sent);
+    guint32 more = peer_totals_increase(totals, row->endpoint, row->sent);
     Limit *limit;
     take_saying(limits, row->endpoint, rate_of_steps(row->rate),
                 now - (gint64)row->age_ms * MP_MS, now);
--- a/router/rate_limits.h
+++ b/router/rate_limits.h
@@ -31,19 +31,19 @@
 #include "router/shared_totals.h"
 
 /* the rate of an endpoint that names none */
-#define RATE_ANY (-1.0)
+#define RATE_UNLIMITED (-1.0)
 
 /* what a peer has sent is known after about this long: a message is sent at
 ** once, waits for its turn on a small machine, and some are lost */
-#define RATE_NEWS_DELAY (50 * MP_MS)
+#define RATE_REPORT_DELAY (50 * MP_MS)
 /* the same where relays hand sums on: one in 30 ms, and two ways more */
-#define RATE_NEWS_DELAY_SUMMED (250 * MP_MS)
+#define RATE_SUMMARY_DELAY (250 * MP_MS)
 
 /* who sends to these endpoints, as this instance sees it now */
 typedef struct RateSharers {
   LimitSharers instances;
   double rivals; /* requests that others may send before this one knows */
-  gint64 delay;  /* until it knows: RATE_NEWS_DELAY or .._SUMMED */
+  gint64 delay;  /* until it knows: RATE_REPORT_DELAY or .._SUMMED */
 } RateSharers;
 
 typedef struct RateLimits RateLimits;
@@ -52,18 +52,20 @@
 RateLimits *rate_limits_new(guint64 seed);
 void rate_limits_free(RateLimits *limits);
 
-/* requests a second that this endpoint (Endpoint.hash) takes, or RATE_ANY */
-double rate_limits_of(const RateLimits *limits, guint32 endpoint);
+/* requests a second that this endpoint (Endpoint.hash) takes, or
+ * RATE_UNLIMITED */
+double rate_limits_rate(const RateLimits *limits, guint32 endpoint);
 /* endpoints that name a rate */
 guint rate_limits_count(const RateLimits *limits);
 
-/* an answer of the endpoint named this rate, or none (RATE_ANY) */
-void rate_limits_named(RateLimits *limits, guint32 endpoint, double rate,
-                       gint64 now);
+/* an answer of the endpoint named this rate, or none (RATE_UNLIMITED) */
+void rate_limits_set(RateLimits *limits, guint32 endpoint, double rate,
+                     gint64 now);
 /* keep those alone that 'is_listed' knows; others have ended */
-void rate_limits_keep(RateLimits *limits,
-                      gboolean (*is_listed)(void *data, guint32 endpoint),
-                      void *data);
+void rate_limits_keep_listed(RateLimits *limits,
+                             gboolean (*is_listed)(void *data,
+                                                   guint32 endpoint),
+                             void *data);
 
 /* may this instance send a request there now? The answer is the same until it
 ** sends one, hears of one, or 'delay' has passed */
@@ -71,14 +73,14 @@
                            const RateSharers *sharers, gint64 now);
 /* a request goes there, whatever it is, and whether that was allowed or not;
 ** FALSE: it is not counted, since the endpoint named no rate lately */
-gboolean rate_limits_sent(RateLimits *limits, guint32 endpoint);
-/* one that was counted (rate_limits_sent) is not sent after all */
-void rate_limits_return(RateLimits *limits, guint32 endpoint);
+gboolean rate_limits_count_sent(RateLimits *limits, guint32 endpoint);
+/* one that was counted (rate_limits_count_sent) is not sent after all */
+void rate_limits_refund(RateLimits *limits, guint32 endpoint);
 /* how often that was not allowed */
 guint64 rate_limits_skips(const RateLimits *limits);
 /* until the bucket holds enough that one request more is likely to pass */
-gint64 rate_limits_wait(RateLimits *limits, guint32 endpoint,
-                        const RateSharers *sharers, gint64 now);
+gint64 rate_limits_retry_delay(RateLimits *limits, guint32 endpoint,
+                               const RateSharers *sharers, gint64 now);
 
 /* grows when there is something new to tell */
 guint64 rate_limits_version(const RateLimits *limits);
@@ -86,11 +88,11 @@
 void rate_limits_write(const RateLimits *limits, mp_RateUpdate *out,
                        gint64 now);
 /* the same and what those that it hears have sent, for other data centres */
-void rate_limits_write_sum(const RateLimits *limits, mp_RateUpdate *out,
-                           gint64 now);
+void rate_limits_write_summary(const RateLimits *limits, mp_RateUpdate *out,
+                               gint64 now);
 /* another instance, or a relay for its data centre, tells */
-void rate_limits_hear(RateLimits *limits, mp_Addr peer,
-                      const mp_RateUpdate *news, const RateSharers *sharers,
-                      gint64 now);
+void rate_limits_receive(RateLimits *limits, mp_Addr peer,
+                         const mp_RateUpdate *news, const RateSharers *sharers,
+                         gint64 now);
 
 #endif
--- a/router/rates.c
+++ b/router/rates.c
@@ -42,13 +42,13 @@
 }
 
 void rates_endpoints_changed(Router *router) {
-  rate_limits_keep(router->rates, is_listed, router);
+  rate_limits_keep_listed(router->rates, is_listed, router);
 }
 
 /* 'said_by': an answer, or another instance; 'age_ms' since the answer */
 static void log_change(Router *router, const Endpoint *endpoint, double before,
                        const char *said_by, guint age_ms, gint64 now) {
-  double rate = rate_limits_of(router->rates, endpoint->hash);
+  double rate = rate_limits_rate(router->rates, endpoint->hash);
   LimitSharers sharers = accounts_sharers(router, now);
   if (rate == before)
     return;
@@ -56,7 +56,8 @@
              " endpoint=%s rate=%.3f before=%.3f said_by=%s age_ms=%u "
              "heard=%u instances=%u open=%u",
              endpoint->record.id, rate, before, said_by, age_ms, sharers.heard,
-             sharers.instances, endpoint_open(router->endpoints, endpoint));
+             sharers.instances,
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 static void log_unreadable(Router *router, const Endpoint *endpoint) {
@@ -64,10 +65,10 @@
   router_log(router, MP_LOG_EP_RATE_BAD, " endpoint=%s", endpoint->record.id);
 }
 
-void rates_signalled(Router *router, const Endpoint *endpoint,
-                     const EndpointSignals *signals, gint64 now) {
+void rates_apply_signal(Router *router, const Endpoint *endpoint,
+                        const EndpointSignals *signals, gint64 now) {
   gboolean given = signals->rate == SIGNAL_GIVEN;
-  double named = given ? signals->rate_per_second : RATE_ANY;
+  double named = given ? signals->rate_per_second : RATE_UNLIMITED;
   double before;
   if (signals->rate == SIGNAL_UNREADABLE) {
     log_unreadable(router, endpoint);
@@ -75,8 +76,8 @@
   }
   if (!given && !signals->served)
     return;
-  before = rate_limits_of(router->rates, endpoint->hash);
-  rate_limits_named(router->rates, endpoint->hash, named, now);
+  before = rate_limits_rate(router->rates, endpoint->hash);
+  rate_limits_set(router->rates, endpoint->hash, named, now);
   log_change(router, endpoint, before, "answer", 0, now);
 }
 
@@ -102,11 +103,11 @@
                      const RateSharers *sharers, gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
   double others = sharers->instances.heard - 1;
-  double asked = retry_budget_others(router_budget(router, service->name),
-                                     &router->retry, now);
+  double asked = retry_budget_others_rate(
+      router_retry_budget(router, service->name), &router->retry, now);
   double soon = asked * (double)sharers->delay / MP_SEC;
   if (service->is_engine)
-    soon += peer_loads_waiting(peers);
+    soon += peer_loads_waiting_requests(peers);
   return MIN(others, soon);
 }
 
@@ -115,7 +116,7 @@
   RateSharers sharers = {0};
   gboolean summed = router->near < router->instances;
   sharers.instances = accounts_sharers(router, now);
-  sharers.delay = summed ? RATE_NEWS_DELAY_SUMMED : RATE_NEWS_DELAY;
+  sharers.delay = summed ? RATE_SUMMARY_DELAY : RATE_REPORT_DELAY;
   if (service != NULL)
     sharers.rivals = rivals(router, service, &sharers, now);
   return sharers;
@@ -152,10 +153,10 @@
 GateLimits rates_limits(Router *router, const Service *service, gint64 now) {
   GateLimits limits = {0};
   if (nears_most_connections(router, service))
-    limits.most_connections = service->max_connections;
+    limits.connections_max = service->max_connections;
   if (rate_limits_count(router->rates) > 0)
     limits.rates = router->rates;
-  if (limits.most_connections == 0 && limits.rates == NULL)
+  if (limits.connections_max == 0 && limits.rates == NULL)
     return limits;
   limits.sharers = rates_sharers(router, service, now);
   limits.seed = router->seed;
@@ -174,10 +175,10 @@
   return rate_limits_version(router->rates);
 }
 
-void router_tell_rates(const Router *router, gboolean sums, mp_RateUpdate *out,
-                       gint64 now) {
+void router_report_rates(const Router *router, gboolean sums,
+                         mp_RateUpdate *out, gint64 now) {
   if (sums)
-    rate_limits_write_sum(router->rates, out, now);
+    rate_limits_write_summary(router->rates, out, now);
   else
     rate_limits_write(router->rates, out, now);
 }
@@ -190,24 +191,24 @@
   for (i = 0; i < news->n; i++) {
     if (endpoint_of(router, news->row[i].endpoint) == NULL)
       continue;
-    before[n] = rate_limits_of(router->rates, news->row[i].endpoint);
+    before[n] = rate_limits_rate(router->rates, news->row[i].endpoint);
     news->row[n++] = news->row[i];
   }
   news->n = n;
 }
 
-void router_hear_rates(Router *router, mp_Addr peer, const mp_RateUpdate *told,
-                       gint64 now) {
+void router_receive_rates(Router *router, mp_Addr peer,
+                          const mp_RateUpdate *told, gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
   mp_RateUpdate news = *told;
   unsigned i;
   keep_listed(router, &news, before);
-  rate_limits_hear(router->rates, peer, &news, &sharers, now);
+  rate_limits_receive(router->rates, peer, &news, &sharers, now);
   for (i = 0; i < news.n; i++)
     log_change(router, endpoint_of(router, news.row[i].endpoint), before[i],
                "instance", news.row[i].age_ms, now);
-  admission_run(router, now);
+  admission_start_waiting(router, now);
 }
 
 /* }================================================================== */
--- a/router/records.h
+++ b/router/records.h
@@ -22,11 +22,11 @@
   char *name;
   char *health_path;
   gboolean is_engine;
-  guint32 slots;        /* engines: requests at once */
-  guint32 kv_tokens;    /* engines: memory, in tokens */
-  guint32 event_tokens; /* engines: tokens in one event of a stream */
-  gint64 handle_life;   /* engines: microseconds */
-  gint64 switch_time;   /* engines: to change the stage; 0: they can't */
+  guint32 slots;            /* engines: requests at once */
+  guint32 kv_tokens;        /* engines: memory, in tokens */
+  guint32 tokens_per_event; /* engines: tokens in one event of a stream */
+  gint64 handle_life;       /* engines: microseconds */
+  gint64 switch_time;       /* engines: to change the stage; 0: they can't */
   guint32 max_connections;
 } Service;
 
@@ -113,28 +113,29 @@
 Service *route_table_add_service(RouteTable *table);
 /* from now on requests of routes that are not public need a key; adding an
 ** account says so too */
-void route_table_need_keys(RouteTable *table);
+void route_table_require_keys(RouteTable *table);
 Account *route_table_add_account(RouteTable *table);
 /* a key of the account that was added last */
 void route_table_add_key(RouteTable *table, const char *key);
 /* the account that has the key of this digest (mp_digest), or NULL */
-const Account *route_table_account(const RouteTable *table,
-                                   const char *digest);
+const Account *route_table_find_account(const RouteTable *table,
+                                        const char *digest);
 /* what a request costs of its account's limit, in the limit's unit */
 double account_cost(const Account *account, guint32 prompt_tokens,
                     guint32 output_tokens);
 void route_add_target(Route *route, const char *service, guint32 weight);
 
 /* the route of this host with the longest prefix of the path, or NULL */
-const Route *route_table_find(const RouteTable *table, const char *host,
-                              const char *path);
-const Service *route_table_service(const RouteTable *table, const char *name);
+const Route *route_table_find_route(const RouteTable *table, const char *host,
+                                    const char *path);
+const Service *route_table_find_service(const RouteTable *table,
+                                        const char *name);
 
 /* the service for a request; 'draw' is uniform over guint32 */
 const char *route_choose_service(const Route *route, guint32 draw);
 
 /* may the requests of this route run more than once? */
-gboolean route_repeatable(const Route *route);
+gboolean route_is_repeatable(const Route *route);
 
 /* }================================================================== */
 
@@ -156,8 +157,9 @@
 ** was sent to an earlier life, and what that held, is gone with it.
 */
 typedef struct EndpointRecord {
-  char *id;            /* appears nowhere else in the list */
-  gint64 born_unix_ms; /* start of this life, by its own clock; 0: not said */
+  char *id; /* appears nowhere else in the list */
+  gint64
+      started_unix_ms; /* start of this life, by its own clock; 0: not said */
   StorePosition position; /* of the store's last write of this; none: it is not
                           ** known */
   char *service;
@@ -166,7 +168,7 @@
   gboolean ready; /* FALSE: it is leaving */
   guint32 slots;
   EndpointStage stage;
-  gint64 cold_left; /* how long it will still be slow; microseconds */
+  gint64 warmup_left; /* how long it will still be slow; microseconds */
 } EndpointRecord;
 
 void endpoint_record_clear(EndpointRecord *record);
--- a/router/relay_group.c
+++ b/router/relay_group.c
@@ -22,7 +22,7 @@
 ** wait and this: the pause after news (io/directory.c) and a slow answer */
 #define FRESH_MARGIN (700 * MP_MS)
 /* a slow answer: 50 times the usual 4 ms, and its way */
-#define SLOW_ANSWER (300 * MP_MS)
+#define SLOW_ANSWER_MAX (300 * MP_MS)
 /* a relay's watch waits so long at least, or it would be a poll */
 #define WATCH_LEAST (200 * MP_MS)
 /* members that may take over one after the other within the bound: of the
@@ -32,11 +32,11 @@
 ** the next one, a question to the relay */
 #define HAND_ON (350 * MP_MS)
 /* three heartbeats */
-#define SILENCE (3 * RELAY_BEAT + 50 * MP_MS)
+#define SILENCE (3 * RELAY_HEARTBEAT_INTERVAL + 50 * MP_MS)
 /* a member that misses relays waits so long for each place before its own,
 ** a heartbeat's travel, and so long at most */
-#define TAKE_OVER_STEP (RELAY_BEAT + 50 * MP_MS)
-#define TAKE_OVER_MOST (1000 * MP_MS)
+#define TAKE_OVER_STEP (RELAY_HEARTBEAT_INTERVAL + 50 * MP_MS)
+#define TAKEOVER_WAIT_MAX (1000 * MP_MS)
 /* without the list of instances, the store is followed after this: entering
 ** itself, the wait for others that start too, and a list take 0.6 s */
 #define START_WAIT (1500 * MP_MS)
@@ -44,7 +44,7 @@
 /* capacities are told apart up to this */
 #define CAPACITY_BITS 16
 #define CAPACITY_SHIFT (64 - CAPACITY_BITS)
-#define CAPACITY_MOST ((1u << CAPACITY_BITS) - 1)
+#define CAPACITY_MAX ((1u << CAPACITY_BITS) - 1)
 
 typedef struct Relay {
   mp_Addr address;
@@ -72,7 +72,7 @@
   GHashTable *relays; /* address -> Relay, heard at some time */
   gint64 confirmed[MP_RELAY_KINDS]; /* when the store answered; 0: never */
   gint64 short_since; /* too few relays are heard; 0: enough are */
-  gint64 lag_most;    /* as relay_group_lag_most */
+  gint64 lag_most;    /* as relay_group_lag_max */
   guint64 era;        /* as relay_group_era */
   NewsState news[MP_RELAY_KINDS];
   ConfigProof proof;
@@ -90,28 +90,30 @@
 
 /* the larger machine first, else by hash */
 static guint64 order_of(mp_Addr address, guint32 capacity) {
-  guint64 rank = CAPACITY_MOST - MIN(capacity, CAPACITY_MOST);
+  guint64 rank = CAPACITY_MAX - MIN(capacity, CAPACITY_MAX);
   return rank << CAPACITY_SHIFT | hash_of(address) >> CAPACITY_BITS;
 }
 
-gint64 relay_longest_age(const RelayTimes *times) {
+gint64 relay_news_age_max(const RelayTiming *times) {
   return times->watch_wait + FRESH_MARGIN;
 }
 
 /* TAKE_OVERS, and news handed on, fit into what is left of the bound */
-static gint64 fresh_within(const RelayTimes *times) {
-  gint64 bound = times->news_within - TAKE_OVERS * TAKE_OVER_STEP - HAND_ON;
-  return MIN(relay_longest_age(times), MAX(bound, WATCH_LEAST + SLOW_ANSWER));
+static gint64 fresh_within(const RelayTiming *times) {
+  gint64 bound =
+      times->propagation_max - TAKE_OVERS * TAKE_OVER_STEP - HAND_ON;
+  return MIN(relay_news_age_max(times),
+             MAX(bound, WATCH_LEAST + SLOW_ANSWER_MAX));
 }
 
 RelayGroup *relay_group_new(mp_Addr self, guint32 capacity,
-                            const RelayTimes *times, gint64 now) {
+                            const RelayTiming *times, gint64 now) {
   RelayGroup *group = g_new0(RelayGroup, 1);
   group->self = self;
   group->order = order_of(self, capacity);
   group->watch_wait = times->watch_wait;
   group->fresh = fresh_within(times);
-  group->lag_most = times->news_within / 2;
+  group->lag_most = times->propagation_max / 2;
   config_proof_init(&group->proof);
   group->alone_at = now + START_WAIT;
   group->far = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
@@ -209,7 +211,7 @@
   set_far(group, far);
 }
 
-void relay_group_begin_alone(RelayGroup *group) {
+void relay_group_skip_start_wait(RelayGroup *group) {
   group->alone_at = 0;
 }
 
@@ -241,14 +243,14 @@
 
 /* is all that it has known here? The instances and the quarantine change
 ** rarely, and no request depends on the newest ones */
-static gboolean is_level(const RelayGroup *group, const Relay *relay) {
+static gboolean holds_all_news(const RelayGroup *group, const Relay *relay) {
   return holds_all_of(group, relay, STORE_CONFIGURATION) &&
          holds_all_of(group, relay, STORE_ENDPOINTS);
 }
 
 /* the newest moment at which what this relay had is known here */
 static gint64 level_at(const RelayGroup *group, const Relay *relay) {
-  if (!is_level(group, relay))
+  if (!holds_all_news(group, relay))
     return relay->level_at;
   return MAX(relay->level_at, answered_at(relay));
 }
@@ -257,7 +259,7 @@
                       gint64 now) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
-    news_state_name(&group->news[kind], beat->changed[kind], now);
+    news_state_advance_newest(&group->news[kind], beat->changed[kind], now);
 }
 
 /* the latest era that the heartbeat names */
@@ -269,7 +271,7 @@
   return era;
 }
 
-void relay_group_hear_era(RelayGroup *group, guint64 era) {
+void relay_group_observe_era(RelayGroup *group, guint64 era) {
   group->era = MAX(group->era, era);
 }
 
@@ -277,8 +279,8 @@
   return group->era;
 }
 
-void relay_group_hear(RelayGroup *group, mp_Addr from,
-                      const mp_RelayHeartbeat *beat, gint64 now) {
+void relay_group_receive_heartbeat(RelayGroup *group, mp_Addr from,
+                                   const mp_RelayHeartbeat *beat, gint64 now) {
   Relay *relay = g_hash_table_lookup(group->relays, &from);
   if (relay == NULL) {
     relay = g_new0(Relay, 1);
@@ -292,9 +294,9 @@
   relay->order = order_of_relay(group, from);
   relay->is_near = relay->order != G_MAXUINT64;
   relay->beat = *beat;
-  relay_group_hear_era(group, era_of(beat));
+  relay_group_observe_era(group, era_of(beat));
   name_news(group, beat, now);
-  config_proof_by_relay(&group->proof, from, beat, now);
+  config_proof_apply_heartbeat(&group->proof, from, beat, now);
 }
 
 ConfigProof *relay_group_proof(RelayGroup *group) {
@@ -305,18 +307,18 @@
   return &group->news[kind];
 }
 
-void relay_group_hold(RelayGroup *group, StoreKind kind,
-                      StorePosition position, gint64 now) {
-  news_state_hold(&group->news[kind], position, now);
+void relay_group_advance_held(RelayGroup *group, StoreKind kind,
+                              StorePosition position, gint64 now) {
+  news_state_advance_held(&group->news[kind], position, now);
   if (kind == STORE_CONFIGURATION)
-    config_proof_know(&group->proof, position);
+    config_proof_advance_known(&group->proof, position);
 }
 
-gint64 relay_group_lag_most(const RelayGroup *group) {
+gint64 relay_group_lag_max(const RelayGroup *group) {
   return group->lag_most;
 }
 
-void relay_group_confirm(RelayGroup *group, StoreKind kind, gint64 now) {
+void relay_group_confirm_store(RelayGroup *group, StoreKind kind, gint64 now) {
   group->confirmed[kind] = now;
 }
 
@@ -326,7 +328,7 @@
              group->confirmed[STORE_ENDPOINTS]);
 }
 
-gboolean relay_group_store_answers(const RelayGroup *group, gint64 now) {
+gboolean relay_group_is_store_answering(const RelayGroup *group, gint64 now) {
   gint64 last = 0;
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
@@ -334,7 +336,7 @@
   return last != 0 && now - last <= group->fresh;
 }
 
-void relay_group_doubt(RelayGroup *group, mp_Addr address) {
+void relay_group_suspend_relay(RelayGroup *group, mp_Addr address) {
   Relay *relay = g_hash_table_lookup(group->relays, &address);
   if (relay != NULL)
     relay->doubted = TRUE;
@@ -365,7 +367,7 @@
   return relay->is_near && relay->order < group->order;
 }
 
-RelaysBefore relay_group_before(const RelayGroup *group, gint64 now) {
+RelaysBefore relay_group_relays_before(const RelayGroup *group, gint64 now) {
   RelaysBefore before = {0, 0};
   GHashTableIter iterator;
   gpointer value;
@@ -387,17 +389,18 @@
   if (group->place < wanted)
     return 0;
   wait = (group->place - wanted + 1) * TAKE_OVER_STEP;
-  if (relay_group_before(group, now).heard >= wanted)
+  if (relay_group_relays_before(group, now).heard >= wanted)
     return wait;
-  return MIN(wait, TAKE_OVER_MOST);
+  return MIN(wait, TAKEOVER_WAIT_MAX);
 }
 
 RelayRole relay_group_role(RelayGroup *group, gint64 now) {
   if (!group->listed)
     return now < group->alone_at ? RELAY_ROLE_STARTING : RELAY_ROLE_ALONE;
-  if (group->members->len + 1 < GROUP_LEAST && !relay_group_sums(group))
+  if (group->members->len + 1 < GROUP_LEAST &&
+      !relay_group_uses_summaries(group))
     return RELAY_ROLE_ALONE;
-  if (relay_group_before(group, now).fresh >= relays_wanted(group)) {
+  if (relay_group_relays_before(group, now).fresh >= relays_wanted(group)) {
     group->short_since = 0;
     return RELAY_ROLE_MEMBER;
   }
@@ -427,33 +430,34 @@
   return first;
 }
 
-gint64 relay_group_next(const RelayGroup *group, gint64 now) {
+gint64 relay_group_next_check(const RelayGroup *group, gint64 now) {
   gint64 due;
   if (!group->listed)
     return MAX(group->alone_at, now);
   if (group->short_since == 0)
-    return MIN(first_to_cease(group, now), now + RELAY_BEAT);
+    return MIN(first_to_cease(group, now), now + RELAY_HEARTBEAT_INTERVAL);
   due = group->short_since + take_over_wait(group, now);
-  return due > now ? MIN(due, now + RELAY_BEAT) : now + RELAY_BEAT;
+  return due > now ? MIN(due, now + RELAY_HEARTBEAT_INTERVAL)
+                   : now + RELAY_HEARTBEAT_INTERVAL;
 }
 
-gboolean relay_group_sums(const RelayGroup *group) {
-  return group->instances > RELAY_MANY;
+gboolean relay_group_uses_summaries(const RelayGroup *group) {
+  return group->instances > RELAY_FULL_MESH_MAX;
 }
 
-gboolean relay_group_stands_in(RelayGroup *group, gint64 now) {
+gboolean relay_group_is_substitute(RelayGroup *group, gint64 now) {
   return relay_group_role(group, now) == RELAY_ROLE_RELAY &&
-         relay_group_before(group, now).heard >= relays_wanted(group);
+         relay_group_relays_before(group, now).heard >= relays_wanted(group);
 }
 
-gboolean relay_group_is_first(RelayGroup *group, gint64 now) {
+gboolean relay_group_is_first_relay(RelayGroup *group, gint64 now) {
   return relay_group_role(group, now) == RELAY_ROLE_RELAY &&
-         relay_group_before(group, now).heard == 0;
+         relay_group_relays_before(group, now).heard == 0;
 }
 
 /* of those that have the news, any one: they share the members by chance */
-mp_Addr relay_group_source(const RelayGroup *group, StoreKind kind,
-                           StorePosition known, gint64 now) {
+mp_Addr relay_group_choose_source(const RelayGroup *group, StoreKind kind,
+                                  StorePosition known, gint64 now) {
   GHashTableIter iterator;
   gpointer value;
   mp_Addr best = 0;
@@ -474,7 +478,8 @@
 }
 
 /* 'all': also of the relays of this data centre that come after it */
-static gint64 age_by(const RelayGroup *group, gboolean all, gint64 now) {
+static gint64 news_age_from(const RelayGroup *group, gboolean all,
+                            gint64 now) {
   gint64 age = confirmed(group) != 0 ? now - confirmed(group) : G_MAXINT32;
   GHashTableIter iterator;
   gpointer value;
@@ -489,11 +494,11 @@
 }
 
 gint64 relay_group_age(const RelayGroup *group, gint64 now) {
-  return age_by(group, FALSE, now);
+  return news_age_from(group, FALSE, now);
 }
 
 gint64 relay_group_news_age(const RelayGroup *group, gint64 now) {
-  return age_by(group, TRUE, now);
+  return news_age_from(group, TRUE, now);
 }
 
 gint64 relay_group_watch_wait(RelayGroup *group, StoreKind kind, gint64 now) {
@@ -501,19 +506,19 @@
   if (relay_group_role(group, now) != RELAY_ROLE_RELAY ||
       group->confirmed[kind] == 0)
     return group->watch_wait;
-  until = group->confirmed[kind] + group->fresh - SLOW_ANSWER;
+  until = group->confirmed[kind] + group->fresh - SLOW_ANSWER_MAX;
   return CLAMP(until - now, WATCH_LEAST, group->watch_wait);
 }
 
-unsigned relay_group_ask(const RelayGroup *group, mp_Addr *out,
-                         unsigned most) {
+unsigned relay_group_first_members(const RelayGroup *group, mp_Addr *out,
+                                   unsigned most) {
   unsigned count = MIN(most, group->members->len);
   memcpy(out, group->members->data, count * sizeof *out);
   return count;
 }
 
-unsigned relay_group_unbounded(const RelayGroup *group, gint64 now,
-                               mp_Addr *out, unsigned most) {
+unsigned relay_group_clocks_to_bound(const RelayGroup *group, gint64 now,
+                                     mp_Addr *out, unsigned most) {
   GHashTableIter iterator;
   gpointer value;
   unsigned count = 0;
@@ -521,7 +526,7 @@
   while (count < most && g_hash_table_iter_next(&iterator, NULL, &value)) {
     const Relay *relay = value;
     if (is_heard(relay, now) &&
-        config_proof_must_ask(&group->proof, relay->address, now))
+        config_proof_must_bound_clock(&group->proof, relay->address, now))
       out[count++] = relay->address;
   }
   return count;
@@ -531,7 +536,7 @@
   return group->members;
 }
 
-GArray *relay_group_far(const RelayGroup *group, gint64 now) {
+GArray *relay_group_remote_targets(const RelayGroup *group, gint64 now) {
   GArray *out = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
   GHashTableIter iterator;
   gpointer value;
--- a/router/retry_budget.c
+++ b/router/retry_budget.c
@@ -38,20 +38,20 @@
   return i;
 }
 
-void retry_budget_request(RetryBudget *budget, const RetryPolicy *policy,
-                          gint64 now) {
+void retry_budget_count_request(RetryBudget *budget, const RetryPolicy *policy,
+                                gint64 now) {
   budget->own[slot(budget, policy, now)].requests++;
   budget->total.requests++;
 }
 
-void retry_budget_spend(RetryBudget *budget, const RetryPolicy *policy,
-                        gint64 now) {
+void retry_budget_count_extra(RetryBudget *budget, const RetryPolicy *policy,
+                              gint64 now) {
   budget->own[slot(budget, policy, now)].extras++;
   budget->total.extras++;
 }
 
-void retry_budget_hear(RetryBudget *budget, const RetryPolicy *policy,
-                       const RetryCounts *more, gint64 now) {
+void retry_budget_add_others(RetryBudget *budget, const RetryPolicy *policy,
+                             const RetryCounts *more, gint64 now) {
   RetryCounts *others = &budget->others[slot(budget, policy, now)];
   others->requests += more->requests;
   others->extras += more->extras;
@@ -104,8 +104,8 @@
   return requests * MP_SEC / (double)(buckets * span);
 }
 
-double retry_budget_others(const RetryBudget *budget,
-                           const RetryPolicy *policy, gint64 now) {
+double retry_budget_others_rate(const RetryBudget *budget,
+                                const RetryPolicy *policy, gint64 now) {
   double lately = others_over(budget, policy, LATELY_BUCKETS, now);
   double window = others_over(budget, policy, RETRY_BUDGET_BUCKETS - 1, now);
   return MAX(lately, window);
@@ -127,19 +127,19 @@
   budget->period_quota += sharers->draw < part - budget->period_quota;
 }
 
-gboolean retry_budget_left(RetryBudget *budget, const RetryPolicy *policy,
-                           const RetrySharers *sharers, gint64 now) {
+gboolean retry_budget_has_extra(RetryBudget *budget, const RetryPolicy *policy,
+                                const RetrySharers *sharers, gint64 now) {
   return remaining(budget, policy, sharers, now) >= 1;
 }
 
-gboolean retry_budget_take(RetryBudget *budget, const RetryPolicy *policy,
-                           const RetrySharers *sharers, gint64 now) {
+gboolean retry_budget_try_take(RetryBudget *budget, const RetryPolicy *policy,
+                               const RetrySharers *sharers, gint64 now) {
   double left = remaining(budget, policy, sharers, now);
   if (budget->period != period_of(sharers, now))
     begin_period(budget, policy, sharers, left, now);
   if (left < 1 || budget->period_taken >= budget->period_quota)
     return FALSE;
   budget->period_taken++;
-  retry_budget_spend(budget, policy, now);
+  retry_budget_count_extra(budget, policy, now);
   return TRUE;
 }
--- a/router/retry_budget.h
+++ b/router/retry_budget.h
@@ -54,23 +54,23 @@
 } RetryBudget;
 
 /* a request for the service came */
-void retry_budget_request(RetryBudget *budget, const RetryPolicy *policy,
-                          gint64 now);
+void retry_budget_count_request(RetryBudget *budget, const RetryPolicy *policy,
+                                gint64 now);
 /* an extra arrival that could not be helped */
-void retry_budget_spend(RetryBudget *budget, const RetryPolicy *policy,
-                        gint64 now);
+void retry_budget_count_extra(RetryBudget *budget, const RetryPolicy *policy,
+                              gint64 now);
 /* another instance has told so many more */
-void retry_budget_hear(RetryBudget *budget, const RetryPolicy *policy,
-                       const RetryCounts *more, gint64 now);
+void retry_budget_add_others(RetryBudget *budget, const RetryPolicy *policy,
+                             const RetryCounts *more, gint64 now);
 /* requests a second that other instances get: lately, or over the window if
 ** that is more, since after a pause they may come back at once */
-double retry_budget_others(const RetryBudget *budget,
-                           const RetryPolicy *policy, gint64 now);
+double retry_budget_others_rate(const RetryBudget *budget,
+                                const RetryPolicy *policy, gint64 now);
 /* would there be one more extra arrival left, by the bound alone? */
-gboolean retry_budget_left(RetryBudget *budget, const RetryPolicy *policy,
-                           const RetrySharers *sharers, gint64 now);
+gboolean retry_budget_has_extra(RetryBudget *budget, const RetryPolicy *policy,
+                                const RetrySharers *sharers, gint64 now);
 /* may there be one more extra arrival? Spends it when so */
-gboolean retry_budget_take(RetryBudget *budget, const RetryPolicy *policy,
-                           const RetrySharers *sharers, gint64 now);
+gboolean retry_budget_try_take(RetryBudget *budget, const RetryPolicy *policy,
+                               const RetrySharers *sharers, gint64 now);
 
 #endif
--- a/router/retry_exchange.c
+++ b/router/retry_exchange.c
@@ -82,8 +82,8 @@
   to->extras += more->extras;
 }
 
-void retry_exchange_hear(Router *router, const mp_LoadDigest *before,
-                         const mp_LoadDigest *after, gint64 now) {
+void retry_exchange_receive(Router *router, const mp_LoadDigest *before,
+                            const mp_LoadDigest *after, gint64 now) {
   unsigned i;
   if (is_old_news(router, before, now))
     return;
@@ -97,17 +97,17 @@
     more.requests = grown(old != NULL ? old->requests : 0, row->requests);
     more.extras = grown(old != NULL ? old->extras : 0, row->extras);
     add_counts(&state->budget.near, &more);
-    retry_budget_hear(&state->budget, &router->retry, &more, now);
+    retry_budget_add_others(&state->budget, &router->retry, &more, now);
   }
 }
 
 /* sums shrink only when a relay starts to count anew */
-static guint32 grown_sum(guint32 before, guint32 after) {
+static guint32 sum_growth(guint32 before, guint32 after) {
   return after >= before ? after - before : 0;
 }
 
-void retry_exchange_hear_sum(Router *router, const mp_LoadDigest *before,
-                             const mp_LoadDigest *after, gint64 now) {
+void retry_exchange_receive_sum(Router *router, const mp_LoadDigest *before,
+                                const mp_LoadDigest *after, gint64 now) {
   unsigned i;
   for (i = 0; before != NULL && i < after->retry_count; i++) {
     const mp_RetryRow *row = &after->retry[i];
@@ -116,30 +116,32 @@
     RetryCounts more;
     if (state == NULL)
       continue;
-    more.requests = grown_sum(old != NULL ? old->requests : 0, row->requests);
-    more.extras = grown_sum(old != NULL ? old->extras : 0, row->extras);
-    retry_budget_hear(&state->budget, &router->retry, &more, now);
+    more.requests = sum_growth(old != NULL ? old->requests : 0, row->requests);
+    more.extras = sum_growth(old != NULL ? old->extras : 0, row->extras);
+    retry_budget_add_others(&state->budget, &router->retry, &more, now);
   }
 }
 
 static RetrySharers sharers_of(Router *router, gint64 now) {
   RetrySharers sharers;
   sharers.instances = router->instances;
-  sharers.heard =
-      1 + peer_loads_heard(router->endpoints->peers, PEER_SILENCE, now);
+  sharers.heard = 1 + peer_loads_count_reachable(router->endpoints->peers,
+                                                 PEER_LOAD_TIMEOUT, now);
   sharers.in_summaries = router->near < router->instances;
   sharers.draw = g_rand_double(router->random);
   return sharers;
 }
 
-gboolean retry_exchange_left(Router *router, const char *service, gint64 now) {
+gboolean retry_exchange_has_extra(Router *router, const char *service,
+                                  gint64 now) {
   RetrySharers sharers = sharers_of(router, now);
-  return retry_budget_left(router_budget(router, service), &router->retry,
-                           &sharers, now);
+  return retry_budget_has_extra(router_retry_budget(router, service),
+                                &router->retry, &sharers, now);
 }
 
-gboolean retry_exchange_take(Router *router, const char *service, gint64 now) {
+gboolean retry_exchange_try_take(Router *router, const char *service,
+                                 gint64 now) {
   RetrySharers sharers = sharers_of(router, now);
-  return retry_budget_take(router_budget(router, service), &router->retry,
-                           &sharers, now);
+  return retry_budget_try_take(router_retry_budget(router, service),
+                               &router->retry, &sharers, now);
 }
--- a/router/route_table.c
+++ b/router/route_table.c
@@ -114,7 +114,7 @@
   return service;
 }
 
-void route_table_need_keys(RouteTable *table) {
+void route_table_require_keys(RouteTable *table) {
   if (table->accounts != NULL)
     return;
   table->accounts = g_ptr_array_new_with_free_func(account_free);
@@ -123,7 +123,7 @@
 
 Account *route_table_add_account(RouteTable *table) {
   Account *account = g_new0(Account, 1);
-  route_table_need_keys(table);
+  route_table_require_keys(table);
   g_ptr_array_add(table->accounts, account);
   return account;
 }
@@ -134,8 +134,8 @@
   key_table_add(table->keys, digest, table->accounts->len - 1);
 }
 
-const Account *route_table_account(const RouteTable *table,
-                                   const char *digest) {
+const Account *route_table_find_account(const RouteTable *table,
+                                        const char *digest) {
   guint place;
   if (table->keys == NULL || !key_table_find(table->keys, digest, &place))
     return NULL;
@@ -155,8 +155,8 @@
   g_array_append_val(route->targets, target);
 }
 
-const Route *route_table_find(const RouteTable *table, const char *host,
-                              const char *path) {
+const Route *route_table_find_route(const RouteTable *table, const char *host,
+                                    const char *path) {
   const Route *best = NULL;
   gsize best_length = 0;
   guint i;
@@ -174,7 +174,8 @@
   return best;
 }
 
-const Service *route_table_service(const RouteTable *table, const char *name) {
+const Service *route_table_find_service(const RouteTable *table,
+                                        const char *name) {
   guint i;
   for (i = 0; i < table->services->len; i++) {
     const Service *service = table->services->pdata[i];
@@ -200,7 +201,7 @@
   return g_array_index(route->targets, RouteTarget, i).service;
 }
 
-gboolean route_repeatable(const Route *route) {
+gboolean route_is_repeatable(const Route *route) {
   return route->kind == ROUTE_SAFE ||
          (route->kind == ROUTE_STREAM && route->resumable);
 }
--- a/router/router.c
+++ b/router/router.c
@@ -49,7 +49,7 @@
   router->endpoints = endpoint_table_new(options->zone);
   router->services =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-  router->patiences = patience_table_new();
+  router->patience_table = patience_table_new();
   router->requests =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL, request_free);
   router->instances = 1;
@@ -58,13 +58,13 @@
   router->limits = account_limits_new(&options->limits, now);
   router->seed = options->seed ^ options->self;
   router->rates = rate_limits_new(router->seed);
-  router->crashes = lives_watch_new(router);
+  router->crashes = lives_new_crash_watch(router);
   router->quarantine = quarantine_new(options->unix_offset, options->seed);
   router->suspicions = suspicions_new();
   router->unknown_fields =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  router->revoke_bound = options->revoke_bound;
-  router->news_bound = options->news_bound;
+  router->proof_age_max = options->proof_age_max;
+  router->news_age_max = options->news_age_max;
   router->dispatched = g_hash_table_new(g_int64_hash, g_int64_equal);
   router->stages = stages_new(router, options->instance, options->self,
                               options->lease_length, now);
@@ -83,7 +83,7 @@
   g_ptr_array_free(router->waiting, TRUE);
   g_hash_table_destroy(router->requests);
   g_hash_table_destroy(router->services);
-  patience_table_free(router->patiences);
+  patience_table_free(router->patience_table);
   endpoint_table_free(router->endpoints);
   route_table_unref(router->routes);
   g_rand_free(router->random);
@@ -99,7 +99,7 @@
   router->host.log(router->host.data, number, fields);
 }
 
-ServiceState *router_service(Router *router, const char *service) {
+ServiceState *router_service_state(Router *router, const char *service) {
   ServiceState *state = g_hash_table_lookup(router->services, service);
   if (state == NULL) {
     state = g_new0(ServiceState, 1);
@@ -108,8 +108,8 @@
   return state;
 }
 
-RetryBudget *router_budget(Router *router, const char *service) {
-  return &router_service(router, service)->budget;
+RetryBudget *router_retry_budget(Router *router, const char *service) {
+  return &router_service_state(router, service)->budget;
 }
 
 /* }================================================================== */
@@ -141,11 +141,11 @@
   router->proved_at = MAX(router->proved_at, at);
 }
 
-void router_news_heard(Router *router, gint64 at) {
+void router_store_answered(Router *router, gint64 at) {
   router->heard_at = MAX(router->heard_at, at);
 }
 
-void router_set_news(Router *router, const NewsState *news) {
+void router_set_news_state(Router *router, const NewsState *news) {
   router->news = news;
 }
 
@@ -187,7 +187,7 @@
   request->id = g_strdup(call->id);
   request->table = route_table_ref(table);
   request->route = route;
-  request->repeatable = route_repeatable(route);
+  request->repeatable = route_is_repeatable(route);
   request->prompt_tokens = call->prompt_tokens;
   request->output_tokens = call->output_tokens;
   request->session = call->session;
@@ -211,15 +211,16 @@
 ** instance that the store answers, the route may have come since: the caller
 ** is told to try again, and reaches another instance, or this one later.
 */
-gboolean router_lacks_news(const Router *router, gint64 now) {
+gboolean router_may_be_outdated(const Router *router, gint64 now) {
   if (router->news != NULL && router->news->lags_since != 0)
     return TRUE;
-  return router->news_bound > 0 && news_age(router, now) > router->news_bound;
+  return router->news_age_max > 0 &&
+         news_age(router, now) > router->news_age_max;
 }
 
 static RefusalKind no_route(const Router *router, gint64 now) {
-  return router_lacks_news(router, now) ? REFUSAL_OLD_CONFIGURATION
-                                        : REFUSAL_NO_ROUTE;
+  return router_may_be_outdated(router, now) ? REFUSAL_OLD_CONFIGURATION
+                                             : REFUSAL_NO_ROUTE;
 }
 
 static gint64 news_lag(const Router *router, gint64 now) {
@@ -228,7 +229,7 @@
 
 static void refuse_unrouted(Router *router, const CallerRequest *call,
                             RefusalKind kind, gint64 now) {
-  Refusal refusal = {kind, finish_retry_after(kind)};
+  Refusal refusal = {kind, finish_default_retry_ms(kind)};
   guint64 version = router->routes != NULL ? router->routes->version : 0;
   router_count(router, REFUSED);
   router_log(router, MP_LOG_ROUTE_REFUSED,
@@ -255,7 +256,7 @@
     refuse_unrouted(router, call, REFUSAL_DRAINING, now);
     return;
   }
-  route = route_table_find(router->routes, call->host, call->path);
+  route = route_table_find_route(router->routes, call->host, call->path);
   if (route == NULL) {
     refuse_unrouted(router, call, no_route(router, now), now);
     return;
@@ -267,18 +268,19 @@
   }
   service = route_choose_service(route, g_rand_int(router->random));
   request = request_new(call, router->routes, route, account, now);
-  accounts_set(request, call, account);
-  request->service = route_table_service(router->routes, service);
+  accounts_attach(request, call, account);
+  request->service = route_table_find_service(router->routes, service);
   g_hash_table_insert(router->requests, &request->number, request);
   if (request->service == NULL) {
     finish_refuse(router, request, REFUSAL_NO_ENDPOINT);
     return;
   }
-  if (!suspects_may_send(router, request, &refusal.kind, now)) {
+  if (!suspects_may_dispatch(router, request, &refusal.kind, now)) {
     finish_refuse(router, request, refusal.kind);
     return;
   }
-  retry_budget_request(router_budget(router, service), &router->retry, now);
+  retry_budget_count_request(router_retry_budget(router, service),
+                             &router->retry, now);
   router_log(router, MP_LOG_ROUTE_ACCEPT,
              " request=%s route=%s service=%s prompt=%u output=%u left_ms=%d "
              "objective_ms=%d session=%" G_GINT64_MODIFIER
@@ -290,10 +292,10 @@
              account != NULL ? account->name : "-",
              (int)(accounts_configuration_age(router, now) / MP_MS),
              request->content);
-  path_begin(router, request, now);
+  path_start(router, request, now);
 }
 
-void router_stop_taking(Router *router, gint64 now) {
+void router_stop_accepting(Router *router, gint64 now) {
   router->stopping = TRUE;
   while (router->waiting->len > 0) {
     Request *request = router->waiting->pdata[0];
@@ -307,7 +309,7 @@
   if (request == NULL)
     return;
   finish_hangup(router, request, now);
-  admission_run(router, now);
+  admission_start_waiting(router, now);
 }
 
 /* the endpoint itself has said something */
@@ -318,19 +320,19 @@
 
 void router_outcome(Router *router, const Outcome *outcome, gint64 now) {
   Request *request;
-  if (stages_outcome(router->stages, outcome, now) ||
+  if (stages_handle_outcome(router->stages, outcome, now) ||
       crash_watch_outcome(router->crashes, outcome, now))
     return;
   request = g_hash_table_lookup(router->dispatched, &outcome->dispatch);
   if (request == NULL)
     return; /* given up before */
   if (is_answer_of_endpoint(outcome))
-    suspects_answered(router, request, now);
+    suspects_note_answer(router, request, now);
   if (request->phase == PHASE_PREFILL)
-    prefill_outcome(router, request, outcome, now);
+    prefill_handle_outcome(router, request, outcome, now);
   else
-    outcomes_take(router, request, outcome, now);
-  admission_run(router, now);
+    outcomes_handle(router, request, outcome, now);
+  admission_start_waiting(router, now);
 }
 
 /* }================================================================== */
@@ -345,8 +347,8 @@
   gint64 wake = request->expires;
   if (request->stall_at != 0)
     wake = MIN(wake, request->stall_at);
-  if (request->turn_at != 0)
-    wake = MIN(wake, request->turn_at);
+  if (request->start_at != 0)
+    wake = MIN(wake, request->start_at);
   if (request->suspect_at != 0)
     wake = MIN(wake, request->suspect_at);
   return wake;
@@ -354,8 +356,8 @@
 
 gint64 router_next_tick(const Router *router) {
   gint64 next = stages_next_tick(router->stages);
-  if (router->shortage_look_at != 0)
-    next = MIN(next, router->shortage_look_at);
+  if (router->shortage_recheck_at != 0)
+    next = MIN(next, router->shortage_recheck_at);
   GHashTableIter iterator;
   gpointer value;
   g_hash_table_iter_init(&iterator, router->requests);
@@ -366,11 +368,11 @@
 
 static void stalled(Router *router, Request *request, gint64 now) {
   if (request->phase == PHASE_WAIT)
-    admission_look(router, request, now);
+    admission_review(router, request, now);
   else if (request->phase == PHASE_PREFILL)
-    prefill_stalled(router, request, now);
+    prefill_handle_stall(router, request, now);
   else
-    outcomes_stalled(router, request, now);
+    outcomes_handle_stall(router, request, now);
 }
 
 /* one request whose time has come; 0 when there is none */
@@ -385,9 +387,9 @@
     if (request->expires <= now)
       finish_expire(router, request, now);
     else if (request->suspect_at != 0 && request->suspect_at <= now)
-      outcomes_suspect(router, request, now);
-    else if (request->turn_at != 0 && request->turn_at <= now)
-      admission_turn(router, request, now);
+      outcomes_mark_suspect(router, request, now);
+    else if (request->start_at != 0 && request->start_at <= now)
+      admission_take_turn(router, request, now);
     else
       stalled(router, request, now);
     return TRUE;
@@ -397,26 +399,26 @@
 
 void router_tick(Router *router, gint64 now) {
   if (peer_loads_expire(router->endpoints->peers, now))
-    admission_run(router, now);
+    admission_start_waiting(router, now);
   while (tick_one(router, now)) {
   }
   stages_tick(router->stages, now);
   crash_watch_expire(router->crashes, now);
   quarantine_expire(router->quarantine, now);
   suspicions_expire(router->suspicions, now);
-  admission_run(router, now);
+  admission_start_waiting(router, now);
 }
 
 /* }================================================================== */
 
-void router_hear_era(Router *router, guint64 era, gint64 now) {
+void router_observe_era(Router *router, guint64 era, gint64 now) {
   gboolean is_return = router->era != 0;
   if (era <= router->era)
     return;
   router->era = era;
-  stages_hear_era(router->stages, era, now);
+  stages_observe_era(router->stages, era, now);
   if (is_return)
-    quarantine_restored(router->quarantine, era);
+    quarantine_store_restored(router->quarantine, era);
 }
 
 void router_lease_reply(Router *router, const LeaseReply *reply, gint64 now) {
@@ -430,18 +432,18 @@
 void router_count_waiting(const Router *router, gint64 now, guint *waiting,
                           guint *in_time) {
   *waiting = router->waiting->len;
-  *in_time = admission_in_time(router, now);
+  *in_time = admission_count_in_time(router, now);
 }
 
 unsigned router_instances(const Router *router) {
   return router->instances;
 }
 
-gboolean router_configured(const Router *router, gint64 now) {
+gboolean router_is_configured(const Router *router, gint64 now) {
   if (router->routes == NULL)
     return FALSE;
-  return router->routes->accounts == NULL || router->revoke_bound == 0 ||
-         now - router->proved_at <= router->revoke_bound;
+  return router->routes->accounts == NULL || router->proof_age_max == 0 ||
+         now - router->proved_at <= router->proof_age_max;
 }
 
 guint64 router_counter(const Router *router, unsigned counter) {
@@ -457,8 +459,8 @@
   return counter < ROUTER_COUNTER_COUNT ? names[counter] : NULL;
 }
 
-void router_time(Router *router, const Request *request, RouterDuration which,
-                 gint64 now) {
+void router_record_duration(Router *router, const Request *request,
+                            RouterDuration which, gint64 now) {
   histogram_add(&router->durations[which], now - request->arrived);
 }
 
--- a/router/router.h
+++ b/router/router.h
@@ -194,11 +194,11 @@
   mp_Addr self;          /* the address that its load digests come from */
   gint64 lease_length;   /* of orders to engines; 0: none are given */
   LimitTolerance limits; /* of client accounts */
-  gint64 news_bound;     /* older news say nothing of a route that they lack;
-                         ** 0: at any age (relay_longest_age) */
+  gint64 news_age_max;   /* older news say nothing of a route that they lack;
+                          ** 0: at any age (relay_news_age_max) */
   gint64 unix_offset;    /* Unix time less the steady clock's */
-  gint64 revoke_bound;   /* requests with keys run only while the configuration
-                         ** was the newest one so lately; 0: at any age */
+  gint64 proof_age_max;  /* requests with keys run only while the configuration
+                          ** was the newest one so lately; 0: at any age */
 } RouterOptions;
 
 Router *router_new(const RouterOptions *options, const RouterHost *host,
@@ -214,10 +214,10 @@
 ** 0: that is not known */
 void router_configuration_proved(Router *router, gint64 at);
 /* the store answered then whoever this instance has its news from */
-void router_news_heard(Router *router, gint64 at);
+void router_store_answered(Router *router, gint64 at);
 /* how the configuration known here compares to what any instance has named;
 ** it outlives the router. Without one no instance names anything */
-void router_set_news(Router *router, const NewsState *news);
+void router_set_news_state(Router *router, const NewsState *news);
 /* add, change or (with 'gone') remove one endpoint */
 void router_set_endpoint(Router *router, const EndpointRecord *record,
                          gboolean gone, gint64 now);
@@ -228,7 +228,7 @@
 void router_set_instances(Router *router, unsigned count, unsigned near);
 
 /* planned stop: take no request any more, and refuse those that wait */
-void router_stop_taking(Router *router, gint64 now);
+void router_stop_accepting(Router *router, gint64 now);
 
 /* a whole request came; the host hears about it through RouterHost */
 void router_request(Router *router, const CallerRequest *request, gint64 now);
@@ -271,31 +271,32 @@
 guint64 router_urgent_set(const Router *router, gint64 now);
 /* the largest part of an account's burst that was spent here and near since
 ** the last summary */
-double router_limits_untold(const Router *router);
+double router_limits_unreported(const Router *router);
 /* what another data centre has open, as its relay told */
 void router_zone_load(Router *router, guint32 sequence,
                       const mp_LoadSummary *summary, gint64 now);
 
 /* another instance has reserved room */
-void router_peer_note(Router *router, mp_Addr peer, const mp_LoadNote *note);
+void router_peer_reservation(Router *router, mp_Addr peer,
+                             const mp_LoadNote *note);
 
 /*
 ** Requests under which endpoints ended (router/quarantine.h)
 */
 
 /* another instance tells of some; TRUE: something was new */
-gboolean router_hear_crashes(Router *router, const mp_CrashUpdate *news,
-                             gint64 now);
+gboolean router_receive_crashes(Router *router, const mp_CrashUpdate *news,
+                                gint64 now);
 /* what to tell the others: what this instance saw, or 'all' that it knows */
-void router_tell_crashes(const Router *router, gboolean all,
-                         mp_CrashUpdate *out, gint64 now);
+void router_report_crashes(const Router *router, gboolean all,
+                           mp_CrashUpdate *out, gint64 now);
 /* grows when there is something new to tell */
 guint64 router_crash_version(const Router *router);
 /* an object of the store says so, at this position; or it is gone from there
  */
-void router_take_quarantine(Router *router, const QuarantineRecord *record,
-                            StorePosition position, gint64 now);
-void router_lift_quarantine(Router *router, guint64 content, gint64 now);
+void router_apply_quarantine(Router *router, const QuarantineRecord *record,
+                             StorePosition position, gint64 now);
+void router_remove_quarantine(Router *router, guint64 content, gint64 now);
 /* what has to be written to the store; FALSE: nothing now */
 gboolean router_next_quarantine_save(Router *router, QuarantineSave *out,
                                      gint64 now);
@@ -310,17 +311,17 @@
 */
 
 /* another instance tells, or a relay for its data centre */
-void router_hear_rates(Router *router, mp_Addr peer, const mp_RateUpdate *news,
-                       gint64 now);
+void router_receive_rates(Router *router, mp_Addr peer,
+                          const mp_RateUpdate *news, gint64 now);
 /* what to tell: this instance's, or the 'sums' of those it hears too */
-void router_tell_rates(const Router *router, gboolean sums, mp_RateUpdate *out,
-                       gint64 now);
+void router_report_rates(const Router *router, gboolean sums,
+                         mp_RateUpdate *out, gint64 now);
 /* grows when there is something new to tell */
 guint64 router_rates_version(const Router *router);
 
 /* the store has named this era, here or to another instance; again and again
  */
-void router_hear_era(Router *router, guint64 era, gint64 now);
+void router_observe_era(Router *router, guint64 era, gint64 now);
 /* the store answered RouterHost.lease_call */
 void router_lease_reply(Router *router, const LeaseReply *reply, gint64 now);
 
@@ -341,7 +342,7 @@
 /* that share the traffic, this one included, as router_set_instances told */
 unsigned router_instances(const Router *router);
 /* requests can be taken: there is a configuration, not too old for its keys */
-gboolean router_configured(const Router *router, gint64 now);
+gboolean router_is_configured(const Router *router, gint64 now);
 guint64 router_counter(const Router *router, unsigned counter);
 const char *router_counter_name(unsigned counter); /* NULL past the last */
 
--- a/router/shared_totals.c
+++ b/router/shared_totals.c
@@ -42,7 +42,7 @@
   g_free(totals);
 }
 
-guint shared_totals_peers(const SharedTotals *totals) {
+guint shared_totals_peer_count(const SharedTotals *totals) {
   return g_hash_table_size(totals->peers);
 }
 
@@ -61,8 +61,8 @@
   }
 }
 
-PeerTotals *shared_totals_hear(SharedTotals *totals, guint64 address,
-                               gint64 now) {
+PeerTotals *shared_totals_receive(SharedTotals *totals, guint64 address,
+                                  gint64 now) {
   PeerTotals *peer = g_hash_table_lookup(totals->peers, &address);
   if (peer == NULL) {
     sweep(totals, now);
@@ -77,7 +77,7 @@
   return peer;
 }
 
-guint32 peer_totals_grown(PeerTotals *peer, guint32 limit, guint32 total) {
+guint32 peer_totals_increase(PeerTotals *peer, guint32 limit, guint32 total) {
   gpointer key = GUINT_TO_POINTER(limit);
   gpointer before;
   gboolean known =
--- a/router/shared_totals.h
+++ b/router/shared_totals.h
@@ -17,7 +17,8 @@
 /* who shares the limits, as this instance sees it now */
 typedef struct LimitSharers {
   unsigned instances; /* that there are; 0: not known yet */
-  unsigned heard;     /* of them, heard within ACCOUNT_SILENCE, and this one */
+  unsigned
+      heard; /* of them, heard within ACCOUNT_PEER_TIMEOUT, and this one */
 } LimitSharers;
 
 /* the part of a limit that is this side's, if instances are out of reach */
@@ -31,12 +32,13 @@
 void shared_totals_free(SharedTotals *totals);
 
 /* peers whose totals are kept */
-guint shared_totals_peers(const SharedTotals *totals);
+guint shared_totals_peer_count(const SharedTotals *totals);
 
 /* a message of this peer is there: its totals follow */
-PeerTotals *shared_totals_hear(SharedTotals *totals, guint64 peer, gint64 now);
+PeerTotals *shared_totals_receive(SharedTotals *totals, guint64 peer,
+                                  gint64 now);
 /* what came on top of its total before. A smaller one is of a new life, or has
 ** wrapped: then a little is left out, once in some hours */
-guint32 peer_totals_grown(PeerTotals *peer, guint32 limit, guint32 total);
+guint32 peer_totals_increase(PeerTotals *peer, guint32 limit, guint32 total);
 
 #endif
--- a/router/shortage.c
+++ b/router/shortage.c
@@ -18,24 +18,24 @@
 #define LOOK_AGAIN (50 * MP_MS)
 /* who is refused comes back after this at least, and each at another moment */
 #define COME_BACK_LEAST (100 * MP_MS)
-#define SPREAD_LEAST (400 * MP_MS)
+#define RETRY_SPREAD_MIN (400 * MP_MS)
 
 /* an endpoint that could run the request, but for what it said */
 static gboolean is_member(const Endpoint *endpoint, const Request *request) {
   return strcmp(endpoint->record.service, request->service->name) == 0 &&
          endpoint->record.stage == path_run_stage(request) &&
-         !endpoint_leaves(endpoint);
+         !endpoint_is_leaving(endpoint);
 }
 
 /* until the endpoint is likely to take a request; 0: it said nothing */
 static gint64 wait_at(Router *router, const Endpoint *endpoint,
                       const GateLimits *limits, gint64 now) {
-  gint64 wait = availability_rest_left(&endpoint->availability, now);
+  gint64 wait = availability_rest_remaining(&endpoint->availability, now);
   if (limits->rates == NULL ||
-      rate_limits_of(limits->rates, endpoint->hash) < 0)
+      rate_limits_rate(limits->rates, endpoint->hash) < 0)
     return wait;
-  return MAX(wait, rate_limits_wait(router->rates, endpoint->hash,
-                                    &limits->sharers, now));
+  return MAX(wait, rate_limits_retry_delay(router->rates, endpoint->hash,
+                                           &limits->sharers, now));
 }
 
 /* the endpoint that is likely to take a request first, of those that said
@@ -66,36 +66,37 @@
   GateLimits limits = rates_limits(router, request->service, now);
   const GPtrArray *all = router->endpoints->all;
   guint i;
-  if (limits.most_connections == 0)
+  if (limits.connections_max == 0)
     return FALSE;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
     if (is_member(endpoint, request) &&
-        gate_ask_limits(router->endpoints, endpoint, &limits, now) ==
+        gate_check_limits(router->endpoints, endpoint, &limits, now) ==
             GATE_CONNECTIONS)
       return TRUE;
   }
   return FALSE;
 }
 
-void shortage_note(Router *router, Request *request, gint64 now) {
+void shortage_record(Router *router, Request *request, gint64 now) {
   gint64 wait = 0;
   const Endpoint *first = first_to_take(router, request, &wait, now);
   double spread = g_rand_double(router->random);
-  request->is_short = first != NULL;
+  request->has_shortage = first != NULL;
   if (first == NULL) {
-    request->was_busy |= is_crowded(router, request, now);
+    request->was_rejected |= is_crowded(router, request, now);
     return;
   }
-  request->short_for = availability_rest_left(&first->availability, now) > 0
-                           ? REFUSAL_REST
-                           : REFUSAL_RATE;
+  request->shortage_reason =
+      availability_rest_remaining(&first->availability, now) > 0
+          ? REFUSAL_REST
+          : REFUSAL_RATE;
   request->come_back = MAX(wait, COME_BACK_LEAST) +
-                       (gint64)(spread * (double)MAX(wait, SPREAD_LEAST));
+                       (gint64)(spread * (double)MAX(wait, RETRY_SPREAD_MIN));
 }
 
-gboolean shortage_lasts(const Router *router, const Request *request,
-                        gint64 span, gint64 now) {
+gboolean shortage_outlasts(const Router *router, const Request *request,
+                           gint64 span, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   gboolean found = FALSE;
   gint64 left;
@@ -104,7 +105,7 @@
     const Endpoint *endpoint = all->pdata[i];
     if (!is_member(endpoint, request))
       continue;
-    left = availability_rest_left(&endpoint->availability, now);
+    left = availability_rest_remaining(&endpoint->availability, now);
     if (left == 0 || left <= span)
       return FALSE;
     found = TRUE;
@@ -112,12 +113,12 @@
   return found;
 }
 
-void shortage_plan_look(Router *router, gint64 now) {
+void shortage_schedule_recheck(Router *router, gint64 now) {
   gboolean needed =
       router->waiting->len > 0 && (rate_limits_count(router->rates) > 0 ||
                                    router_resting_endpoints(router, now) > 0);
   if (!needed)
-    router->shortage_look_at = 0;
-  else if (router->shortage_look_at <= now)
-    router->shortage_look_at = now + LOOK_AGAIN;
+    router->shortage_recheck_at = 0;
+  else if (router->shortage_recheck_at <= now)
+    router->shortage_recheck_at = now + LOOK_AGAIN;
 }
--- a/router/signals.c
+++ b/router/signals.c
@@ -18,13 +18,13 @@
   router_log(router, MP_LOG_EP_SAYS_LEAVING,
              " endpoint=%s said_by=%s listed=%s open=%u", endpoint->record.id,
              said_by, endpoint->record.ready ? "ready" : "draining",
-             endpoint_open(router->endpoints, endpoint));
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 /* TRUE: it was not known */
 static gboolean note_leaving(Router *router, Endpoint *endpoint,
                              const char *said_by, gint64 now) {
-  if (!availability_leave(&endpoint->availability, now))
+  if (!availability_set_leaving(&endpoint->availability, now))
     return FALSE;
   log_leaving(router, endpoint, said_by);
   return TRUE;
@@ -33,13 +33,13 @@
 static void note_rest(Router *router, Endpoint *endpoint, gint64 time,
                       gint64 now) {
   Availability *known = &endpoint->availability;
-  if (!availability_rest(known, time, now))
+  if (!availability_extend_rest(known, time, now))
     return;
   router_log(router, MP_LOG_EP_REST,
              " endpoint=%s asked_ms=%d rest_ms=%d open=%u",
-             endpoint->record.id, (int)(MIN(time, REST_MOST) / MP_MS),
-             (int)(availability_rest_left(known, now) / MP_MS),
-             endpoint_open(router->endpoints, endpoint));
+             endpoint->record.id, (int)(MIN(time, REST_DURATION_MAX) / MP_MS),
+             (int)(availability_rest_remaining(known, now) / MP_MS),
+             endpoint_open_count(router->endpoints, endpoint));
 }
 
 /* once for a life: an endpoint that sends one sends it with each answer */
@@ -74,7 +74,8 @@
 
 void router_endpoint_signals(Router *router, const char *id, guint32 life,
                              const EndpointSignals *signals, gint64 now) {
-  Endpoint *endpoint = endpoint_table_get_life(router->endpoints, id, life);
+  Endpoint *endpoint =
+      endpoint_table_get_incarnation(router->endpoints, id, life);
   if (endpoint == NULL)
     return; /* that life is over */
   if (signals->leaving == SIGNAL_GIVEN &&
@@ -87,7 +88,7 @@
     note_unreadable(router, endpoint, signals);
   if (signals->unknown != NULL)
     note_unknown(router, endpoint, signals->unknown);
-  rates_signalled(router, endpoint, signals, now);
+  rates_apply_signal(router, endpoint, signals, now);
 }
 
 /*
@@ -104,7 +105,7 @@
 ** its start can't be told from a later one */
 static gboolean is_news(const Endpoint *endpoint) {
   return endpoint->availability.leaving_since != 0 && endpoint->record.ready &&
-         endpoint->record.born_unix_ms != 0;
+         endpoint->record.started_unix_ms != 0;
 }
 
 static guint count_news(const Router *router) {
@@ -116,7 +117,8 @@
   return count;
 }
 
-void signals_write(const Router *router, mp_LoadDigest *out, gint64 now) {
+void signals_write_digest(const Router *router, mp_LoadDigest *out,
+                          gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint count = count_news(router);
   guint first = 0;
@@ -144,12 +146,13 @@
   return FALSE;
 }
 
-void signals_hear(Router *router, const mp_LoadDigest *digest, gint64 now) {
+void signals_read_digest(Router *router, const mp_LoadDigest *digest,
+                         gint64 now) {
   const GPtrArray *all = router->endpoints->all;
   guint i;
   for (i = 0; digest->leaving_count > 0 && i < all->len; i++) {
     Endpoint *endpoint = all->pdata[i];
-    if (endpoint->record.born_unix_ms != 0 && names(digest, endpoint->hash))
+    if (endpoint->record.started_unix_ms != 0 && names(digest, endpoint->hash))
       note_leaving(router, endpoint, "instance", now);
   }
 }
@@ -172,7 +175,7 @@
   guint i;
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
-    count += availability_rest_left(&endpoint->availability, now) > 0;
+    count += availability_rest_remaining(&endpoint->availability, now) > 0;
   }
   return count;
 }
--- a/router/silence.c
+++ b/router/silence.c
@@ -21,26 +21,26 @@
 /* no plain endpoint is in doubt before this */
 #define PLAIN_SUSPECT_LEAST (100 * MP_MS)
 
-gint64 silence_head(const Request *request) {
+gint64 silence_head_timeout(const Request *request) {
   double wait = HEAD_SILENCE_OBJECTIVES * (double)request->route->objective;
   return MAX((gint64)wait, SILENCE_LEAST);
 }
 
-gint64 silence_piece(const Request *request) {
+gint64 silence_piece_timeout(const Request *request) {
   return MAX(PIECE_SILENCE_GAPS * request->route->gap, SILENCE_LEAST);
 }
 
-gint64 silence_limit(const Request *request, gint64 now) {
+gint64 silence_deadline(const Request *request, gint64 now) {
   gint64 wait;
   if (!request->repeatable || request->runs + 1 >= request->route->attempts)
     return 0;
   if (request->route->kind == ROUTE_STREAM)
-    return now + silence_head(request);
+    return now + silence_head_timeout(request);
   wait = (gint64)(SAFE_SILENCE_OBJECTIVES * (double)request->route->objective);
   return now + MAX(wait, 100 * MP_MS);
 }
 
-gint64 silence_suspect(const Request *request) {
+gint64 silence_suspect_after(const Request *request) {
   gint64 objectives = PLAIN_SUSPECT_OBJECTIVES * request->route->objective;
   return request->service->is_engine ? SUSPECT_SILENCE
                                      : MAX(objectives, PLAIN_SUSPECT_LEAST);
--- a/router/stage_plan.c
+++ b/router/stage_plan.c
@@ -27,7 +27,7 @@
 
 /* fewest prefill engines of 'all' that keep pace with the rest, full */
 static guint balanced_prefill(const StageUse *use, guint all) {
-  double asked = DECODE_FILL * use->prefill_busy / use->decode_full;
+  double asked = DECODE_FILL * use->prefill_busy / use->decode_used;
   guint prefill = MAX(use->zones, 1);
   while (prefill + 1 < all) {
     double load = asked * (all - prefill);
@@ -40,12 +40,12 @@
 
 static gboolean decode_is_short(const StageUse *use) {
   return use->waiting ||
-         use->decode_full > DECODE_PRESSURE * (double)use->decode;
+         use->decode_used > DECODE_PRESSURE * (double)use->decode;
 }
 
 /* decode engines have room that the prompts that queue could use */
 static gboolean decode_has_room(const StageUse *use) {
-  return use->decode_full < DECODE_ROOM * (double)use->decode;
+  return use->decode_used < DECODE_ROOM * (double)use->decode;
 }
 
 static gboolean prefill_is_short(const StageUse *use) {
@@ -55,7 +55,7 @@
 int stage_plan(const StageUse *use) {
   guint all = use->prefill + use->decode;
   int surplus;
-  if (use->prefill == 0 || use->decode == 0 || use->decode_full < LEAST_USE)
+  if (use->prefill == 0 || use->decode == 0 || use->decode_used < LEAST_USE)
     return 0;
   surplus = (int)use->prefill - (int)balanced_prefill(use, all);
   if (surplus >= (int)MAX(all / LEAST_SHARE, 1) && !prefill_is_short(use) &&
--- a/router/stage_plan.h
+++ b/router/stage_plan.h
@@ -20,7 +20,7 @@
   guint zones;         /* data centres that have engines */
   double prefill_busy; /* engines reading a prompt, on average */
   double prompts;      /* at prefill engines, waiting ones too, on average */
-  double decode_full;  /* memory of runs, in whole engines, on average */
+  double decode_used;  /* memory of runs, in whole engines, on average */
   gboolean waiting;    /* requests wait for room */
 } StageUse;
 
--- a/router/stages.c
+++ b/router/stages.c
@@ -31,7 +31,7 @@
 /* the others hear of a change before it is ordered */
 #define ANNOUNCE (200 * MP_MS)
 /* most engines that change at a time: a digest names no more of them */
-#define MOST_MOVES MP_LOAD_DIGEST_CHANGING
+#define CHANGES_MAX MP_LOAD_DIGEST_CHANGING
 /* rest after a round of orders, until its effect shows */
 #define ROUND_REST (2 * MP_SEC)
 /* streams must have run so long before their use says anything: it lags
@@ -62,7 +62,7 @@
 
 /* averages of one service's use */
 typedef struct UseAverage {
-  double prefill_busy, prompts, decode_full;
+  double prefill_busy, prompts, decode_used;
   double prefill_peak; /* of prefill_busy, lately */
   gint64 looked_at;
   gint64 used_from;   /* the service has been in use since then */
@@ -125,13 +125,14 @@
 static EndpointStage coming_stage(const Stages *stages,
                                   const Endpoint *endpoint, gint64 now) {
   EndpointStage stage = endpoint->record.stage;
-  if (!endpoint_changing(stages->router->endpoints, endpoint, now))
+  if (!endpoint_is_changing_stage(stages->router->endpoints, endpoint, now))
     return stage;
   return stage == STAGE_PREFILL ? STAGE_DECODE : STAGE_PREFILL;
 }
 
 static gboolean is_counted(const Endpoint *endpoint, const Service *service) {
-  return !endpoint_leaves(endpoint) && endpoint->record.stage != STAGE_NONE &&
+  return !endpoint_is_leaving(endpoint) &&
+         endpoint->record.stage != STAGE_NONE &&
          strcmp(endpoint->record.service, service->name) == 0;
 }
 
@@ -140,7 +141,7 @@
                      gint64 now) {
   const EndpointTable *table = stages->router->endpoints;
   GHashTable *zones = g_hash_table_new(g_str_hash, g_str_equal);
-  double run_share = estimate_usual_memory(stages->router, service) /
+  double run_share = estimate_mean_memory(stages->router, service) /
                      MAX(service->kv_tokens, 1);
   StageUse use = {0};
   guint i;
@@ -154,14 +155,14 @@
     else
       use.decode++;
     if (endpoint->record.stage == STAGE_PREFILL) {
-      use.prefill_busy += endpoint_open(table, endpoint) > 0;
-      use.prompts += endpoint_open(table, endpoint);
+      use.prefill_busy += endpoint_open_count(table, endpoint) > 0;
+      use.prompts += endpoint_open_count(table, endpoint);
     } else
-      use.decode_full += endpoint_open(table, endpoint) * run_share;
+      use.decode_used += endpoint_open_count(table, endpoint) * run_share;
   }
   use.zones = g_hash_table_size(zones);
-  use.waiting =
-      stages->router->waiting->len > 0 || peer_loads_waiting(table->peers) > 0;
+  use.waiting = stages->router->waiting->len > 0 ||
+                peer_loads_waiting_requests(table->peers) > 0;
   g_hash_table_destroy(zones);
   return use;
 }
@@ -185,13 +186,13 @@
   average->prefill_busy +=
       weight * (use->prefill_busy - average->prefill_busy);
   average->prompts += weight * (use->prompts - average->prompts);
-  average->decode_full += weight * (use->decode_full - average->decode_full);
+  average->decode_used += weight * (use->decode_used - average->decode_used);
   average->prefill_peak = MAX(average->prefill_busy,
                               average->prefill_peak * exp(-age / PEAK_DECAY));
   average->looked_at = now;
   use->prefill_busy = average->prefill_peak;
   use->prompts = average->prompts;
-  use->decode_full = average->decode_full;
+  use->decode_used = average->decode_used;
 }
 
 /* }================================================================== */
@@ -240,9 +241,9 @@
     guint64 tokens = endpoint_tokens(table, endpoint);
     guint count;
     if (!is_counted(endpoint, service) || endpoint->record.stage != from ||
-        endpoint_changing(table, endpoint, now) ||
-        endpoint->avoid_until > now || endpoint->order_after > now ||
-        gate_ask(endpoint, DISPATCH_REPORT, now) != GATE_OPEN ||
+        endpoint_is_changing_stage(table, endpoint, now) ||
+        endpoint->avoid_until > now || endpoint->no_order_before > now ||
+        gate_check(endpoint, DISPATCH_REPORT, now) != GATE_OPEN ||
         is_moving(stages, endpoint->record.id))
       continue;
     count = count_in_zone(stages, service, from, endpoint->record.zone, now);
@@ -275,9 +276,9 @@
                         gint64 now) {
   EndpointStage from = wanted > 0 ? STAGE_PREFILL : STAGE_DECODE;
   EndpointStage to = wanted > 0 ? STAGE_DECODE : STAGE_PREFILL;
-  guint32 hashes[MOST_MOVES];
-  guint changing = stages_changing(stages, hashes, MOST_MOVES, now);
-  guint count = MIN((guint)ABS(wanted), MOST_MOVES - changing);
+  guint32 hashes[CHANGES_MAX];
+  guint changing = stages_list_changing(stages, hashes, CHANGES_MAX, now);
+  guint count = MIN((guint)ABS(wanted), CHANGES_MAX - changing);
   guint named = 0;
   Endpoint *endpoint;
   while (named < count &&
@@ -294,7 +295,7 @@
 
 static void take_lease(Stages *stages, gint64 now) {
   StoreCall call;
-  if (lease_step(&stages->lease, &call, &stages->record, now))
+  if (lease_begin_call(&stages->lease, &call, &stages->record, now))
     stages->router->host.lease_call(stages->router->host.data, &call);
 }
 
@@ -306,7 +307,7 @@
 
 /* since when there are runs at all */
 static void settle(UseAverage *average, const StageUse *use, gint64 now) {
-  if (use->decode_full < LEAST_USE)
+  if (use->decode_used < LEAST_USE)
     average->used_from = now;
 }
 
@@ -327,7 +328,7 @@
     average->needed_from = now;
   if (now - average->needed_from < patience(wanted, before))
     return;
-  if (lease_held(&stages->lease, ROUND_MARGIN, now))
+  if (lease_is_held(&stages->lease, ROUND_MARGIN, now))
     begin_round(stages, service, wanted, now);
   else
     take_lease(stages, now);
@@ -335,8 +336,8 @@
 
 static void look_at_all(Stages *stages, gint64 now) {
   const RouteTable *routes = stages->router->routes;
-  guint before =
-      peer_loads_before(stages->router->endpoints->peers, stages->self, now);
+  guint before = peer_loads_count_lower_addresses(
+      stages->router->endpoints->peers, stages->self, now);
   guint i;
   if (routes == NULL || before >= CANDIDATES || stages->router->stopping)
     return;
@@ -365,7 +366,7 @@
   Endpoint *endpoint = endpoint_of(stages, move);
   if (endpoint != NULL) {
     endpoint->changing_until = 0;
-    endpoint->order_after = now + REFUSED_REST;
+    endpoint->no_order_before = now + REFUSED_REST;
   }
   stages->router->load_version++;
   g_ptr_array_remove(stages->moves, move);
@@ -373,7 +374,7 @@
 
 static gboolean may_send(const Endpoint *endpoint, DispatchKind kind,
                          gint64 now) {
-  return endpoint != NULL && gate_ask(endpoint, kind, now) == GATE_OPEN;
+  return endpoint != NULL && gate_check(endpoint, kind, now) == GATE_OPEN;
 }
 
 static void send(Stages *stages, Move *move, Endpoint *endpoint,
@@ -411,7 +412,7 @@
                       0};
   if (!may_send(endpoint, DISPATCH_ORDER, now) || report == NULL ||
       report->busy || report->stage == move->to ||
-      !lease_held(&stages->lease, ORDER_MARGIN, now)) {
+      !lease_is_held(&stages->lease, ORDER_MARGIN, now)) {
     log_order(stages, move, MP_LOG_ORDER_FAIL, "not_sent", 0);
     give_up(stages, move, now);
     return;
@@ -425,7 +426,7 @@
 
 /* a newer holder is at work: what is not sent yet is never sent */
 static void stop_all(Stages *stages, gint64 now) {
-  lease_lose(&stages->lease, now);
+  lease_give_up(&stages->lease, now);
   while (stages->moves->len > 0)
     give_up(stages, stages->moves->pdata[0], now);
 }
@@ -445,7 +446,8 @@
     give_up(stages, move, now);
 }
 
-gboolean stages_outcome(Stages *stages, const Outcome *outcome, gint64 now) {
+gboolean stages_handle_outcome(Stages *stages, const Outcome *outcome,
+                               gint64 now) {
   guint i;
   for (i = 0; i < stages->moves->len; i++) {
     Move *move = stages->moves->pdata[i];
@@ -463,7 +465,7 @@
 
 /* }================================================================== */
 
-void stages_restarted(Stages *stages, const char *endpoint) {
+void stages_drop_changes(Stages *stages, const char *endpoint) {
   guint i = 0;
   while (i < stages->moves->len) {
     const Move *move = stages->moves->pdata[i];
@@ -474,13 +476,13 @@
   }
 }
 
-void stages_hear_era(Stages *stages, guint64 era, gint64 now) {
-  lease_hear_era(&stages->lease, era, now);
+void stages_observe_era(Stages *stages, guint64 era, gint64 now) {
+  lease_observe_era(&stages->lease, era, now);
 }
 
 void stages_lease_reply(Stages *stages, const LeaseReply *reply, gint64 now) {
-  lease_reply(&stages->lease, reply, now);
-  if (lease_held(&stages->lease, 0, now))
+  lease_handle_reply(&stages->lease, reply, now);
+  if (lease_is_held(&stages->lease, 0, now))
     router_log(stages->router, MP_LOG_LEASE_HELD, " fence=%" G_GINT64_FORMAT,
                lease_fence(&stages->lease));
   stages->next_look = now;
@@ -518,8 +520,8 @@
   return next;
 }
 
-guint stages_changing(const Stages *stages, guint32 *hashes, guint most,
-                      gint64 now) {
+guint stages_list_changing(const Stages *stages, guint32 *hashes, guint most,
+                           gint64 now) {
   const GPtrArray *all = stages->router->endpoints->all;
   guint count = 0;
   guint i;
--- a/router/stages.h
+++ b/router/stages.h
@@ -30,14 +30,15 @@
 void stages_tick(Stages *stages, gint64 now);
 gint64 stages_next_tick(const Stages *stages);
 /* FALSE when the dispatch is none of these */
-gboolean stages_outcome(Stages *stages, const Outcome *outcome, gint64 now);
+gboolean stages_handle_outcome(Stages *stages, const Outcome *outcome,
+                               gint64 now);
 /* the engine has started again: what was ordered of it is void */
-void stages_restarted(Stages *stages, const char *endpoint);
+void stages_drop_changes(Stages *stages, const char *endpoint);
 /* the store has named this era, here or to another instance */
-void stages_hear_era(Stages *stages, guint64 era, gint64 now);
+void stages_observe_era(Stages *stages, guint64 era, gint64 now);
 void stages_lease_reply(Stages *stages, const LeaseReply *reply, gint64 now);
 /* the engines that were ordered to change, by hash; at most 'most' */
-guint stages_changing(const Stages *stages, guint32 *hashes, guint most,
-                      gint64 now);
+guint stages_list_changing(const Stages *stages, guint32 *hashes, guint most,
+                           gint64 now);
 
 #endif
--- a/router/state.h
+++ b/router/state.h
@@ -97,31 +97,32 @@
   unsigned prefills; /* prefills that were read to the end */
   unsigned prefills_sent;
   unsigned unreachable;
-  gboolean was_busy;     /* some endpoint turned it away */
-  gboolean is_short;     /* endpoints take no more, by what they said */
-  RefusalKind short_for; /* is_short: what they said */
-  gint64 turn_at;    /* waiting: start then, if there is still room; 0: none */
+  gboolean was_rejected;       /* some endpoint turned it away */
+  gboolean has_shortage;       /* endpoints take no more, by what they said */
+  RefusalKind shortage_reason; /* has_shortage: what they said */
+  gint64 start_at;   /* waiting: start then, if there is still room; 0: none */
   gboolean returned; /* it was refused before, and came back */
-  gint64 first_try;  /* when its caller tried first, as far as that is known */
-  gboolean resumes;  /* its caller lost it half-way: it is late already */
-  gint64 come_back;  /* when refused: come back after this; 0: as usual */
-  gboolean head_sent;      /* the answer has begun */
-  char *last_event;        /* passed on to the caller */
-  guint32 made;            /* tokens made, as the events tell */
-  gint64 last_piece;       /* when the last piece came; 0: none yet */
-  gint64 longest_pause;    /* between two pieces, so far */
-  char *decode;            /* id of the engine that shall decode */
-  guint32 decode_life;     /* of it: Endpoint.hash */
-  guint64 decode_tokens;   /* reserved there until it is dispatched */
-  gboolean decode_counted; /* its place in the rate that this one names */
-  char *handle;            /* of the prompt that was read, not yet used */
+  gint64 first_attempt_at; /* when its caller tried first, as far as that is
+                              known */
+  gboolean resumes;     /* its caller lost it half-way: it is late already */
+  gint64 come_back;     /* when refused: come back after this; 0: as usual */
+  gboolean head_sent;   /* the answer has begun */
+  char *last_event;     /* passed on to the caller */
+  guint32 made;         /* tokens made, as the events tell */
+  gint64 last_piece;    /* when the last piece came; 0: none yet */
+  gint64 longest_pause; /* between two pieces, so far */
+  char *decode;         /* id of the engine that shall decode */
+  guint32 decode_incarnation; /* of it: Endpoint.hash */
+  guint64 decode_tokens;      /* reserved there until it is dispatched */
+  gboolean is_decode_counted; /* its place in the rate that this one names */
+  char *handle;               /* of the prompt that was read, not yet used */
   mp_Addr handle_address;
   char *handle_endpoint;
   gint64 handle_until;
   char *read_by;     /* the engine that read the prompt, or NULL */
   gint64 suspect_at; /* no word of the run by then: doubt the endpoint */
   gint64 stall_at;   /* give the open dispatch up then; 0: never */
-  char *excluded[MAX_EXCLUDED];
+  char *excluded[EXCLUDED_ENDPOINTS_MAX];
   guint excluded_count;
 } Request;
 
@@ -141,7 +142,7 @@
   guint64 era;        /* of the store, the latest heard of; 0: none */
   EndpointTable *endpoints;
   GHashTable *services; /* name -> ServiceState */
-  PatienceTable *patiences;
+  PatienceTable *patience_table;
   GHashTable *requests;   /* number -> Request */
   GHashTable *dispatched; /* dispatch number -> Request */
   guint64 last_dispatch;
@@ -152,41 +153,41 @@
   AccountLimits *limits;
   RateLimits *rates; /* that endpoints name */
   RateView rates_view;
-  gint64 shortage_look_at; /* who waits looks again then; 0: no need */
-  CrashWatch *crashes;     /* endpoints that may have ended under requests */
-  Quarantine *quarantine;  /* requests that end endpoints */
-  Suspicions *suspicions;  /* ends that are not proved yet */
-  gint64 revoke_bound;     /* as in RouterOptions */
-  gint64 proved_at;        /* router_configuration_proved */
-  gint64 heard_at;         /* router_news_heard; 0: never */
-  gint64 news_bound;       /* as in RouterOptions */
-  const NewsState *news;   /* of the configuration; NULL: nobody names any */
-  gboolean stopping;       /* no request is taken any more */
-  Stages *stages;          /* orders to engines */
-  GPtrArray *waiting;      /* Request in PHASE_WAIT, first one first */
-  gint64 last_end;         /* when the last run at an engine ended */
-  double end_interval;     /* mean time between such ends, here */
-  guint64 plain_version;   /* the same, at plain endpoints */
-  guint64 load_version;    /* grows when what is open here changes */
+  gint64 shortage_recheck_at; /* who waits looks again then; 0: no need */
+  CrashWatch *crashes;      /* endpoints that may have ended under requests */
+  Quarantine *quarantine;   /* requests that end endpoints */
+  Suspicions *suspicions;   /* ends that are not proved yet */
+  gint64 proof_age_max;     /* as in RouterOptions */
+  gint64 proved_at;         /* router_configuration_proved */
+  gint64 heard_at;          /* router_store_answered; 0: never */
+  gint64 news_age_max;      /* as in RouterOptions */
+  const NewsState *news;    /* of the configuration; NULL: nobody names any */
+  gboolean stopping;        /* no request is taken any more */
+  Stages *stages;           /* orders to engines */
+  GPtrArray *waiting;       /* Request in PHASE_WAIT, first one first */
+  gint64 last_run_end;      /* when the last run at an engine ended */
+  double mean_end_interval; /* mean time between such ends, here */
+  guint64 plain_version;    /* the same, at plain endpoints */
+  guint64 load_version;     /* grows when what is open here changes */
   guint64 counters[ROUTER_COUNTER_COUNT];
   Histogram durations[DURATION_COUNT];
 };
 
 /* may a newer configuration say more of a path or a key than the one here? */
-gboolean router_lacks_news(const Router *router, gint64 now);
+gboolean router_may_be_outdated(const Router *router, gint64 now);
 
 #define router_count(router, name) ((router)->counters[ROUTER_COUNT_##name]++)
 
 /* count the time since the request came */
-void router_time(Router *router, const Request *request, RouterDuration which,
-                 gint64 now);
+void router_record_duration(Router *router, const Request *request,
+                            RouterDuration which, gint64 now);
 
 void router_log(Router *router, mp_EventNo number, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
-ServiceState *router_service(Router *router, const char *service);
+ServiceState *router_service_state(Router *router, const char *service);
 /* the service's budget of extra arrivals */
-RetryBudget *router_budget(Router *router, const char *service);
+RetryBudget *router_retry_budget(Router *router, const char *service);
 
 /*
 ** {==================================================================
@@ -208,9 +209,11 @@
 */
 
 /* endpoints that other instances have to hear of, for a digest */
-void signals_write(const Router *router, mp_LoadDigest *out, gint64 now);
+void signals_write_digest(const Router *router, mp_LoadDigest *out,
+                          gint64 now);
 /* another instance, or a relay, knows that these leave */
-void signals_hear(Router *router, const mp_LoadDigest *digest, gint64 now);
+void signals_read_digest(Router *router, const mp_LoadDigest *digest,
+                         gint64 now);
 
 /* }================================================================== */
 
@@ -223,15 +226,15 @@
 /* the stage of the endpoints that run such a request */
 EndpointStage path_run_stage(const Request *request);
 /* begin; may end */
-void path_begin(Router *router, Request *request, gint64 now);
+void path_start(Router *router, Request *request, gint64 now);
 /* a decode engine has room: prefill for it, or run there; may end */
-void path_place(Router *router, Request *request, Endpoint *decode,
-                gint64 now);
+void path_start_on_engine(Router *router, Request *request, Endpoint *decode,
+                          gint64 now);
 /* send the request itself; may end */
 void path_run(Router *router, Request *request, gint64 now);
 /* may anything be sent for it now? Else '*why' says why not */
-gboolean path_may_send(Router *router, Request *request, RefusalKind *why,
-                       gint64 now);
+gboolean path_may_dispatch(Router *router, Request *request, RefusalKind *why,
+                           gint64 now);
 /* the endpoint of the open dispatch; NULL when that life is over */
 Endpoint *path_open_endpoint(const Router *router, const Request *request);
 /* the open dispatch is over: forget it; 'cancel' closes its connection */
@@ -240,8 +243,8 @@
 gboolean path_send(Router *router, Request *request, DispatchKind kind,
                    Endpoint *endpoint, guint64 tokens, gint64 now);
 /* a wish with what every wish of this request says */
-EndpointWish path_wish(Router *router, const Request *request,
-                       EndpointStage stage, gint64 now);
+EndpointQuery path_query(Router *router, const Request *request,
+                         EndpointStage stage, gint64 now);
 void path_exclude(Request *request, const char *endpoint);
 gboolean path_is_excluded(const Request *request, const char *endpoint);
 /* }================================================================== */
@@ -253,15 +256,15 @@
 */
 
 /* send it again after a dispatch that failed; may end */
-void outcomes_try_again(Router *router, Request *request,
-                        gboolean may_have_run, gint64 now);
+void outcomes_retry(Router *router, Request *request, gboolean may_have_run,
+                    gint64 now);
 /* a run that may be resumed elsewhere is silent; may end */
-void outcomes_stalled(Router *router, Request *request, gint64 now);
+void outcomes_handle_stall(Router *router, Request *request, gint64 now);
 /* the endpoint of the run is silent for long: others should know */
-void outcomes_suspect(Router *router, Request *request, gint64 now);
+void outcomes_mark_suspect(Router *router, Request *request, gint64 now);
 /* an outcome of the open RUN dispatch; may end */
-void outcomes_take(Router *router, Request *request, const Outcome *outcome,
-                   gint64 now);
+void outcomes_handle(Router *router, Request *request, const Outcome *outcome,
+                     gint64 now);
 
 /* }================================================================== */
 
@@ -274,11 +277,11 @@
 /* tokens of memory that a run takes, with room to grow */
 guint64 estimate_memory(Router *router, const Request *request);
 /* tokens of memory that a run of the service takes, on average over it */
-double estimate_usual_memory(Router *router, const Service *service);
+double estimate_mean_memory(Router *router, const Service *service);
 /* a stream has ended: how long it was */
-void estimate_learn_output(Router *router, const Request *request);
+void estimate_observe_output(Router *router, const Request *request);
 /* a request came: how long its prompt is */
-void estimate_learn_prompt(Router *router, const Request *request);
+void estimate_observe_prompt(Router *router, const Request *request);
 
 /* }================================================================== */
 
@@ -293,16 +296,16 @@
 void prefill_reserve(Router *router, Request *request, Endpoint *decode);
 /* read a prompt anew that was read before, where it may be kept still; FALSE
 ** when that is not possible: nothing is sent then */
-gboolean prefill_again(Router *router, Request *request, gint64 now);
+gboolean prefill_repeat(Router *router, Request *request, gint64 now);
 /* an outcome of the open PREFILL dispatch; may end */
-void prefill_outcome(Router *router, Request *request, const Outcome *outcome,
-                     gint64 now);
+void prefill_handle_outcome(Router *router, Request *request,
+                            const Outcome *outcome, gint64 now);
 /* it takes too long; may end */
-void prefill_stalled(Router *router, Request *request, gint64 now);
+void prefill_handle_stall(Router *router, Request *request, gint64 now);
 /* free the handle, if it was not used */
 void prefill_drop_handle(Router *router, Request *request, gint64 now);
 /* the decode engine's memory is no longer reserved */
-void prefill_unreserve(Router *router, Request *request);
+void prefill_release_reservation(Router *router, Request *request);
 
 /* }================================================================== */
 
@@ -313,8 +316,8 @@
 */
 
 /* an answer of the endpoint says this of its rate */
-void rates_signalled(Router *router, const Endpoint *endpoint,
-                     const EndpointSignals *signals, gint64 now);
+void rates_apply_signal(Router *router, const Endpoint *endpoint,
+                        const EndpointSignals *signals, gint64 now);
 /* 'service' is NULL where nothing is sent */
 RateSharers rates_sharers(Router *router, const Service *service, gint64 now);
 /* for the gate: what all instances may send to endpoints of the service */
@@ -332,13 +335,13 @@
 
 /* no endpoint took the request: if that is for what they said of rests and
 ** rates, note why, and when its caller may come back */
-void shortage_note(Router *router, Request *request, gint64 now);
+void shortage_record(Router *router, Request *request, gint64 now);
 /* do all endpoints that could run it rest for longer than this? */
-gboolean shortage_lasts(const Router *router, const Request *request,
-                        gint64 span, gint64 now);
+gboolean shortage_outlasts(const Router *router, const Request *request,
+                           gint64 span, gint64 now);
 /* who waits for an engine looks again soon, where engines rest or name rates
  */
-void shortage_plan_look(Router *router, gint64 now);
+void shortage_schedule_recheck(Router *router, gint64 now);
 
 /* }================================================================== */
 
@@ -351,21 +354,21 @@
 /* start the request, or let it wait, or refuse it; may end */
 void admission_enter(Router *router, Request *request, gint64 now);
 /* its prompt is read but no engine has room: wait while the handle lives */
-void admission_return(Router *router, Request *request, gint64 now);
+void admission_requeue(Router *router, Request *request, gint64 now);
 /* it waits no more */
 void admission_leave(Router *router, Request *request);
 /* its time to be looked at has come; may end */
-void admission_look(Router *router, Request *request, gint64 now);
+void admission_review(Router *router, Request *request, gint64 now);
 /* its turn has come: start it if there is still room; may end */
-void admission_turn(Router *router, Request *request, gint64 now);
+void admission_take_turn(Router *router, Request *request, gint64 now);
 /* how long the first waiting request has waited, 0 when there is none */
-gint64 admission_oldest(const Router *router, gint64 now);
+gint64 admission_oldest_wait(const Router *router, gint64 now);
 /* how many wait here that can still be answered in time */
-guint admission_in_time(const Router *router, gint64 now);
+guint admission_count_in_time(const Router *router, gint64 now);
 /* there may be room: start what fits */
-void admission_run(Router *router, gint64 now);
+void admission_start_waiting(Router *router, gint64 now);
 /* a run at an engine ended */
-void admission_ended(Router *router, gint64 now);
+void admission_note_run_end(Router *router, gint64 now);
 
 /* }================================================================== */
 
@@ -381,13 +384,13 @@
                         const Route *route, const Account **account,
                         Refusal *refusal, gint64 now);
 /* note the account in a new request */
-void accounts_set(Request *request, const CallerRequest *call,
-                  const Account *account);
+void accounts_attach(Request *request, const CallerRequest *call,
+                     const Account *account);
 /* may anything be sent for it now? Else '*why' says why not */
 gboolean accounts_may_dispatch(Router *router, const Request *request,
                                RefusalKind *why, gint64 now);
 /* it reached no endpoint: its cost goes back to the limit */
-void accounts_return(Router *router, const Request *request);
+void accounts_refund(Router *router, const Request *request);
 /* who shares the limits */
 LimitSharers accounts_sharers(const Router *router, gint64 now);
 /* since the configuration was certainly the newest; -1: not known */
@@ -402,7 +405,7 @@
 */
 
 /* a watch whose checks are dispatches, and that strikes suspects */
-CrashWatch *lives_watch_new(Router *router);
+CrashWatch *lives_new_crash_watch(Router *router);
 
 /* }================================================================== */
 
@@ -413,20 +416,20 @@
 */
 
 /* FALSE: it is held; '*why' says so, and when to come back is noted in it */
-gboolean suspects_may_send(Router *router, Request *request, RefusalKind *why,
-                           gint64 now);
+gboolean suspects_may_dispatch(Router *router, Request *request,
+                               RefusalKind *why, gint64 now);
 /* it broke off there: if the endpoint has ended, that may be its doing */
-void suspects_broken(Router *router, const Request *request,
-                     const Endpoint *endpoint, gint64 now);
+void suspects_note_broken(Router *router, const Request *request,
+                          const Endpoint *endpoint, gint64 now);
 /* an endpoint's life ended under it */
-void suspects_strike(Router *router, const QuarantineSuspect *suspect,
-                     guint32 life, gint64 now);
+void suspects_add_strike(Router *router, const QuarantineSuspect *suspect,
+                         guint32 life, gint64 now);
 /* the endpoint of the open dispatch has answered something: it lives */
-void suspects_answered(Router *router, const Request *request, gint64 now);
+void suspects_note_answer(Router *router, const Request *request, gint64 now);
 /* a run of it ended well */
-void suspects_succeeded(Router *router, const Request *request);
+void suspects_note_success(Router *router, const Request *request);
 /* refuse the waiting requests that are held now; they end */
-void suspects_sweep(Router *router, gint64 now);
+void suspects_refuse_held(Router *router, gint64 now);
 
 /* }================================================================== */
 
@@ -438,7 +441,7 @@
 
 /* what a refusal is called in logs, and when to come back after it */
 const char *finish_refusal_name(RefusalKind kind);
-gint64 finish_retry_after(RefusalKind kind);
+gint64 finish_default_retry_ms(RefusalKind kind);
 
 void finish_answered(Router *router, Request *request, const Outcome *outcome);
 void finish_refuse(Router *router, Request *request, RefusalKind kind);
--- a/router/store_position.c
+++ b/router/store_position.c
@@ -25,9 +25,9 @@
   return store_position_is_before(one, other) ? other : one;
 }
 
-const char *store_position_text(StorePosition position,
-                                char out[STORE_POSITION_TEXT]) {
-  g_snprintf(out, STORE_POSITION_TEXT,
+const char *store_position_format(StorePosition position,
+                                  char out[STORE_POSITION_TEXT_SIZE]) {
+  g_snprintf(out, STORE_POSITION_TEXT_SIZE,
              "%" G_GUINT64_FORMAT ".%" G_GINT64_FORMAT, position.era,
              position.revision);
   return out;
--- a/router/store_position.h
+++ b/router/store_position.h
@@ -19,7 +19,7 @@
 typedef mp_StorePosition StorePosition;
 
 /* size of a position's text */
-#define STORE_POSITION_TEXT 48
+#define STORE_POSITION_TEXT_SIZE 48
 
 static inline StorePosition store_position(guint64 era, gint64 revision) {
   StorePosition position;
@@ -39,7 +39,7 @@
 gboolean store_position_is_before(StorePosition one, StorePosition other);
 StorePosition store_position_later(StorePosition one, StorePosition other);
 /* ERA.REVISION; returns 'out' */
-const char *store_position_text(StorePosition position,
-                                char out[STORE_POSITION_TEXT]);
+const char *store_position_format(StorePosition position,
+                                  char out[STORE_POSITION_TEXT_SIZE]);
 
 #endif
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -29,12 +29,12 @@
   guint strikes;
   if (suspected == 0)
     return 0;
-  strikes = quarantine_strikes(router->quarantine, content);
-  return strikes + suspected >= QUARANTINE_STRIKES ? until : 0;
+  strikes = quarantine_strike_count(router->quarantine, content);
+  return strikes + suspected >= QUARANTINE_HOLD_STRIKES ? until : 0;
 }
 
-gboolean suspects_may_send(Router *router, Request *request, RefusalKind *why,
-                           gint64 now) {
+gboolean suspects_may_dispatch(Router *router, Request *request,
+                               RefusalKind *why, gint64 now) {
   gint64 until =
       quarantine_held_until(router->quarantine, request->content, now);
   *why = REFUSAL_HELD;
@@ -55,7 +55,7 @@
 }
 
 /* a request that waits and is held; NULL: there is none */
-static Request *held_waiting(const Router *router, gint64 now) {
+static Request *find_held_waiting(const Router *router, gint64 now) {
   guint i;
   for (i = 0; i < router->waiting->len; i++) {
     Request *request = router->waiting->pdata[i];
@@ -65,11 +65,11 @@
   return NULL;
 }
 
-void suspects_sweep(Router *router, gint64 now) {
+void suspects_refuse_held(Router *router, gint64 now) {
   Request *request;
   RefusalKind why = REFUSAL_HELD;
-  while ((request = held_waiting(router, now)) != NULL) {
-    suspects_may_send(router, request, &why, now);
+  while ((request = find_held_waiting(router, now)) != NULL) {
+    suspects_may_dispatch(router, request, &why, now);
     finish_forbidden(router, request, why, now);
   }
 }
@@ -78,7 +78,7 @@
 static void log_held(Router *router, guint64 content, const char *from,
                      gint64 now) {
   gint64 until = quarantine_held_until(router->quarantine, content, now);
-  guint strikes = quarantine_strikes(router->quarantine, content);
+  guint strikes = quarantine_strike_count(router->quarantine, content);
   gint64 seconds = until == G_MAXINT64 ? -1 : (until - now) / MP_SEC;
   if (until == 0)
     return;
@@ -88,29 +88,29 @@
              content, strikes, from, seconds);
 }
 
-void suspects_broken(Router *router, const Request *request,
-                     const Endpoint *endpoint, gint64 now) {
+void suspects_note_broken(Router *router, const Request *request,
+                          const Endpoint *endpoint, gint64 now) {
   QuarantineSuspect suspect = {request->content, request->id,
                                request->route->name, NULL};
   if (request->account != NULL)
     suspect.account = request->account->name;
-  if (!endpoint_leaves(endpoint))
-    suspicions_note(router->suspicions, request->content, endpoint->hash, now);
-  crash_watch_broken(router->crashes, endpoint, &suspect, now);
+  if (!endpoint_is_leaving(endpoint))
+    suspicions_add(router->suspicions, request->content, endpoint->hash, now);
+  crash_watch_run_broken(router->crashes, endpoint, &suspect, now);
 }
 
-void suspects_strike(Router *router, const QuarantineSuspect *suspect,
-                     guint32 life, gint64 now) {
-  if (quarantine_strike(router->quarantine, suspect, life, now))
+void suspects_add_strike(Router *router, const QuarantineSuspect *suspect,
+                         guint32 life, gint64 now) {
+  if (quarantine_add_strike(router->quarantine, suspect, life, now))
     log_held(router, suspect->content, "here", now);
 }
 
-void suspects_answered(Router *router, const Request *request, gint64 now) {
-  suspicions_answered(router->suspicions, request->open.life, now);
+void suspects_note_answer(Router *router, const Request *request, gint64 now) {
+  suspicions_clear_life(router->suspicions, request->open.life, now);
 }
 
-void suspects_succeeded(Router *router, const Request *request) {
-  quarantine_succeeded(router->quarantine, request->content);
+void suspects_note_success(Router *router, const Request *request) {
+  quarantine_run_succeeded(router->quarantine, request->content);
 }
 
 /*
@@ -122,32 +122,32 @@
 static void record_of(const mp_CrashRow *row, QuarantineRecord *out) {
   unsigned i;
   out->content = row->request;
-  out->count = MIN(row->n, QUARANTINE_MOST);
+  out->count = MIN(row->n, QUARANTINE_STRIKES_MAX);
   for (i = 0; i < out->count; i++)
     out->crashes[i] = row->crash[i];
 }
 
-gboolean router_hear_crashes(Router *router, const mp_CrashUpdate *news,
-                             gint64 now) {
+gboolean router_receive_crashes(Router *router, const mp_CrashUpdate *news,
+                                gint64 now) {
   gboolean is_news = FALSE;
   unsigned i;
   for (i = 0; i < news->n; i++) {
     QuarantineRecord record = {0};
     record_of(&news->row[i], &record);
-    if (!quarantine_hear(router->quarantine, &record, now))
+    if (!quarantine_merge(router->quarantine, &record, now))
       continue;
     is_news = TRUE;
     log_held(router, record.content, "instance", now);
   }
-  is_news |= suspicions_hear(router->suspicions, news, now);
+  is_news |= suspicions_receive(router->suspicions, news, now);
   if (is_news)
-    suspects_sweep(router, now);
+    suspects_refuse_held(router, now);
   return is_news;
 }
 
-void router_tell_crashes(const Router *router, gboolean all,
-                         mp_CrashUpdate *out, gint64 now) {
-  quarantine_tell(router->quarantine, all, out, now);
+void router_report_crashes(const Router *router, gboolean all,
+                           mp_CrashUpdate *out, gint64 now) {
+  quarantine_write_news(router->quarantine, all, out, now);
   suspicions_write(router->suspicions, all, out, now);
 }
 
@@ -155,15 +155,15 @@
   return quarantine_version(router->quarantine);
 }
 
-void router_take_quarantine(Router *router, const QuarantineRecord *record,
-                            StorePosition position, gint64 now) {
-  if (!quarantine_stored(router->quarantine, record, position, now))
+void router_apply_quarantine(Router *router, const QuarantineRecord *record,
+                             StorePosition position, gint64 now) {
+  if (!quarantine_merge_stored(router->quarantine, record, position, now))
     return;
   log_held(router, record->content, "store", now);
-  suspects_sweep(router, now);
+  suspects_refuse_held(router, now);
 }
 
-void router_lift_quarantine(Router *router, guint64 content, gint64 now) {
+void router_remove_quarantine(Router *router, guint64 content, gint64 now) {
   if (is_held(router, content, now))
     router_log(router, MP_LOG_REQUEST_LIFTED,
                " content=%016" G_GINT64_MODIFIER "x", content);
--- a/router/suspicions.c
+++ b/router/suspicions.c
@@ -39,7 +39,7 @@
 }
 
 static gboolean is_over(const Suspicion *one, gint64 now) {
-  return now - one->at >= SUSPICION_LIFE;
+  return now - one->at >= SUSPICION_LIFETIME;
 }
 
 static gboolean is_noted(const Suspicions *suspicions, guint64 content,
@@ -64,13 +64,13 @@
   return TRUE;
 }
 
-gboolean suspicions_note(Suspicions *suspicions, guint64 content, guint32 life,
-                         gint64 now) {
+gboolean suspicions_add(Suspicions *suspicions, guint64 content, guint32 life,
+                        gint64 now) {
   suspicions_expire(suspicions, now);
   return add(suspicions, content, life, TRUE, now);
 }
 
-void suspicions_answered(Suspicions *suspicions, guint32 life, gint64 now) {
+void suspicions_clear_life(Suspicions *suspicions, guint32 life, gint64 now) {
   guint i = 0;
   while (i < suspicions->all->len) {
     const Suspicion *one = at(suspicions, i);
@@ -93,7 +93,7 @@
     if (one->content != content || is_over(one, now) ||
         is_known(data, content, one->life))
       continue;
-    *until = MAX(*until, one->at + SUSPICION_LIFE);
+    *until = MAX(*until, one->at + SUSPICION_LIFETIME);
     count++;
   }
   return count;
@@ -117,14 +117,14 @@
   }
 }
 
-gboolean suspicions_hear(Suspicions *suspicions, const mp_CrashUpdate *news,
-                         gint64 now) {
+gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashUpdate *news,
+                            gint64 now) {
   gboolean is_news = FALSE;
   unsigned i;
   for (i = 0; i < news->suspected_n; i++) {
     const mp_SuspectRow *row = &news->suspected[i];
     gint64 when = now - (gint64)row->age_ms * MP_MS;
-    if (now - when < SUSPICION_LIFE)
+    if (now - when < SUSPICION_LIFETIME)
       is_news |= add(suspicions, row->request, row->endpoint, FALSE, when);
   }
   return is_news;
--- a/router/text_patch.c
+++ b/router/text_patch.c
@@ -64,7 +64,7 @@
   return to;
 }
 
-gboolean text_patch_is(const void *bytes, gsize size) {
+gboolean text_patch_is_patch(const void *bytes, gsize size) {
   guint32 magic;
   if (size < sizeof magic)
     return FALSE;
--- a/router/text_patch.h
+++ b/router/text_patch.h
@@ -18,6 +18,6 @@
 ** one, or is spoilt */
 char *text_patch_apply(const char *from, const void *patch, gsize size);
 /* do these bytes begin like a patch? No text does */
-gboolean text_patch_is(const void *bytes, gsize size);
+gboolean text_patch_is_patch(const void *bytes, gsize size);
 
 #endif
--- a/scripts/fields.sh
+++ b/scripts/fields.sh
@@ -7,7 +7,7 @@
 set -u
 cd "$(dirname "$0")/.."
 wrong=0
-get='json_object_get|text_of|number_of|time_of|count_of|name_of|address_of'
+get='json_object_get|text_of|number_of|duration_of|count_of|nonempty_text_of|address_of'
 get+='|json_span_member|read_member|http_head_get|http_head_count'
 get+='|g_ascii_strcasecmp'
 
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -139,22 +139,22 @@
 m r-silent "BUDGET: silent instances keep their slack" router/retry_budget.c \
   'MIN(heard, 1.0)' '1.0'
 m r-lease "ONE: another's lease is waited for" router/lease.c \
-  'if (!lease->known || now < free_at(lease))' \
+  'if (!lease->known || now < takeover_allowed_at(lease))' \
   'if (!lease->known)'
 m r-lapse "ONE: a lease counts from before the call" router/lease.c \
   'lease->held_until = lease->sent_at' 'lease->held_until = now'
 m r-unheard "ONE: a call without an answer gives nothing" router/lease.c \
   'if (wrote && reply->status == STORE_OK && lease->own)' 'if (lease->own)'
 m r-margin "ONE: nothing is ordered near the lease's end" router/stages.c \
-  '!lease_held(&stages->lease, ORDER_MARGIN, now)' '0'
+  '!lease_is_held(&stages->lease, ORDER_MARGIN, now)' '0'
 m r-fence "ONE: a newer fence stops all orders" router/stages.c \
   'outcome->status == 412)' 'outcome->status == 1412)'
 m r-named "a changing engine gets no work" router/endpoint_table.c \
-  '!endpoint_changing(table, endpoint, now);' '1;'
+  '!endpoint_is_changing_stage(table, endpoint, now);' '1;'
 m r-settle "nothing is ordered before the use has settled" router/stages.c \
   'now - average->used_from < SETTLE' '0'
 m r-capped "no more change than a digest names" router/stages.c \
-  'MOST_MOVES - changing' 'MOST_MOVES + 40 + 0 * changing'
+  'CHANGES_MAX - changing' 'CHANGES_MAX + 40 + 0 * changing'
 m r-note "reserved room counts until the next digest" router/peer_loads.c \
   'peer->sequence != note->after' '1'
 m r-again "an overbooked room is left" router/path.c \
@@ -189,21 +189,21 @@
 m r-event "ORDER: a partial event is held back" http/events.c \
   'if (empty > 0)' 'if (1)'
 m r-own "the system sets its own fields" platform/endpoints.c \
-  'http_head_remove(head, platform_system_fields[i]);' ';'
+  'http_head_remove(head, platform_reserved_fields[i]);' ';'
 m r-silence "LOST: silence ends nothing without another endpoint" router/outcomes.c \
-  '!has_elsewhere(router, request, now) ||' ''
+  '!has_other_endpoint(router, request, now) ||' ''
 m r-paid "LOST: a resume is paid before the run is left" router/outcomes.c \
-  '!retry_exchange_take(router, request->service->name, now))
+  '!retry_exchange_try_take(router, request->service->name, now))
     return FALSE;' '0)
     return FALSE;'
 m r-notrun "REFUSED: 503 alone promises nothing" platform/endpoints.c \
   'out->not_run = out->misdirected ||' \
   'out->not_run = head->status == 503 || out->misdirected ||'
 m r-handle "with its prompt read a request waits for room" router/path.c \
-  'if (waits_with_handle(router, request, now) ||' \
-  'if ((0 && waits_with_handle(router, request, now)) ||'
+  'if (requeue_with_handle(router, request, now) ||' \
+  'if ((0 && requeue_with_handle(router, request, now)) ||'
 m r-reader "a prompt is read again by its reader" router/path.c \
-  'prefill_again(router, request, now))
+  'prefill_repeat(router, request, now))
     return;' '0)
     return;'
 m r-again "BUDGET: a second reading is charged" router/path.c \
@@ -211,19 +211,19 @@
 m r-failed "a reader that failed is not asked again" router/prefill.c \
   ' || path_is_excluded(request, request->read_by))' ')'
 m r-home "a resumed caller's prompt is read at home" router/prefill.c \
-  'wish.at_home = request->resumes;' 'wish.at_home = FALSE;'
+  'wish.affinity_overrides_load = request->resumes;' 'wish.affinity_overrides_load = FALSE;'
 m n-fresh "relays: one that the store does not answer does not count" \
   router/relay_group.c 'before.fresh += is_fresh(group, relay, now);' \
   'before.fresh += is_heard(relay, now);'
 m n-within "relays: their age is bound by what is allowed" \
-  router/relay_group.c 'MAX(bound, WATCH_LEAST + SLOW_ANSWER));' \
-  'bound > 0 ? relay_longest_age(times) : 0);'
+  router/relay_group.c 'MAX(bound, WATCH_LEAST + SLOW_ANSWER_MAX));' \
+  'bound > 0 ? relay_news_age_max(times) : 0);'
 m n-often "relays: they ask the store often enough to stay fresh" \
   router/news_source.c 'relay_group_watch_wait(source->group, call->kind, now));' \
   'call->wait);'
 m n-standin "relays: none is fresh by the one in its place" \
-  router/relay_group.c 'return age_by(group, FALSE, now);' \
-  'return age_by(group, TRUE, now);'
+  router/relay_group.c 'return news_age_from(group, FALSE, now);' \
+  'return news_age_from(group, TRUE, now);'
 m n-whole "relays: they name what there is to who asks from before a list" \
   router/follower.c \
   'is_same || (!is_first &&
@@ -231,15 +231,15 @@
   'is_same;'
 m n-noroute "router: old news say nothing of a route they lack" \
   router/router.c \
-  'return router->news_bound > 0 && news_age(router, now) > router->news_bound;' \
+  'return router->news_age_max > 0 && news_age(router, now) > router->news_age_max;' \
   'return FALSE;'
 m n-lacks "router: one that lacks a change says nothing of a route" \
   router/router.c 'router->news->lags_since != 0)' \
   'router->news->lags_since < 0)'
 m n-level "relays: none is fresh by news that it lacks" \
-  router/relay_group.c 'if (!is_level(group, relay))' 'if (FALSE)'
+  router/relay_group.c 'if (!holds_all_news(group, relay))' 'if (FALSE)'
 m n-again "news: a relay that failed is asked again" router/news_source.c \
-  'source->must_ask = FALSE; /* a relay that failed' '/* a relay that failed'
+  'source->must_ask_store = FALSE; /* a relay that failed' '/* a relay that failed'
 m n-silent "news: no call is given up while its answer arrives" \
   router/news_source.c 'MAX(source->behind_since, source->progress_at) +' \
   'source->behind_since +'
@@ -269,29 +269,29 @@
 m n-pack "news: long answers are compressed" io/news_codec.c \
   'size > SHORT_ANSWER ?' 'FALSE ?'
 m p-lost "prefill: an arrival after a lost prompt is paid for" \
-  router/prefill.c 'return retry_exchange_take(router, service, now);
+  router/prefill.c 'return retry_exchange_try_take(router, service, now);
 }
 
-static void log_again' 'return TRUE;
+static void log_prompt_retry' 'return TRUE;
 }
 
-static void log_again'
+static void log_prompt_retry'
 m p-wait "prefill: a late prompt is not left without a retry to spend" \
   router/prefill.c 'if (!may_send_again(router, request, OUTCOME_BROKEN, now)) {' \
   'if (0) {'
 m p-turned "prefill: one that was turned away goes on within the budget" \
   router/prefill.c 'if (kind == OUTCOME_NOT_RUN)
-    return retry_exchange_left(router, service, now);' \
+    return retry_exchange_has_extra(router, service, now);' \
   'if (kind == OUTCOME_NOT_RUN)
     return TRUE;'
 m n-step "relays: members take over one by one in an outage" \
-  router/relay_group.c 'if (relay_group_before(group, now).heard >= wanted)
+  router/relay_group.c 'if (relay_group_relays_before(group, now).heard >= wanted)
     return wait;' ''
 m n-behind "relays: one that lost the store unknowingly asks another" \
-  router/news_source.c '#define BEHIND_MOST (300 * MP_MS)' \
-  '#define BEHIND_MOST (60 * MP_SEC)'
+  router/news_source.c '#define STORE_SILENCE_MAX (300 * MP_MS)' \
+  '#define STORE_SILENCE_MAX (60 * MP_SEC)'
 m n-most "relays: all take over within a second when none is heard" \
-  router/relay_group.c 'return MIN(wait, TAKE_OVER_MOST);' \
+  router/relay_group.c 'return MIN(wait, TAKEOVER_WAIT_MAX);' \
   'return 10 * wait;'
 m n-back "news: what an older list names does not come back" \
   router/follower.c \
@@ -319,24 +319,24 @@
 m s-late "late loads keep requests at home" router/endpoint_table.c \
   'return COST_OTHER_ZONE_LATE;' 'return COST_OTHER_ZONE_ENGINE;'
 m a-door "accounts: an unknown key is refused" router/accounts.c \
-  'account = route_table_account(router->routes, digest);' \
+  'account = route_table_find_account(router->routes, digest);' \
   'account = router->routes->accounts->pdata[0];'
 m a-two "accounts: two keys are none" router/accounts.c 'if (call->keys == 1)' \
   'if (call->keys >= 1)'
 m a-again "accounts: age and key are asked before each run" router/path.c \
   'return accounts_may_dispatch(router, request, why, now) &&' 'return'
 m a-read "accounts, holds: and before each reading" router/prefill.c \
-  'if (!path_may_send(router, request, &why, now))' 'if (FALSE)'
+  'if (!path_may_dispatch(router, request, &why, now))' 'if (FALSE)'
 m a-key "accounts: a key is not passed on" platform/endpoints.c \
   '"Api-Key",' ''
 m a-back "accounts: what did not run is given back" router/finish.c \
-  'if (promises_not_run(kind))' 'if (FALSE)'
+  'if (is_told_not_run(kind))' 'if (FALSE)'
 m p-arrival "proof: a heartbeat counts from when it was sent" \
   router/config_proof.c \
   'at = (gint64)beat->sent_us + clock->behind -' 'at = now -'
 m p-known "proof: changes that are not known prove nothing" \
   router/config_proof.c \
-  '!knows_all_of(proof, beat->changed[STORE_CONFIGURATION]))' 'FALSE)'
+  '!knows_changes_up_to(proof, beat->changed[STORE_CONFIGURATION]))' 'FALSE)'
 m p-stale "proof: an answer counts from its question" router/news_source.c \
   'gint64 at = source->asked_at;' 'gint64 at = now;'
 m l-cut "limits: scaled by the share heard" router/shared_totals.c \
@@ -347,21 +347,21 @@
 m l-silent "limits: what was spent out of reach is not charged" \
   router/shared_totals.c 'if (!known || peer->was_silent)' 'if (!known)'
 m l-small "limits: small requests pass first" router/account_limits.c \
-  'if (cost <= SMALL_SHARE * limit->burst)' 'if (FALSE)'
+  'if (cost <= SMALL_REQUEST_SHARE * limit->burst)' 'if (FALSE)'
 m k-large "relays: the largest machines" router/relay_group.c \
-  'guint64 rank = CAPACITY_MOST - MIN(capacity, CAPACITY_MOST);' \
+  'guint64 rank = CAPACITY_MAX - MIN(capacity, CAPACITY_MAX);' \
   'guint64 rank = 0; (void)capacity;'
 m g-peak "stages: prompts that stop coming move nothing" router/stages.c \
   'use->prefill_busy = average->prefill_peak;' \
   'use->prefill_busy = average->prefill_busy;'
 m d-hang "a plain endpoint that hangs is in doubt" router/path.c \
-  'request->suspect_at = now + silence_suspect(request);' ''
+  'request->suspect_at = now + silence_suspect_after(request);' ''
 m q-refused "crash: a connection that stands proves no end" \
   router/crash_watch.c 'if (outcome->kind == OUTCOME_UNREACHABLE &&' 'if ('
 m q-silent "crash: silence proves no end" router/crash_watch.c \
-  'now - watched->checked_at < REFUSED_WITHIN' 'TRUE'
+  'now - watched->checked_at < REFUSAL_TIME_MAX' 'TRUE'
 m q-leaving "crash: one that was leaving ends by plan" router/crash_watch.c \
-  'if (endpoint_leaves(endpoint))' 'if (FALSE)'
+  'if (endpoint_is_leaving(endpoint))' 'if (FALSE)'
 m q-life "crash: of this life" router/crash_watch.c \
   'watched->life == life &&' ''
 m q-once "hold: an end counts once" router/quarantine.c \
@@ -371,19 +371,19 @@
   'row->strikes[i].off = TRUE;
   if (count_of(row) == 0)' 'if (count_of(row) == 0)'
 m q-last "hold: three runs are tried at most" router/quarantine.c \
-  'if (strikes >= QUARANTINE_MOST)
+  'if (strikes >= QUARANTINE_STRIKES_MAX)
     return G_MAXINT64;
   for' 'for'
 m q-store "hold: what instances know is kept in the store" \
   router/quarantine.c \
-  'return count_of(row) >= SAVED_FROM && has_unsaved(row);' 'return FALSE;'
+  'return count_of(row) >= STORED_STRIKES_MIN && has_unstored_strike(row);' 'return FALSE;'
 m q-tell "hold: instances tell each other" router/quarantine.c \
-  'if (now - row->learned >= TELL_FOR || !(all || has_own(row)))' 'if (TRUE)'
+  'if (now - row->learned >= NEWS_REPEAT_TIME || !(all || has_own_strike(row)))' 'if (TRUE)'
 m q-door "hold: a held request is not sent" router/suspects.c \
   'if (until == 0)
     return TRUE;' 'return TRUE;'
 m q-sweep "hold: those that wait are refused at once" router/suspects.c \
-  'while ((request = held_waiting(router, now)) != NULL)' 'while (FALSE)'
+  'while ((request = find_held_waiting(router, now)) != NULL)' 'while (FALSE)'
 m q-account "hold: of one client account" router/router.c \
   'if (account == NULL)
     return call->content;' 'return call->content;'
@@ -392,15 +392,15 @@
 m v-early "lives: an earlier one changes nothing" router/endpoint_table.c \
   'return ENDPOINT_OUTDATED;' 'return ENDPOINT_SAME;'
 m v-hash "lives: told apart in digests" router/endpoint_table.c \
-  'seed = (guint64)record->born_unix_ms;' 'seed = 0;'
+  'seed = (guint64)record->started_unix_ms;' 'seed = 0;'
 m v-loads "lives: loads of an earlier one are not the later's" router/path.c \
-  'return endpoint_table_get_life(router->endpoints, open->endpoint,
+  'return endpoint_table_get_incarnation(router->endpoints, open->endpoint,
                                  open->life);' \
   'return endpoint_table_get(router->endpoints, open->endpoint);'
 m i-item "store: an object that can't be read is known by its name" \
   platform/store.c 'is_whole ? read_content(span) : g_strdup("");' \
   'is_whole ? read_content(span) : g_strdup("");
-    if (object.text != NULL && object.text[0] == 0) { out->nameless++; return; }'
+    if (object.text != NULL && object.text[0] == 0) { out->unreadable_names++; return; }'
 m i-stage "store: an unknown stage is none" platform/records.c \
   'else
     return FALSE;
@@ -417,22 +417,22 @@
 m c-boot "clock: suspended time counts" io/clock.c 'CLOCK_BOOTTIME' \
   'CLOCK_MONOTONIC'
 m o-first "admission: time counts from the first try" router/admission.c \
-  'request->first_try -= usual - patience;' '{}'
+  'request->first_attempt_at -= usual - patience;' '{}'
 m o-late "admission: late ones take what is left over" router/admission.c \
-  'run_some(router, TRUE, now) == 0)' \
-  'run_some(router, TRUE, now) != G_MAXUINT)'
+  'start_some(router, TRUE, now) == 0)' \
+  'start_some(router, TRUE, now) != G_MAXUINT)'
 m o-told "admission: those in time elsewhere are waited for" \
-  router/admission.c 'place + peer_loads_in_time(router->endpoints->peers)' \
+  router/admission.c 'place + peer_loads_waiting_in_time(router->endpoints->peers)' \
   'place'
 m o-ends "admission: ends at all instances make room" router/admission.c \
-  'router->end_interval / router->near' 'router->end_interval'
+  'router->mean_end_interval / router->near' 'router->mean_end_interval'
 m o-usual "admission: what others have tells who came back" \
   router/admission.c 'usual = MIN(usual, route->timeout);' \
   'usual = route->timeout;'
 m o-window "patience: what was seen long ago is forgotten" \
   router/patience.c 'if (age < PATIENCE_WINDOW)' 'if (TRUE)'
 m o-number "input: a time is bounded before it is converted" \
-  platform/quantities.c 'time < (double)LONGEST_TIME' 'TRUE'
+  platform/quantities.c 'time < (double)DURATION_MAX' 'TRUE'
 m o-beat "input: a heartbeat's clock is bounded" wire/rpc.c \
   '*v <= INT64_MAX / 2' 'TRUE'
 m r-peers "rates: what peers send is taken off" router/rate_limits.c \
@@ -448,10 +448,10 @@
   'return newer < 0 ||' \
   'return FALSE ||'
 m r-over "rates: one answer among others ends none" router/rate_limits.c \
-  'newer < OVER_AFTER' \
+  'newer < RATE_END_DELAY' \
   FALSE
 m r-least "rates: none holds for good" router/rate_limits.c \
-  'MAX(limit->rate, LEAST_RATE)' \
+  'MAX(limit->rate, RATE_MIN)' \
   'limit->rate'
 m r-begin "rates: nothing is saved up when one is named" router/rate_limits.c \
   'limit->bucket.level = MIN(limit->bucket.level, 0);' \
@@ -466,21 +466,21 @@
   'limit->near += news->zone == 0 ? more : 0;' \
   'limit->near += more;'
 m r-told "rates: that one is over is told for a while" router/rate_limits.c \
-  'age > TELL_OVER' \
+  'age > RATE_END_REPORT_TIME' \
   TRUE
 m r-choice "rates: choice leaves those out that take no more" router/endpoint_table.c \
-  '        !takes_more(table, wish, endpoint, now))' \
+  '        !is_within_limits(table, wish, endpoint, now))' \
   '        FALSE)'
 m r-counted "rates: a run is counted once" router/prefill.c \
-  '    if (request->decode_counted)
-      rate_limits_return(router->rates, endpoint->hash);' \
+  '    if (request->is_decode_counted)
+      rate_limits_refund(router->rates, endpoint->hash);' \
   ''
 m r-reserve "rates: a place is counted when it is reserved" router/prefill.c \
-  'request->decode_counted = rate_limits_sent(router->rates, decode->hash);' \
-  'request->decode_counted = FALSE;'
+  'request->is_decode_counted = rate_limits_count_sent(router->rates, decode->hash);' \
+  'request->is_decode_counted = FALSE;'
 m r-look "rates: who waits looks again" router/shortage.c \
-  'router->shortage_look_at = now + LOOK_AGAIN;' \
-  'router->shortage_look_at = 0;'
+  'router->shortage_recheck_at = now + LOOK_AGAIN;' \
+  'router->shortage_recheck_at = 0;'
 m r-life "rates: a later life has none" router/lives.c \
   '  if (news == ENDPOINT_RESTARTED)
     rates_endpoints_changed(router);' \
@@ -490,7 +490,7 @@
   rates_endpoints_changed(router);' \
   '  endpoint_table_remove(router->endpoints, id, now);'
 m r-refuse "rates: a shortage is told as one" router/path.c \
-  'shortage_note(router, request, now);' \
+  'shortage_record(router, request, now);' \
   ''
 m r-silent "rates: a failure without one ends none" io/endpoint_call.c \
   'return status >= 200 && status < 300 && !call->facts.not_run &&' \
@@ -505,25 +505,25 @@
   '    sweep(totals, now);' \
   ''
 m b-resume "lists: reading goes on behind a broken item" platform/store.c \
-  'return read_sound_list(answer, out) || read_broken_list(answer, out);' \
-  'return read_sound_list(answer, out);'
+  'return read_separable_list(answer, out) || read_broken_list(answer, out);' \
+  'return read_separable_list(answer, out);'
 m b-swallow "lists: an end that comes too late is seen" platform/broken_list.c \
-  '    if (swallows(item))
+  '    if (contains_next_item(item))
       return FALSE;' \
   '    if (FALSE)
       return FALSE;'
 m b-early "lists: an end that comes too early is seen" platform/broken_list.c \
-  '  return json_span_ends(items);' \
+  '  return json_span_is_at_end(items);' \
   '  return TRUE;'
 m b-hides "lists: bytes that may hide an object are told" platform/store.c \
-  'out->partial = list.hides || out->nameless > 0;' \
+  'out->partial = list.hides || out->unreadable_names > 0;' \
   'out->partial = FALSE;'
 m b-partial "lists: one that may hide objects removes none" router/follower.c \
   'follower->partial |= reply->partial;' \
   ''
 m b-again "lists: such a one is read again" router/follower.c \
-  'follower->list_at = now + PARTIAL_AGAIN;' \
-  'follower->list_at = 0;'
+  'follower->relist_at = now + PARTIAL_RELIST_DELAY;' \
+  'follower->relist_at = 0;'
 m b-watch 'watches: one that can'"'"'t be cut has the list read' platform/store.c \
   '    out->status = STORE_HISTORY_GONE;
     return TRUE;' \
@@ -535,13 +535,13 @@
       !endpoint_record_is_restored(record, known))' \
   'if (FALSE)'
 m v-address "entries: addresses of no machine" platform/records.c \
-  'return *out != 0 && is_one_machines(*out);' \
+  'return *out != 0 && is_unicast(*out);' \
   'return *out != 0;'
 m v-blank "entries: an address has no blanks" core/text.c \
   's[strspn(s, "0123456789.:")] != '"'"'\0'"'"' ||' \
   ''
 m g-round "gate: a caller goes round it" router/path.c \
-  'gate_ask(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
+  'gate_check(endpoint, DISPATCH_RUN, now) != GATE_OPEN)
     return NULL;' \
   'FALSE)
     return NULL;'
@@ -561,8 +561,8 @@
   '  endpoint->misses = 0;
   endpoint->availability.rest_until = 0;'
 m g-doubtful "gate: choice, and the fallback to a doubtful one, ask it" router/endpoint_table.c \
-  'gate_ask(endpoint, DISPATCH_RUN,' \
-  'gate_ask(endpoint, DISPATCH_CHECK,'
+  'gate_check(endpoint, DISPATCH_RUN,' \
+  'gate_check(endpoint, DISPATCH_CHECK,'
 m g-inherit "words: a later life has none" router/endpoint_table.c \
   '  if (news == ENDPOINT_RESTARTED)
     drop(table, endpoint);
@@ -577,19 +577,19 @@
   '  known->rest_until = MAX(known->rest_until, until);' \
   '  known->rest_until = until;'
 m g-margin "rest: the margin of its own clock" router/availability.c \
-  '+ REST_MARGIN' \
+  '+ REST_CLOCK_MARGIN' \
   ''
 m g-most "rest: a very long one is believed for a time" router/availability.c \
-  'MIN(time, REST_MOST)' \
+  'MIN(time, REST_DURATION_MAX)' \
   'time'
 m g-release "rest: one release in it" router/dispatcher.c \
-  '    endpoint->availability.is_disturbed = TRUE;' \
+  '    endpoint->availability.has_dispatch_in_rest = TRUE;' \
   ''
 m g-spread "rest: callers come back spread" router/shortage.c \
-  '(gint64)(spread * (double)MAX(wait, SPREAD_LEAST))' \
+  '(gint64)(spread * (double)MAX(wait, RETRY_SPREAD_MIN))' \
   '0'
 m g-atonce "rest: callers of engines hear at once" router/admission.c \
-  'if (shortage_lasts(router, request, most_patience(request, now), now)) {' \
+  'if (shortage_outlasts(router, request, wait_left_max(request, now), now)) {' \
   'if (FALSE) {'
 m g-look "rest: who waits looks again" router/shortage.c \
   'router_resting_endpoints(router, now) > 0' \
@@ -601,26 +601,26 @@
   return;
   if (count'
 m g-crash "leaving: its end is no crash" router/crash_watch.c \
-  'if (endpoint_leaves(endpoint))' \
+  'if (endpoint_is_leaving(endpoint))' \
   'if (!endpoint->record.ready)'
 m g-502 "answers: no time to come back after an unknown outcome" router/finish.c \
-  '&& promises_not_run(kind)' \
+  '&& is_told_not_run(kind)' \
   ''
 m g-avoid "rest: it is no endpoint out of reach" router/signals.c \
-  '  if (!availability_rest(known, time, now))
+  '  if (!availability_extend_rest(known, time, now))
     return;' \
   '  endpoint->avoid_until = now + time;
   return;'
 m g-setready "leaving: it is no older entry of the list" router/signals.c \
-  '  if (!availability_leave(&endpoint->availability, now))
+  '  if (!availability_set_leaving(&endpoint->availability, now))
     return FALSE;' \
   '  endpoint->record.ready = FALSE;
   return TRUE;'
 m s-count "suspicions: they count until they are proved" router/suspects.c \
-  'return strikes + suspected >= QUARANTINE_STRIKES ? until : 0;' \
+  'return strikes + suspected >= QUARANTINE_HOLD_STRIKES ? until : 0;' \
   'return 0;'
 m s-answered "suspicions: an answer takes them away" router/suspects.c \
-  '  suspicions_answered(router->suspicions, request->open.life, now);' \
+  '  suspicions_clear_life(router->suspicions, request->open.life, now);' \
   ''
 m s-told "suspicions: the others are told" router/suspicions.c \
   '    out->suspected_n++;' \
@@ -629,7 +629,7 @@
   'return quarantine_has_strike(quarantine, content, life);' \
   'return FALSE;'
 m s-life "suspicions: they end by themselves" router/suspicions.c \
-  'return now - one->at >= SUSPICION_LIFE;' \
+  'return now - one->at >= SUSPICION_LIFETIME;' \
   'return FALSE;'
 if [ -n "$stale_only" ]; then
   python3 - "$dir/rows" <<'P'
--- a/test/crash_fleet.cc
+++ b/test/crash_fleet.cc
@@ -44,7 +44,7 @@
 }
 
 void Fleet::list(World &world, const Engine &engine, bool gone) {
-  world.born_unix_ms = engine.born;
+  world.started_unix_ms = engine.born;
   world.endpoint({engine.id.c_str(), "llm", "a",
                   engine.is_prefill ? STAGE_PREFILL : STAGE_DECODE},
                  true, gone);
@@ -69,8 +69,8 @@
       list(*one.world, engine, false);
   }
   for (auto &[content, stored] : store)
-    router_take_quarantine(one.world->router, &stored.record,
-                           store_position(0, stored.revision), now);
+    router_apply_quarantine(one.world->router, &stored.record,
+                            store_position(0, stored.revision), now);
 }
 
 void Fleet::kill(double share) {
@@ -274,12 +274,12 @@
       continue;
     from.told = router_crash_version(from.world->router);
     from.told_at = now;
-    router_tell_crashes(from.world->router, FALSE, &news, now);
+    router_report_crashes(from.world->router, FALSE, &news, now);
     for (unsigned k = 0; k < all.size(); k++) {
       if (news.n == 0 && news.suspected_n == 0)
         break;
       if (hears(i, k))
-        router_hear_crashes(all[k].world->router, &news, now);
+        router_receive_crashes(all[k].world->router, &news, now);
     }
   }
 }
@@ -303,8 +303,8 @@
     auto it = store.find(content);
     gint64 stands = it != store.end() ? it->second.revision : 0;
     if (save.position.revision != stands) {
-      router_take_quarantine(one.world->router, &it->second.record,
-                             store_position(0, stands), now);
+      router_apply_quarantine(one.world->router, &it->second.record,
+                              store_position(0, stands), now);
       router_quarantine_save_failed(one.world->router, content, now);
       continue;
     }
@@ -314,8 +314,8 @@
       continue;
     store[content] = {kept, ++revision};
     for (Instance &other : all)
-      router_take_quarantine(other.world->router, &kept,
-                             store_position(0, revision), now);
+      router_apply_quarantine(other.world->router, &kept,
+                              store_position(0, revision), now);
   }
 }
 
--- a/test/fuzz/configuration.c
+++ b/test/fuzz/configuration.c
@@ -13,7 +13,7 @@
   RouteTable *table = platform_read_configuration(text, NULL, NULL);
   if (table != NULL) {
     RouteTable *again = platform_read_configuration(text, table, NULL);
-    route_table_find(again, "h.example", "/a/b/c");
+    route_table_find_route(again, "h.example", "/a/b/c");
     route_table_unref(again);
     route_table_unref(table);
   }
--- a/test/fuzz/events.c
+++ b/test/fuzz/events.c
@@ -28,7 +28,7 @@
     g_free(id);
     at += piece;
   }
-  if (whole->len + event_splitter_pending(&splitter) != size - 1)
+  if (whole->len + event_splitter_pending_size(&splitter) != size - 1)
     abort();
   event_splitter_clear(&splitter);
   g_string_free(whole, TRUE);
--- a/test/fuzz/http.c
+++ b/test/fuzz/http.c
@@ -26,7 +26,7 @@
   if (head->target != NULL) {
     platform_read_caller(head, &caller, NULL);
     caller_head_clear(&caller);
-    content_digest(head, NULL);
+    request_content_digest(head, NULL);
   }
   http_head_free(head);
 }
@@ -39,16 +39,16 @@
 
 static void read_stream(HttpReaderKind kind, const char *bytes, size_t size,
                         size_t step) {
-  static const HttpReaderHooks hooks = {on_head, on_body};
+  static const HttpReaderCallbacks hooks = {on_head, on_body};
   HttpReader *reader = http_reader_new(kind, &hooks, NULL);
   size_t at = 0;
-  http_reader_limit(reader, HEAD_MOST, BODY_MOST);
-  while (at < size && http_reader_state(reader) != HTTP_READER_BAD) {
+  http_reader_set_limits(reader, HEAD_MOST, BODY_MOST);
+  while (at < size && http_reader_state(reader) != HTTP_READER_FAILED) {
     at += http_reader_feed(reader, bytes + at, MIN(step, size - at));
     if (http_reader_state(reader) == HTTP_READER_DONE)
-      http_reader_next(reader);
+      http_reader_start_next(reader);
   }
-  http_reader_end(reader);
+  http_reader_handle_eof(reader);
   http_reader_free(reader);
 }
 
@@ -60,6 +60,6 @@
     return 0;
   step = (size_t)data[0] + 1;
   read_stream(HTTP_REQUESTS, (const char *)data + 1, size - 1, step);
-  read_stream(HTTP_ANSWERS, (const char *)data + 1, size - 1, step);
+  read_stream(HTTP_RESPONSES, (const char *)data + 1, size - 1, step);
   return 0;
 }
--- a/test/fuzz/report.c
+++ b/test/fuzz/report.c
@@ -10,7 +10,7 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
   EngineReport report;
-  PrefillAnswer prefill = {0};
+  PrefillResponse prefill = {0};
   platform_read_report((const char *)data, size, &report, NULL);
   platform_read_prefill((const char *)data, size, &prefill, NULL);
   g_free(prefill.handle);
--- a/test/fuzz/store_reply.c
+++ b/test/fuzz/store_reply.c
@@ -16,7 +16,8 @@
   LeaseRecord lease = {0};
   if (object->text == NULL)
     return;
-  if (platform_read_record(object->name, object->text, &endpoint, NULL))
+  if (platform_read_endpoint_record(object->name, object->text, &endpoint,
+                                    NULL))
     endpoint_record_clear(&endpoint);
   platform_read_instance(object->text, &instance, NULL);
   instance_record_clear(&instance);
--- a/test/kept.c
+++ b/test/kept.c
@@ -53,9 +53,9 @@
     if (http_reader_state(kept->reader) == HTTP_READER_DONE) {
       if (!http_reader_keep_alive(kept->reader))
         kept->ended = 1;
-      http_reader_next(kept->reader);
+      http_reader_start_next(kept->reader);
       answer_ended(kept, 1);
-    } else if (http_reader_state(kept->reader) == HTTP_READER_BAD) {
+    } else if (http_reader_state(kept->reader) == HTTP_READER_FAILED) {
       kept->ended = 1;
       answer_ended(kept, 0);
       return;
@@ -77,7 +77,7 @@
   return luaL_checkudata(L, 1, "kept");
 }
 
-static const HttpReaderHooks hooks = {on_head, on_body};
+static const HttpReaderCallbacks hooks = {on_head, on_body};
 
 static int l_connect(lua_State *L) {
   struct sockaddr_in at = {0};
@@ -87,7 +87,7 @@
   at.sin_port = htons((uint16_t)luaL_checkinteger(L, 1));
   memset(kept, 0, sizeof *kept);
   kept->body = g_string_new(NULL);
-  kept->reader = http_reader_new(HTTP_ANSWERS, &hooks, kept);
+  kept->reader = http_reader_new(HTTP_RESPONSES, &hooks, kept);
   kept->events = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_setcb(kept->events, on_read, NULL, on_event, kept);
   bufferevent_enable(kept->events, EV_READ | EV_WRITE);
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -68,7 +68,7 @@
   one.world->now = now;
   one.world->max_connections = options.max_connections;
   one.world->configure();
-  one.world->born_unix_ms = 1000;
+  one.world->started_unix_ms = 1000;
   for (const Plain &endpoint : endpoints)
     one.world->endpoint(
         {endpoint.id.c_str(), "app", endpoint.zone.c_str(), STAGE_NONE});
@@ -207,8 +207,8 @@
     endpoint.connections++;
     all[i].connections[k]++;
   }
-  endpoint.most_connections =
-      std::max(endpoint.most_connections, endpoint.connections);
+  endpoint.connections_max =
+      std::max(endpoint.connections_max, endpoint.connections);
   count_connections(i, k);
   return true;
 }
@@ -320,7 +320,8 @@
   for (; !letters.empty() && letters.front().due <= now; letters.pop_front()) {
     const Letter &one = letters.front();
     if (!all[one.to].is_frozen)
-      router_hear_rates(all[one.to].world->router, one.from, &one.news, now);
+      router_receive_rates(all[one.to].world->router, one.from, &one.news,
+                           now);
   }
 }
 
@@ -334,7 +335,7 @@
     return;
   one.rates_told = version;
   one.rates_at = now;
-  router_tell_rates(one.world->router, FALSE, &news, now);
+  router_report_rates(one.world->router, FALSE, &news, now);
   for (unsigned k = 0; news.n > 0 && k < all.size(); k++) {
     if (!is_near(i, k))
       continue;
@@ -348,7 +349,7 @@
   if (now - one.rate_sums_at < least_between_rate_sums)
     return;
   one.rate_sums_at = now;
-  router_tell_rates(one.world->router, TRUE, &news, now);
+  router_report_rates(one.world->router, TRUE, &news, now);
   news.relay = mp_addr_parse(one.address.c_str());
   news.zone = g_str_hash(one.zone.c_str());
   for (unsigned k = 0; news.n > 0 && k < all.size(); k++) {
--- a/test/rate_fleet.h
+++ b/test/rate_fleet.h
@@ -74,8 +74,8 @@
       : id(id_), zone(zone_) {
   }
   std::string id, zone;
-  double limit = RATE_ANY; /* that its answers name */
-  gint64 named_at = 0;     /* when its first answer named one; 0: none did */
+  double limit = RATE_UNLIMITED; /* that its answers name */
+  gint64 named_at = 0; /* when its first answer named one; 0: none did */
   std::vector<Arrival> arrivals{};
   std::vector<Naming> namings{};
   /* instance -> when it first passed on an answer that named a limit */
@@ -86,7 +86,7 @@
   gint64 rest_work = 0; /* time that it takes to turn one away */
   std::vector<Told> leavings{}, rests{};
   /* of all instances; the most at once, and those that it reset */
-  unsigned connections = 0, most_connections = 0, resets = 0;
+  unsigned connections = 0, connections_max = 0, resets = 0;
 };
 
 class Fleet {
@@ -94,7 +94,7 @@
   explicit Fleet(const FleetOptions &options);
 
   void pass(gint64 span);
-  /* endpoint 'i' names this rate from now on; RATE_ANY: none */
+  /* endpoint 'i' names this rate from now on; RATE_UNLIMITED: none */
   void name(unsigned i, double rate);
   /* a share of the instances is killed, and starts again at once */
   void kill(double share);
--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -172,7 +172,7 @@
                   300 * ms, &host);
     news_source_init(&one.source[kind], one.group, &source, nullptr, 0);
     if (proving && kind == STORE_CONFIGURATION)
-      one.source[kind].proof_within = proof_wait;
+      one.source[kind].proof_wait_max = proof_wait;
   }
   look_all(one);
   later(one, store_time, [this, &one] {
@@ -220,14 +220,14 @@
   told.asked_us = static_cast<guint64>(asked);
   told.age_ms = static_cast<guint32>(relay_group_age(from.group, now) / ms);
   datagram(to, [this, address, told](Instance &one) {
-    relay_group_hear(one.group, address, &told, now);
+    relay_group_receive_heartbeat(one.group, address, &told, now);
     look_all(one);
   });
 }
 
 static bool knows(const Instance &one) {
-  return follower_knows(&one.source[STORE_CONFIGURATION].follower) &&
-         follower_knows(&one.source[STORE_ENDPOINTS].follower);
+  return follower_is_synced(&one.source[STORE_CONFIGURATION].follower) &&
+         follower_is_synced(&one.source[STORE_ENDPOINTS].follower);
 }
 
 void World::ask_beat(Instance &one, mp_Addr relay) {
@@ -242,7 +242,7 @@
 
 void World::send_beats(Instance &one) {
   const GArray *near = relay_group_members(one.group);
-  GArray *far = relay_group_far(one.group, now);
+  GArray *far = relay_group_remote_targets(one.group, now);
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
     one.told[kind] = one.source[kind].follower.changed;
   for (guint i = 0; i < near->len; i++)
@@ -267,19 +267,21 @@
     send_beats(one);
   if (role == RELAY_ROLE_MEMBER && !knows(one)) {
     mp_Addr asked[asked_most];
-    unsigned count = relay_group_ask(one.group, asked, asked_most);
+    unsigned count = relay_group_first_members(one.group, asked, asked_most);
     for (unsigned i = 0; i < count; i++)
       ask_beat(one, asked[i]);
   }
   if (proving) {
     mp_Addr asked[clocks_most];
-    unsigned count = relay_group_unbounded(one.group, now, asked, clocks_most);
+    unsigned count =
+        relay_group_clocks_to_bound(one.group, now, asked, clocks_most);
     for (unsigned i = 0; i < count; i++)
       ask_beat(one, asked[i]);
   }
   look_all(one);
-  gint64 next = relay_group_next(one.group, now) - now;
-  later(one, CLAMP(next, ms, RELAY_BEAT), [this, &one] { beat(one); });
+  gint64 next = relay_group_next_check(one.group, now) - now;
+  later(one, CLAMP(next, ms, RELAY_HEARTBEAT_INTERVAL),
+        [this, &one] { beat(one); });
 }
 
 /*
@@ -292,7 +294,7 @@
 }
 
 void World::look(Instance &one, int kind) {
-  NewsWanted wanted;
+  NewsAction wanted;
   if (receives(one, kind))
     news_source_progress(&one.source[kind], now);
   news_source_next(&one.source[kind], now, &wanted);
@@ -308,7 +310,7 @@
   case NEWS_ASK_INSTANCE:
     ask_instance(one, kind, wanted);
     break;
-  case NEWS_LEAVE_STORE:
+  case NEWS_ABANDON_STORE_CALL:
     one.open[kind]++;
     later(one, 0, [this, &one, kind] { look(one, kind); });
     break;
@@ -433,7 +435,7 @@
   return out;
 }
 
-void World::ask_store(Instance &one, int kind, const NewsWanted &wanted) {
+void World::ask_store(Instance &one, int kind, const NewsAction &wanted) {
   auto what = static_cast<StoreKind>(kind);
   unsigned call = ++one.open[kind];
   StorePosition since = wanted.call.position;
@@ -514,7 +516,7 @@
   }
 }
 
-void World::ask_instance(Instance &one, int kind, const NewsWanted &wanted) {
+void World::ask_instance(Instance &one, int kind, const NewsAction &wanted) {
   Instance *relay = find(wanted.instance);
   unsigned call = ++one.open[kind];
   StorePosition since = wanted.call.operation == STORE_WATCH
@@ -533,7 +535,7 @@
         follower_answer(&relay->source[kind].follower, &query, &known);
         /* as io/status_server.c writes it, and io/store_link.c reads it */
         GBytes *text = news_write_reply(&known);
-        int status = news_status(&known);
+        int status = news_reply_status(&known);
         gsize size = g_bytes_get_size(text);
         auto body = std::make_shared<std::string>(
             static_cast<const char *>(g_bytes_get_data(text, nullptr)), size);
--- a/test/relay_world.h
+++ b/test/relay_world.h
@@ -114,7 +114,7 @@
   std::vector<std::unique_ptr<Instance>> all;
   gint64 now = 1000 * second;
   /* set before the start */
-  RelayTimes times = {watch_wait, 3 * second};
+  RelayTiming times = {watch_wait, 3 * second};
   bool store_up = true;
   gint64 staleness = 1500 * ms; /* of a stale list */
   /* of the configuration, which each change writes anew, but for one; 0: its
@@ -168,8 +168,8 @@
   void later(Instance &one, gint64 wait, std::function<void()> act);
   void look(Instance &one, int kind);
   void look_all(Instance &one);
-  void ask_store(Instance &one, int kind, const NewsWanted &wanted);
-  void ask_instance(Instance &one, int kind, const NewsWanted &wanted);
+  void ask_store(Instance &one, int kind, const NewsAction &wanted);
+  void ask_instance(Instance &one, int kind, const NewsAction &wanted);
   void reply(Instance &one, int kind, unsigned call, const StoreReply &reply);
   void fail_after(Instance &one, int kind, unsigned call, gint64 wait);
   StoreReply list(StoreKind kind, bool stale) const;
--- a/test/router_world.cc
+++ b/test/router_world.cc
@@ -97,7 +97,7 @@
 }
 
 World::World(guint32 slack, double ratio, gint64 lease_length,
-             const char *self, gint64 revoke_bound, const char *zone) {
+             const char *self, gint64 proof_age_max, const char *zone) {
   RouterHost host = {this,      on_dispatch, on_cancel,
                      on_answer, on_refuse,   on_break_off,
                      on_log,    on_note,     on_lease_call};
@@ -111,11 +111,11 @@
   options.self = mp_addr_parse(self);
   options.lease_length = lease_length;
   options.limits = {0.1, 1000, 8 * second};
-  options.revoke_bound = revoke_bound;
-  options.news_bound = news_bound;
+  options.proof_age_max = proof_age_max;
+  options.news_age_max = news_age_max;
   router = router_new(&options, &host, now);
   router_set_instances(router, 1, 1);
-  router_news_heard(router, now);
+  router_store_answered(router, now);
 }
 
 World::~World() {
@@ -148,7 +148,7 @@
   llm->name = g_strdup("llm");
   llm->is_engine = TRUE;
   llm->kv_tokens = 10000;
-  llm->event_tokens = 10;
+  llm->tokens_per_event = 10;
   llm->handle_life = 500 * ms;
   llm->switch_time = 6 * second;
   table->version = version;
@@ -182,7 +182,7 @@
   record.address = mp_addr_parse("10.0.0.1:80");
   record.ready = ready;
   record.stage = place.stage;
-  record.born_unix_ms = born_unix_ms;
+  record.started_unix_ms = started_unix_ms;
   record.position = store_position(era, revision);
   router_set_endpoint(router, &record, gone, now);
 }
--- a/test/router_world.h
+++ b/test/router_world.h
@@ -23,7 +23,7 @@
 constexpr gint64 second = 1000 * ms;
 
 /* how old news may be that say there is no route */
-constexpr gint64 news_bound = 2500 * ms;
+constexpr gint64 news_age_max = 2500 * ms;
 
 /* a dispatch as it was asked for */
 struct Sent {
@@ -71,7 +71,7 @@
 
 /* signals of an answer that served its request */
 EndpointSignals signals_served();
-/* the same of one that names this rate; RATE_ANY: none */
+/* the same of one that names this rate; RATE_UNLIMITED: none */
 EndpointSignals signals_rate(double rate);
 /* of an answer that says that the endpoint leaves */
 EndpointSignals signals_leaving();
@@ -95,11 +95,11 @@
 };
 
 /* the hash of an endpoint's life; 0: it began at a time that is not known */
-inline guint32 life_of(const char *id, gint64 born_unix_ms = 0) {
+inline guint32 life_of(const char *id, gint64 started_unix_ms = 0) {
   EndpointRecord record = {};
   record.id = const_cast<char *>(id);
-  record.born_unix_ms = born_unix_ms;
-  return endpoint_life_hash(&record);
+  record.started_unix_ms = started_unix_ms;
+  return endpoint_incarnation_hash(&record);
 }
 
 class World {
@@ -107,7 +107,7 @@
   /* by default the retry budget is no matter, and no orders are given */
   explicit World(guint32 slack = 0, double ratio = 10.0,
                  gint64 lease_length = 0, const char *self = "10.0.0.5:1",
-                 gint64 revoke_bound = 0, const char *zone = "a");
+                 gint64 proof_age_max = 0, const char *zone = "a");
   ~World();
   World(const World &) = delete;
   World &operator=(const World &) = delete;
@@ -159,7 +159,7 @@
   /* digest of what callers ask for; 0: each asks for something else */
   guint64 content = 0;
   /* start of the life that the next record of an endpoint tells, Unix ms */
-  gint64 born_unix_ms = 0;
+  gint64 started_unix_ms = 0;
   /* that the next record of an endpoint has in the store */
   gint64 revision = 0;
   guint64 era = 0; /* of the store */
--- a/test/test_account_limits.cc
+++ b/test/test_account_limits.cc
@@ -100,7 +100,7 @@
       const One &other = all[i];
       gint64 at =
           other.zone == one.zone ? one.heard[i] : one.zone_heard[other.zone];
-      out.heard += &other != &one && now - at < ACCOUNT_SILENCE;
+      out.heard += &other != &one && now - at < ACCOUNT_PEER_TIMEOUT;
     }
     return out;
   }
@@ -119,19 +119,19 @@
         continue;
       to.heard[from] = now;
       LimitSharers who = sharers(to);
-      account_limits_hear(to.limits, from + 1, &digest, &who, now);
+      account_limits_receive(to.limits, from + 1, &digest, &who, now);
     }
   }
   void tell_far(size_t from) {
     mp_LoadDigest digest = {};
     all[from].summary_at = now;
-    account_limits_write_sum(all[from].limits, &digest);
+    account_limits_write_summary(all[from].limits, &digest);
     for (auto &to : all) {
       if (to.zone == all[from].zone || !reaches(all[from], to))
         continue;
       to.zone_heard[all[from].zone] = now;
       LimitSharers who = sharers(to);
-      account_limits_hear_sum(to.limits, from + 1, &digest, &who, now);
+      account_limits_receive_summary(to.limits, from + 1, &digest, &who, now);
     }
   }
   /* the first instance of each zone on each side is the relay */
@@ -153,7 +153,8 @@
         continue;
       gint64 since = now - all[i].summary_at;
       if (since >= 200 * ms ||
-          (since >= 30 * ms && account_limits_untold(all[i].limits) > 0.1))
+          (since >= 30 * ms &&
+           account_limits_unreported_share(all[i].limits) > 0.1))
         tell_far(i);
     }
   }
@@ -162,8 +163,8 @@
     gint64 come_back = 0;
     std::uniform_real_distribution<double> draw(0, 1);
     asked++;
-    if (!account_limits_take(one.limits, account, cost, &who, draw(random),
-                             now, &come_back)) {
+    if (!account_limits_admit(one.limits, account, cost, &who, draw(random),
+                              now, &come_back)) {
       EXPECT_GE(come_back, 100 * ms);
       EXPECT_LE(come_back, 3 * second);
       return false;
@@ -360,15 +361,15 @@
     mp_LoadDigest digest = {};
     digest.account_count = 1;
     digest.account[0] = {g_str_hash("first"), steps, MP_LEVEL_UNKNOWN};
-    account_limits_hear(limits, 99, &digest, &both, world.now);
+    account_limits_receive(limits, 99, &digest, &both, world.now);
   }
   double level() const {
     return account_limits_level(limits, "first");
   }
   bool take(double draw, const LimitSharers &who) {
     gint64 come_back = 0;
-    return account_limits_take(limits, world.account, cost, &who, draw,
-                               world.now, &come_back);
+    return account_limits_admit(limits, world.account, cost, &who, draw,
+                                world.now, &come_back);
   }
 };
 
@@ -381,7 +382,7 @@
 
 TEST_F(Alone, WhatWasSpentOutOfReachIsNotCharged) {
   hear(10);
-  world.now += ACCOUNT_SILENCE + 100 * ms;
+  world.now += ACCOUNT_PEER_TIMEOUT + 100 * ms;
   hear(10 + 1000);
   EXPECT_NEAR(level(), large_rate, 1);
 }
--- a/test/test_accounts.cc
+++ b/test/test_accounts.cc
@@ -51,11 +51,11 @@
 
 TEST_F(Accounts, AnInstanceThatLacksAChangeDoesNotSayThatAKeyIsUnknown) {
   NewsState news = {};
-  router_set_news(world.router, &news);
-  news_state_name(&news, store_position(0, 101), world.now);
+  router_set_news_state(world.router, &news);
+  news_state_advance_newest(&news, store_position(0, 101), world.now);
   world.key = "key-4";
   EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_OLD_CONFIGURATION);
-  news_state_hold(&news, store_position(0, 101), world.now);
+  news_state_advance_held(&news, store_position(0, 101), world.now);
   EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
 }
 
@@ -151,7 +151,7 @@
   EXPECT_EQ(world.dispatches.size(), 1u);
   EXPECT_EQ(world.end(last).refusals, 0);
   world.advance(1 * ms);
-  EXPECT_FALSE(router_configured(world.router, world.now));
+  EXPECT_FALSE(router_is_configured(world.router, world.now));
   guint64 late = world.request("/safe/x");
   EXPECT_EQ(refusal(late), REFUSAL_OLD_CONFIGURATION);
   EXPECT_GT(world.end(late).retry_after_ms, 0);
--- a/test/test_bad_entries.cc
+++ b/test/test_bad_entries.cc
@@ -87,14 +87,14 @@
   EXPECT_STREQ(at(reply, 0).name, "i-1");
   EXPECT_STREQ(at(reply, reply.objects->len - 1).name, "i-1");
   EXPECT_NE(at(reply, 0).text, nullptr);
-  EXPECT_EQ(reply.nameless, bad.has_name ? 0u : 1u) << bad.what;
+  EXPECT_EQ(reply.unreadable_names, bad.has_name ? 0u : 1u) << bad.what;
   if (!bad.has_name)
     return;
   EndpointRecord record;
   EXPECT_STREQ(at(reply, 1).name, "i-2");
   EXPECT_EQ(at(reply, 1).position.revision, 8);
-  EXPECT_FALSE(
-      platform_read_record("i-2", at(reply, 1).text, &record, nullptr))
+  EXPECT_FALSE(platform_read_endpoint_record("i-2", at(reply, 1).text, &record,
+                                             nullptr))
       << bad.what;
 }
 
@@ -172,7 +172,8 @@
 bool is_read(const std::string &text, std::string *message) {
   EndpointRecord record;
   GError *error = nullptr;
-  bool good = platform_read_record("i-1", text.c_str(), &record, &error);
+  bool good =
+      platform_read_endpoint_record("i-1", text.c_str(), &record, &error);
   *message = error != nullptr ? error->message : "";
   g_clear_error(&error);
   if (good)
@@ -234,8 +235,9 @@
 RecordField field_of(const std::string &text) {
   EndpointRecord record;
   GError *error = nullptr;
-  EXPECT_FALSE(platform_read_record("i-1", text.c_str(), &record, &error));
-  RecordField field = record_fault_field(error);
+  EXPECT_FALSE(
+      platform_read_endpoint_record("i-1", text.c_str(), &record, &error));
+  RecordField field = record_error_field(error);
   g_clear_error(&error);
   return field;
 }
@@ -250,8 +252,8 @@
   EXPECT_EQ(field_of(spec("State", "1")), RECORD_STATE);
   EXPECT_EQ(field_of(spec("Slots", "-1")), RECORD_SLOTS);
   EXPECT_EQ(field_of(spec("Stage", "1")), RECORD_STAGE);
-  EXPECT_EQ(field_of(spec("ColdLeftMs", "-1")), RECORD_COLD_TIME);
-  EXPECT_EQ(field_of(spec("born", "-1")), RECORD_LIFE);
+  EXPECT_EQ(field_of(spec("ColdLeftMs", "-1")), RECORD_WARMUP_TIME);
+  EXPECT_EQ(field_of(spec("born", "-1")), RECORD_INCARNATION);
   for (int i = 0; i < RECORD_FIELD_COUNT; i++)
     EXPECT_NE(record_field_name(static_cast<RecordField>(i)), nullptr);
 }
@@ -264,7 +266,7 @@
         std::tuple{"1f", R"({"Crashes":["x"]})", RECORD_CRASHES}}) {
     GError *error = nullptr;
     EXPECT_FALSE(platform_read_quarantine(name, text, &record, &error));
-    EXPECT_EQ(record_fault_field(error), field) << name << " " << text;
+    EXPECT_EQ(record_error_field(error), field) << name << " " << text;
     g_clear_error(&error);
   }
 }
@@ -309,15 +311,15 @@
   std::vector<std::string> found;
   ASSERT_TRUE(json_span_member(object, "a", &array));
   ASSERT_TRUE(json_span_is_array(array));
-  while (json_span_next(&array, &one))
+  while (json_span_next_element(&array, &one))
     found.emplace_back(one.text, one.size);
   EXPECT_EQ(found, (std::vector<std::string>{"1", R"("x,]\"}")",
                                              R"({"b":[2]})", "null"}));
   ASSERT_TRUE(json_span_member(object, "c", &one));
-  EXPECT_EQ(json_span_number(one), 5);
+  EXPECT_EQ(json_span_parse_count(one), 5);
   EXPECT_FALSE(json_span_member(object, "b", &one));
-  EXPECT_EQ(json_span_number({"-3", 2}), -1);
-  EXPECT_EQ(json_span_number({"12x", 3}), -1);
+  EXPECT_EQ(json_span_parse_count({"-3", 2}), -1);
+  EXPECT_EQ(json_span_parse_count({"12x", 3}), -1);
 }
 
 } // namespace
--- a/test/test_broken_lists.cc
+++ b/test/test_broken_lists.cc
@@ -102,7 +102,7 @@
   EXPECT_EQ(named, form.has_name);
   /* what it may hide is told, and one that could be cut out is counted */
   EXPECT_TRUE(form.has_name || form.text.empty() || reply.partial ||
-              reply.nameless == 1);
+              reply.unreadable_names == 1);
   EXPECT_FALSE(reply.partial && form.has_name);
   std::string name = form.name;
   EXPECT_EQ(reply.partial,
@@ -159,7 +159,7 @@
   StoreReply reply = read(list({item(1), item(2)}), &good);
   ASSERT_TRUE(good);
   EXPECT_FALSE(reply.partial);
-  EXPECT_EQ(reply.nameless, 0u);
+  EXPECT_EQ(reply.unreadable_names, 0u);
   store_reply_clear(&reply);
 }
 
--- a/test/test_config_proof.cc
+++ b/test/test_config_proof.cc
@@ -30,7 +30,7 @@
 
   void SetUp() override {
     config_proof_init(&proof);
-    config_proof_know(&proof, at_revision(10));
+    config_proof_advance_known(&proof, at_revision(10));
   }
   void TearDown() override {
     config_proof_clear(&proof);
@@ -47,7 +47,7 @@
     return out;
   }
   void hear(const mp_RelayHeartbeat &heard) {
-    config_proof_by_relay(&proof, relay, &heard, now);
+    config_proof_apply_heartbeat(&proof, relay, &heard, now);
   }
   /* asked now, answered after 2 ms */
   void bound_clock() {
@@ -64,10 +64,10 @@
 TEST_F(Proof, AHeartbeatOfAnUnknownClockProvesNothing) {
   hear(beat(now));
   EXPECT_EQ(proof.at, 0);
-  EXPECT_TRUE(config_proof_must_ask(&proof, relay, now));
+  EXPECT_TRUE(config_proof_must_bound_clock(&proof, relay, now));
   bound_clock();
   EXPECT_GT(proof.at, 0);
-  EXPECT_FALSE(config_proof_must_ask(&proof, relay, now));
+  EXPECT_FALSE(config_proof_must_bound_clock(&proof, relay, now));
 }
 
 TEST_F(Proof, WithABoundClockItIsThatMuchBeforeItWasSent) {
@@ -102,7 +102,7 @@
   now += 500 * ms;
   hear(beat(now, 0, 11));
   EXPECT_EQ(proof.at, before);
-  config_proof_know(&proof, at_revision(11));
+  config_proof_advance_known(&proof, at_revision(11));
   hear(beat(now, 0, 11));
   EXPECT_GT(proof.at, before);
 }
@@ -117,7 +117,7 @@
   other.changed[STORE_CONFIGURATION].era = 1;
   hear(other);
   EXPECT_EQ(proof.at, before);
-  config_proof_know(&proof, store_position(2, 31));
+  config_proof_advance_known(&proof, store_position(2, 31));
   hear(other);
   EXPECT_EQ(proof.at, before);
   other.changed[STORE_CONFIGURATION].era = 2;
@@ -143,7 +143,7 @@
 }
 
 TEST_F(Proof, WhatIsToldOnIsNeverLater) {
-  config_proof_by_store(&proof, now - 1);
+  config_proof_confirm_by_store(&proof, now - 1);
   EXPECT_EQ(config_proof_age_ms(&proof, now), 1u);
 }
 
--- a/test/test_connections.cc
+++ b/test/test_connections.cc
@@ -51,8 +51,8 @@
     fleet.pass(10 * second);
     for (const Plain &endpoint : fleet.endpoints) {
       EXPECT_EQ(endpoint.resets, 0u);
-      EXPECT_LE(endpoint.most_connections, GetParam().most);
-      EXPECT_GE(endpoint.most_connections, 0.9 * GetParam().most);
+      EXPECT_LE(endpoint.connections_max, GetParam().most);
+      EXPECT_GE(endpoint.connections_max, 0.9 * GetParam().most);
     }
   }
 }
@@ -161,7 +161,8 @@
   EndpointRecord record = {};
   record.id = const_cast<char *>("app-1");
   told.n = 1;
-  told.row[0] = {endpoint_life_hash(&record), 40 * MP_TOKEN_BLOCK, 3, 0};
+  told.row[0] = {endpoint_incarnation_hash(&record), 40 * MP_TOKEN_BLOCK, 3,
+                 0};
   router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), 1, &told,
                    world.now);
   router_load_digest(world.router, &digest, world.now);
@@ -179,7 +180,7 @@
   unsigned opened = 0;
   for (const Plain &endpoint : fleet.endpoints) {
     arrived += static_cast<unsigned>(endpoint.arrivals.size());
-    opened += endpoint.most_connections;
+    opened += endpoint.connections_max;
     EXPECT_EQ(endpoint.resets, 0u);
   }
   EXPECT_GT(arrived, 500u);
--- a/test/test_crash_watch.cc
+++ b/test/test_crash_watch.cc
@@ -55,7 +55,7 @@
 
   void broken(guint64 content) {
     QuarantineSuspect one = {content, "q", "route", nullptr};
-    crash_watch_broken(watch, &endpoint, &one, now);
+    crash_watch_run_broken(watch, &endpoint, &one, now);
   }
   void answer(OutcomeKind kind, gint64 after = 1 * ms) {
     Outcome outcome = {};
@@ -108,12 +108,12 @@
   answer(OUTCOME_UNREACHABLE, 300 * ms);
   now += 3600 * ms;
   crash_watch_expire(watch, now);
-  crash_watch_over(watch, "i-1", 78, "gone", now); /* another life */
+  crash_watch_life_ended(watch, "i-1", 78, "gone", now); /* another life */
   EXPECT_TRUE(told.empty());
-  crash_watch_over(watch, "i-1", 77, "gone", now);
+  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
   ASSERT_EQ(told.size(), 1u);
   EXPECT_EQ(told[0].how, "gone");
-  crash_watch_over(watch, "i-1", 77, "gone", now);
+  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
   EXPECT_EQ(told.size(), 1u);
 }
 
@@ -121,7 +121,7 @@
   broken(1);
   answer(OUTCOME_ANSWER);
   now += 7 * MP_SEC;
-  crash_watch_over(watch, "i-1", 77, "gone", now);
+  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
   EXPECT_TRUE(told.empty());
 }
 
@@ -129,7 +129,7 @@
   endpoint.record.ready = FALSE;
   broken(1);
   EXPECT_EQ(checks, 0u);
-  crash_watch_over(watch, "i-1", 77, "gone", now);
+  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
   EXPECT_TRUE(told.empty());
 }
 
--- a/test/test_crashing_requests.cc
+++ b/test/test_crashing_requests.cc
@@ -105,7 +105,7 @@
         ++it;
         continue;
       }
-      world.born_unix_ms = world.now / ms;
+      world.started_unix_ms = world.now / ms;
       world.endpoint(place);
       it = ended.erase(it);
     }
