--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -98,7 +98,7 @@
   World world;
 
   void SetUp() override {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
   }
   /* this endpoint says so with an answer to something */
@@ -110,8 +110,8 @@
   guint32 life_of(const char *id) {
     EndpointRecord record = {};
     record.id = const_cast<char *>(id);
-    record.born_unix_ms = world.born_unix_ms;
-    return endpoint_life_hash(&record);
+    record.started_unix_ms = world.started_unix_ms;
+    return endpoint_incarnation_hash(&record);
   }
   /* dispatches of this kind at that endpoint */
   unsigned sent(DispatchKind kind, const char *id) const {
@@ -156,7 +156,7 @@
 
 TEST_F(LeavingWorld, ALaterLifeDoesNotLeave) {
   leave("app-1");
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
   plain_requests(8);
   EXPECT_GT(sent(DISPATCH_RUN, "app-1"), 0u);
@@ -165,7 +165,7 @@
 TEST_F(LeavingWorld, ALaterLifeThatWasOffTheListBetweenDoesNotLeave) {
   leave("app-1");
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, true, true);
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
   plain_requests(8);
   EXPECT_GT(sent(DISPATCH_RUN, "app-1"), 0u);
@@ -175,7 +175,7 @@
 TEST_F(LeavingWorld, AnAnswerOfAnEarlierLifeSaysNothing) {
   guint32 earlier = life_of("app-1");
   EndpointSignals said = routing::signals_leaving();
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
   router_endpoint_signals(world.router, "app-1", earlier, &said, world.now);
   EXPECT_EQ(router_leaving_endpoints(world.router), 0u);
@@ -270,7 +270,7 @@
 /* a life whose start is not said can't be told from a later one */
 TEST_F(LeavingWorld, ALifeOfUnknownStartIsToldToNobody) {
   mp_LoadDigest digest = {};
-  world.born_unix_ms = 0;
+  world.started_unix_ms = 0;
   world.endpoint({"app-9", "app", "a", STAGE_NONE});
   leave("app-9");
   router_load_digest(world.router, &digest, world.now);
--- a/test/test_endpoint_rates.cc
+++ b/test/test_endpoint_rates.cc
@@ -177,7 +177,7 @@
   fleet.name(0, 2);
   fleet.pass(8 * second);
   EXPECT_LE(fleet.arrived(0, fleet.now - 4 * second, fleet.now), 16u);
-  fleet.name(0, RATE_ANY);
+  fleet.name(0, RATE_UNLIMITED);
   fleet.pass(6 * second);
   EXPECT_GE(fleet.arrived(0, fleet.now - 4 * second, fleet.now), before / 2);
 }
@@ -193,7 +193,7 @@
   unsigned asked = fleet.arrived(0, from, fleet.now);
   EXPECT_GE(asked, 2u);
   EXPECT_LE(asked, 8u);
-  fleet.name(0, RATE_ANY);
+  fleet.name(0, RATE_UNLIMITED);
   fleet.pass(10 * second);
   EXPECT_GE(fleet.arrived(0, fleet.now - 2 * second, fleet.now), 10u);
 }
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -97,7 +97,7 @@
   World world;
 
   void SetUp() override {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
   }
   /* the endpoint of this dispatch turns it away, and asks for rest */
@@ -110,9 +110,10 @@
     EndpointRecord record = {};
     EndpointSignals said = routing::signals_rest(time);
     record.id = const_cast<char *>(id);
-    record.born_unix_ms = world.born_unix_ms;
-    router_endpoint_signals(world.router, id, endpoint_life_hash(&record),
-                            &said, world.now);
+    record.started_unix_ms = world.started_unix_ms;
+    router_endpoint_signals(world.router, id,
+                            endpoint_incarnation_hash(&record), &said,
+                            world.now);
   }
   /* where plain requests go, if they end at once */
   unsigned plain_at(const char *id, int count) {
@@ -140,7 +141,7 @@
   EXPECT_EQ(plain_at("app-1", 5), 0u);
   world.advance(3 * second);
   EXPECT_EQ(plain_at("app-1", 5), 0u); /* the margin of its own clock */
-  world.advance(REST_MARGIN);
+  world.advance(REST_CLOCK_MARGIN);
   EXPECT_GT(plain_at("app-1", 5), 0u);
 }
 
@@ -184,15 +185,15 @@
 
 TEST_F(RestWorld, AVeryLongOneIsBelievedForAnHour) {
   ask("app-1", 1000000000LL * second);
-  world.advance(REST_MOST);
+  world.advance(REST_DURATION_MAX);
   EXPECT_EQ(plain_at("app-1", 5), 0u);
-  world.advance(REST_MARGIN);
+  world.advance(REST_CLOCK_MARGIN);
   EXPECT_GT(plain_at("app-1", 5), 0u);
 }
 
 TEST_F(RestWorld, ALaterLifeHasNone) {
   ask("app-1", 30 * second);
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
   EXPECT_GT(plain_at("app-1", 5), 0u);
 }
@@ -214,7 +215,7 @@
   ASSERT_EQ(digest.n, 1u);
   EXPECT_EQ(digest.row[0].failing, 100u);
   World other;
-  other.born_unix_ms = 1000;
+  other.started_unix_ms = 1000;
   other.populate();
   router_set_instances(other.router, 2, 2);
   router_peer_load(other.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
--- a/test/test_far_numbers.cc
+++ b/test/test_far_numbers.cc
@@ -30,7 +30,7 @@
                                    "18446744073709551615"};
 
 gint64 idle_limit(const std::string &value) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   EndpointHead read;
   http_head_add(head, "Keep-Alive", value.c_str());
   platform_read_endpoint(head, &read);
@@ -51,7 +51,7 @@
 }
 
 gint64 deadline_ms(const char *value) {
-  HttpHead *head = http_head_request("POST", "/a");
+  HttpHead *head = http_head_new_request("POST", "/a");
   CallerHead read;
   http_head_add(head, "Host", "h.example");
   http_head_add(head, "Request-Id", "1");
@@ -131,8 +131,8 @@
     mp_LoadDigest digest = {};
     account_limits_write(limits, &digest);
     EXPECT_LE(digest.account[0].level, (unsigned)MP_LEVEL_UNKNOWN);
-    gboolean passed = account_limits_take(limits, account, 1e30, &both, 0.999,
-                                          101 * MP_SEC, &come_back);
+    gboolean passed = account_limits_admit(limits, account, 1e30, &both, 0.999,
+                                           101 * MP_SEC, &come_back);
     EXPECT_TRUE(passed || come_back >= 1 * MP_SEC) << rate;
     account_limits_free(limits);
     route_table_unref(table);
--- a/test/test_follower.cc
+++ b/test/test_follower.cc
@@ -35,7 +35,7 @@
   gint64 next_within = G_MAXINT64;
 
   void look() {
-    next_within = std::min(next_within, follower_next_call(&follower));
+    next_within = std::min(next_within, follower_next_call_time(&follower));
   }
 
   void SetUp() override {
@@ -82,7 +82,7 @@
 
   StoreCall call() {
     StoreCall out;
-    follower_begin(&follower, FALSE, &out);
+    follower_begin_call(&follower, FALSE, &out);
     return out;
   }
   void answer(StoreStatus status, gint64 at = 0,
@@ -98,7 +98,7 @@
                             row.text == nullptr, g_strdup(row.text), nullptr};
       g_array_append_val(reply.objects, object);
     }
-    follower_reply(&follower, &reply, now);
+    follower_handle_reply(&follower, &reply, now);
     store_reply_clear(&reply);
   }
 };
@@ -167,7 +167,7 @@
   call();
   answer(STORE_OK, 13, {{"e", 13, "5"}});
   EXPECT_EQ(next_within, G_MAXINT64);
-  EXPECT_LE(follower_next_call(&follower), now + 150 * MP_MS);
+  EXPECT_LE(follower_next_call_time(&follower), now + 150 * MP_MS);
 }
 
 TEST_F(Follow, EventsTakeEffectAndMoveTheRevision) {
@@ -259,16 +259,16 @@
 TEST_F(Follow, AnOutageIsToldOnceAndWaitsGrow) {
   call();
   answer(STORE_FAILED);
-  gint64 first = follower_next_call(&follower) - now;
+  gint64 first = follower_next_call_time(&follower) - now;
   call();
   answer(STORE_FAILED);
-  gint64 second = follower_next_call(&follower) - now;
+  gint64 second = follower_next_call_time(&follower) - now;
   EXPECT_GT(second, first);
   for (int i = 0; i < 10; i++) {
     call();
     answer(STORE_FAILED);
   }
-  EXPECT_LE(follower_next_call(&follower) - now, 1 * MP_SEC);
+  EXPECT_LE(follower_next_call_time(&follower) - now, 1 * MP_SEC);
   EXPECT_EQ(lost, 1);
   call();
   answer(STORE_OK, 10);
@@ -288,13 +288,13 @@
 TEST_F(Follow, NewsThatComeTogetherCostOneCall) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
-  EXPECT_EQ(follower_next_call(&follower), now);
+  EXPECT_EQ(follower_next_call_time(&follower), now);
   call();
   answer(STORE_OK, 11, {{"b", 11, "2"}});
-  EXPECT_EQ(follower_next_call(&follower), now + 150 * MP_MS);
+  EXPECT_EQ(follower_next_call_time(&follower), now + 150 * MP_MS);
   call();
   answer(STORE_OK, 11); /* a watch that waited in vain */
-  EXPECT_EQ(follower_next_call(&follower), now);
+  EXPECT_EQ(follower_next_call_time(&follower), now);
 }
 
 TEST_F(Follow, AfterAFailureTheNextWatchIsShort) {
@@ -309,7 +309,7 @@
 
 TEST_F(Follow, OneCallIsOpenAtATime) {
   call();
-  EXPECT_EQ(follower_next_call(&follower), G_MAXINT64);
+  EXPECT_EQ(follower_next_call_time(&follower), G_MAXINT64);
 }
 
 /* another follower, outside of a test of its own */
@@ -340,7 +340,7 @@
   answer(STORE_OK, 50, {{"stays", 20, "x"}, {"new", 40, "x"}});
   StoreCall asked = member.call();
   answer_of(&follower, asked.position, FALSE, &told);
-  follower_reply(&member.follower, &told, now);
+  follower_handle_reply(&member.follower, &told, now);
   store_reply_clear(&told);
   EXPECT_EQ(member.objects.count("left"), 0u);
   EXPECT_EQ(member.objects.count("stays"), 1u);
@@ -363,7 +363,7 @@
   call();
   answer(STORE_OK, 50, {{"a", 45, "x"}});
   call();
-  follower_reply(&follower, &told, now);
+  follower_handle_reply(&follower, &told, now);
   store_reply_clear(&told);
   EXPECT_EQ(objects.count("a"), 1u);
   EXPECT_EQ(call().position.revision, 50);
@@ -408,18 +408,18 @@
                           g_strdup(text.c_str()), nullptr};
     StoreCall call;
     g_array_append_val(reply.objects, object);
-    follower_begin(to, FALSE, &call);
-    follower_reply(to, &reply, now);
+    follower_begin_call(to, FALSE, &call);
+    follower_handle_reply(to, &reply, now);
     store_reply_clear(&reply);
   }
   /* asks the relay; were changes told in place of the text? */
   bool ask() {
     StoreCall call;
     StoreReply told;
-    follower_begin(&follower, TRUE, &call);
+    follower_begin_call(&follower, TRUE, &call);
     answer_of(&relay, call.position, call.in_full, &told);
     bool changed = g_array_index(told.objects, StoreObject, 0).changes;
-    follower_reply(&follower, &told, now);
+    follower_handle_reply(&follower, &told, now);
     store_reply_clear(&told);
     return changed;
   }
@@ -532,7 +532,7 @@
   unsigned calls = 0;
   gint64 until = now + MP_SEC;
   for (; now < until; now += MP_MS) {
-    if (follower_next_call(&follower) > now)
+    if (follower_next_call_time(&follower) > now)
       continue;
     calls++;
     if (call().operation == STORE_LIST)
@@ -571,7 +571,7 @@
 
   fresh.era = 2;
   fresh.call();
-  fresh.follower.is_stale = TRUE;
+  fresh.follower.open_list_is_stale = TRUE;
   fresh.answer(STORE_OK, 40, {{"a", 38, "1"}, {"b", 39, "1"}});
   fresh.call();
   fresh.answer(STORE_HISTORY_GONE);
@@ -594,9 +594,9 @@
                 {{"a", 38, "1"}, {"b", 20, "1"}, {"d", 41, "1"}});
   restored();
   answer(STORE_OK, 31, {{"a", 30, "2"}, {"b", 31, "leaving"}, {"c", 21, "1"}});
-  follower_begin(&member.follower, TRUE, &asked);
+  follower_begin_call(&member.follower, TRUE, &asked);
   answer_of(&follower, asked.position, FALSE, &told);
-  follower_reply(&member.follower, &told, now);
+  follower_handle_reply(&member.follower, &told, now);
   store_reply_clear(&told);
   EXPECT_EQ(member.objects["a"], "2");
   EXPECT_EQ(member.objects["b"], "leaving");
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -84,7 +84,7 @@
 class History {
 public:
   History() : world(100, 10.0, 3 * second) {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
   }
   /* what was sent though it was forbidden; empty: nothing */
@@ -103,18 +103,18 @@
   guint32 life_of(unsigned i, gint64 born) const {
     EndpointRecord record = {};
     record.id = const_cast<char *>(place[i].id);
-    record.born_unix_ms = born;
-    return endpoint_life_hash(&record);
+    record.started_unix_ms = born;
+    return endpoint_incarnation_hash(&record);
   }
   void record(unsigned i, gint64 revision) {
-    world.born_unix_ms = words[i].born;
+    world.started_unix_ms = words[i].born;
     world.revision = revision;
     world.endpoint(place[i], words[i].ready);
   }
   /* the words of an answer, told to the router and to the model */
   void tell(unsigned i, guint32 life, unsigned how) {
-    static const gint64 rests[] = {0,          200 * ms,    second,
-                                   3 * second, 20 * second, REST_MOST * 2};
+    static const gint64 rests[] = {
+        0, 200 * ms, second, 3 * second, 20 * second, REST_DURATION_MAX * 2};
     EndpointSignals signals = how % 7 == 0   ? signals_leaving()
                               : how % 2 == 0 ? signals_served()
                                              : signals_rest(rests[how % 6]);
@@ -128,9 +128,9 @@
     if (signals.rest == SIGNAL_GIVEN && signals.rest_time > 0) {
       if (words[i].rest_until <= world.now)
         words[i].released = false;
-      words[i].rest_until =
-          std::max(words[i].rest_until,
-                   world.now + std::min<gint64>(signals.rest_time, REST_MOST));
+      words[i].rest_until = std::max(
+          words[i].rest_until,
+          world.now + std::min<gint64>(signals.rest_time, REST_DURATION_MAX));
     }
   }
   unsigned place_of(const std::string &id) const {
--- a/test/test_held.cc
+++ b/test/test_held.cc
@@ -26,7 +26,7 @@
     news.row[0].n = count;
     for (unsigned i = 0; i < count; i++)
       news.row[0].crash[i] = 100 + i;
-    router_hear_crashes(world.router, &news, world.now);
+    router_receive_crashes(world.router, &news, world.now);
   }
   void expect_held(guint64 request) {
     EXPECT_EQ(world.end(request).refusals, 1);
@@ -94,7 +94,7 @@
     for (const Sent &check : checks)
       world.outcome(check.number, OUTCOME_UNREACHABLE);
     world.advance(5 * second);
-    world.born_unix_ms += 1000;
+    world.started_unix_ms += 1000;
     world.endpoint({"app-1", "app", "a", STAGE_NONE});
     world.endpoint({"app-2", "app", "b", STAGE_NONE});
   }
--- a/test/test_http.cc
+++ b/test/test_http.cc
@@ -23,7 +23,7 @@
   std::string body;
 
   explicit Reading(HttpReaderKind kind) {
-    static const HttpReaderHooks hooks = {on_head, on_body};
+    static const HttpReaderCallbacks hooks = {on_head, on_body};
     reader = http_reader_new(kind, &hooks, this);
   }
   ~Reading() {
@@ -64,7 +64,7 @@
 
 TEST(Reader, StopsBehindAWholeAnswer) {
   for (size_t step : {1, 2, 7, 1000}) {
-    Reading r(HTTP_ANSWERS);
+    Reading r(HTTP_RESPONSES);
     std::string bytes = std::string(answer) + "HTTP/1.1 200 OK\r\n";
     EXPECT_EQ(r.feed(bytes, step), std::string(answer).size()) << step;
     EXPECT_EQ(r.state(), HTTP_READER_DONE);
@@ -74,9 +74,9 @@
 }
 
 TEST(Reader, GoesOnWithTheNextMessage) {
-  Reading r(HTTP_ANSWERS);
+  Reading r(HTTP_RESPONSES);
   r.feed(answer);
-  http_reader_next(r.reader);
+  http_reader_start_next(r.reader);
   EXPECT_EQ(r.state(), HTTP_READER_IDLE);
   r.body.clear();
   r.feed(answer);
@@ -85,7 +85,7 @@
 }
 
 TEST(Reader, JoinsChunks) {
-  Reading r(HTTP_ANSWERS);
+  Reading r(HTTP_RESPONSES);
   r.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
          "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n",
          1);
@@ -94,10 +94,10 @@
 }
 
 TEST(Reader, WithoutALengthOnlyAGoodEndMakesItWhole) {
-  Reading r(HTTP_ANSWERS);
+  Reading r(HTTP_RESPONSES);
   r.feed("HTTP/1.1 200 OK\r\n\r\nabc");
   EXPECT_EQ(r.state(), HTTP_READER_PARTIAL);
-  http_reader_end(r.reader);
+  http_reader_handle_eof(r.reader);
   EXPECT_EQ(r.state(), HTTP_READER_DONE);
 }
 
@@ -106,10 +106,10 @@
        {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab",
         "HTTP/1.1 200 OK\r\nContent-Le"}) {
-    Reading r(HTTP_ANSWERS);
+    Reading r(HTTP_RESPONSES);
     r.feed(bytes);
-    http_reader_end(r.reader);
-    EXPECT_EQ(r.state(), HTTP_READER_BAD) << bytes;
+    http_reader_handle_eof(r.reader);
+    EXPECT_EQ(r.state(), HTTP_READER_FAILED) << bytes;
   }
 }
 
@@ -123,20 +123,20 @@
         "\x01\x02garbage\r\n\r\n"}) {
     Reading r(HTTP_REQUESTS);
     r.feed(bytes);
-    EXPECT_EQ(r.state(), HTTP_READER_BAD) << bytes;
-    EXPECT_EQ(http_reader_fault(r.reader), HTTP_FAULT_SYNTAX) << bytes;
+    EXPECT_EQ(r.state(), HTTP_READER_FAILED) << bytes;
+    EXPECT_EQ(http_reader_error(r.reader), HTTP_ERROR_SYNTAX) << bytes;
   }
 }
 
 TEST(Reader, LimitsAreTold) {
   Reading head(HTTP_REQUESTS);
-  http_reader_limit(head.reader, 100, 10);
+  http_reader_set_limits(head.reader, 100, 10);
   head.feed("GET / HTTP/1.1\r\nX: " + std::string(200, 'x') + "\r\n\r\n");
-  EXPECT_EQ(http_reader_fault(head.reader), HTTP_FAULT_HEAD_SIZE);
+  EXPECT_EQ(http_reader_error(head.reader), HTTP_ERROR_HEAD_TOO_LARGE);
   Reading body(HTTP_REQUESTS);
-  http_reader_limit(body.reader, 100, 10);
+  http_reader_set_limits(body.reader, 100, 10);
   body.feed("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n12345678901");
-  EXPECT_EQ(http_reader_fault(body.reader), HTTP_FAULT_BODY_SIZE);
+  EXPECT_EQ(http_reader_error(body.reader), HTTP_ERROR_BODY_TOO_LARGE);
 }
 
 TEST(Reader, KeepsTheTargetAsItCame) {
@@ -156,16 +156,16 @@
     int changes = 1 + static_cast<int>(random() % 4);
     for (int k = 0; k < changes; k++)
       bytes[random() % bytes.size()] = static_cast<char>(random());
-    Reading r(i % 2 ? HTTP_ANSWERS : HTTP_REQUESTS);
-    http_reader_limit(r.reader, 4096, 4096);
+    Reading r(i % 2 ? HTTP_RESPONSES : HTTP_REQUESTS);
+    http_reader_set_limits(r.reader, 4096, 4096);
     EXPECT_LE(r.feed(bytes, 1 + random() % 40), bytes.size());
-    http_reader_end(r.reader);
+    http_reader_handle_eof(r.reader);
   }
 }
 
 TEST(Head, ConnectionFieldsAreNotPassedOn) {
-  HttpHead *from = http_head_answer(200);
-  HttpHead *to = http_head_answer(200);
+  HttpHead *from = http_head_new_response(200);
+  HttpHead *to = http_head_new_response(200);
   http_head_add(from, "Connection", "close, X-Hop");
   http_head_add(from, "X-Hop", "1");
   http_head_add(from, "Keep-Alive", "timeout=5");
@@ -194,7 +194,7 @@
       last = id;
     g_free(id);
   }
-  *left = event_splitter_pending(&splitter);
+  *left = event_splitter_pending_size(&splitter);
   std::string out(whole->str, whole->len);
   g_string_free(whole, TRUE);
   event_splitter_clear(&splitter);
@@ -234,14 +234,14 @@
 
 guint64 digest_of(const char *host, const char *target, const char *id,
                   const std::string &body) {
-  HttpHead *head = http_head_request("POST", target);
+  HttpHead *head = http_head_new_request("POST", target);
   GByteArray *bytes = g_byte_array_new();
   guint64 digest;
   http_head_add(head, "Host", host);
   http_head_add(head, "Request-Id", id);
   g_byte_array_append(bytes, reinterpret_cast<const guint8 *>(body.data()),
                       static_cast<guint>(body.size()));
-  digest = content_digest(head, bytes);
+  digest = request_content_digest(head, bytes);
   g_byte_array_free(bytes, TRUE);
   http_head_free(head);
   return digest;
--- a/test/test_large_configuration.cc
+++ b/test/test_large_configuration.cc
@@ -169,23 +169,24 @@
 
 /* its members would take its word for the newest one */
 TEST(Relays, OneThatLacksWhatItHearsOfIsNotFreshByIt) {
-  RelayTimes times = {watch_wait, bound};
+  RelayTiming times = {watch_wait, bound};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
   mp_RelayHeartbeat told = {};
   gint64 now = 10 * second;
-  relay_group_hold(group, STORE_CONFIGURATION, at_revision(100), now);
-  relay_group_hold(group, STORE_ENDPOINTS, at_revision(100), now);
+  relay_group_advance_held(group, STORE_CONFIGURATION, at_revision(100), now);
+  relay_group_advance_held(group, STORE_ENDPOINTS, at_revision(100), now);
   told.changed[STORE_CONFIGURATION] = at_revision(100);
   told.age_ms = 50;
-  relay_group_hear(group, 99, &told, now);
+  relay_group_receive_heartbeat(group, 99, &told, now);
   EXPECT_EQ(relay_group_age(group, now), 50 * ms);
   told.changed[STORE_CONFIGURATION] = at_revision(101);
-  for (; now < 14 * second; now += RELAY_BEAT)
-    relay_group_hear(group, 99, &told, now);
+  for (; now < 14 * second; now += RELAY_HEARTBEAT_INTERVAL)
+    relay_group_receive_heartbeat(group, 99, &told, now);
   EXPECT_GE(relay_group_age(group, now), 4 * second);
   EXPECT_GE(relay_group_news_age(group, now), 4 * second);
-  relay_group_hold(group, STORE_CONFIGURATION, at_revision(101), now);
-  EXPECT_EQ(relay_group_news_age(group, now), RELAY_BEAT + 50 * ms);
+  relay_group_advance_held(group, STORE_CONFIGURATION, at_revision(101), now);
+  EXPECT_EQ(relay_group_news_age(group, now),
+            RELAY_HEARTBEAT_INTERVAL + 50 * ms);
   relay_group_free(group);
 }
 
--- a/test/test_lease.cc
+++ b/test/test_lease.cc
@@ -39,7 +39,7 @@
   /* the next call, waited for if need be; -1 when none comes in 30 s */
   int next() {
     for (int i = 0; i < 300; i++, now += second / 10) {
-      if (lease_step(&lease, &call, &record, now))
+      if (lease_begin_call(&lease, &call, &record, now))
         return call.operation;
     }
     return -1;
@@ -52,10 +52,10 @@
     reply.era = era;
     reply.record.holder = const_cast<char *>(holder);
     reply.record.term = term;
-    lease_reply(&lease, &reply, now);
+    lease_handle_reply(&lease, &reply, now);
   }
   bool held() const {
-    return lease_held(&lease, 0, now);
+    return lease_is_held(&lease, 0, now);
   }
 };
 
@@ -78,7 +78,7 @@
 
 TEST_F(Leased, IsCreatedWhereThereIsNone) {
   ASSERT_EQ(next(), STORE_READ);
-  answer(STORE_ABSENT);
+  answer(STORE_NOT_FOUND);
   EXPECT_FALSE(held());
   ASSERT_EQ(next(), STORE_CREATE);
   EXPECT_STREQ(call.lease->holder, "me");
@@ -89,7 +89,7 @@
 
 TEST_F(Leased, LapsesCountedFromTheCallNotFromItsAnswer) {
   next();
-  answer(STORE_ABSENT);
+  answer(STORE_NOT_FOUND);
   next();
   now += 2 * second; /* the store was slow */
   answer(STORE_OK, 7);
@@ -119,7 +119,7 @@
   answer(STORE_OK, 40, "other", 5);
   while (next() == STORE_READ)
     answer(STORE_OK, 40, "other", 5);
-  answer(STORE_EXISTS, 44, "third", 6); /* somebody was faster */
+  answer(STORE_CONFLICT, 44, "third", 6); /* somebody was faster */
   seen = now;
   EXPECT_FALSE(held());
   while (next() == STORE_READ)
@@ -131,7 +131,7 @@
 TEST_F(Leased, OnesOwnIsTakenAgainAtOnceUnderAHigherFence) {
   gint64 first;
   next();
-  answer(STORE_ABSENT);
+  answer(STORE_NOT_FOUND);
   next();
   answer(STORE_OK, 7, "me", 1);
   first = now;
@@ -145,7 +145,7 @@
 
 TEST_F(Leased, ACallWithoutAnswerGivesNothingAndIsReadFirst) {
   next();
-  answer(STORE_ABSENT);
+  answer(STORE_NOT_FOUND);
   next();
   answer(STORE_FAILED); /* it may have been done, or be done later */
   EXPECT_FALSE(held());
@@ -161,10 +161,10 @@
 TEST_F(Leased, OneThatIsLostIsNotHeldAndRests) {
   gint64 lost;
   next();
-  answer(STORE_ABSENT);
+  answer(STORE_NOT_FOUND);
   next();
   answer(STORE_OK, 7);
-  lease_lose(&lease, now);
+  lease_give_up(&lease, now);
   lost = now;
   EXPECT_FALSE(held());
   EXPECT_EQ(next(), STORE_READ);
@@ -180,7 +180,7 @@
 TEST_F(Leased, OneCallAtATime) {
   next();
   EXPECT_EQ(next(), -1);
-  EXPECT_EQ(lease_next(&lease), G_MAXINT64);
+  EXPECT_EQ(lease_next_call_time(&lease), G_MAXINT64);
 }
 
 /*
@@ -192,12 +192,12 @@
 TEST_F(Leased, IsNotHeldOverAChangeOfEra) {
   era = 1;
   while (next() == STORE_READ)
-    answer(STORE_ABSENT);
+    answer(STORE_NOT_FOUND);
   answer(STORE_OK, 40);
   ASSERT_TRUE(held());
-  lease_hear_era(&lease, 1, now);
+  lease_observe_era(&lease, 1, now);
   EXPECT_TRUE(held());
-  lease_hear_era(&lease, 2, now);
+  lease_observe_era(&lease, 2, now);
   EXPECT_FALSE(held());
 }
 
@@ -205,11 +205,11 @@
   era = 1;
   next();
   answer(STORE_OK, 40, "other", 5);
-  lease_hear_era(&lease, 2, now);
+  lease_observe_era(&lease, 2, now);
   gint64 heard = now;
   era = 2;
   while (next() == STORE_READ)
-    answer(STORE_ABSENT);
+    answer(STORE_NOT_FOUND);
   EXPECT_EQ(call.operation, STORE_CREATE);
   EXPECT_GE(now - heard, 2 * length);
   answer(STORE_OK, 12);
@@ -219,13 +219,13 @@
 TEST_F(Leased, TheFenceGrowsThoughTheRevisionGoesBack) {
   era = 1;
   while (next() == STORE_READ)
-    answer(STORE_ABSENT);
+    answer(STORE_NOT_FOUND);
   answer(STORE_OK, 4000);
   gint64 before = lease_fence(&lease);
-  lease_hear_era(&lease, 2, now);
+  lease_observe_era(&lease, 2, now);
   era = 2;
   while (next() == STORE_READ)
-    answer(STORE_ABSENT);
+    answer(STORE_NOT_FOUND);
   answer(STORE_OK, 12);
   EXPECT_GT(lease_fence(&lease), before);
 }
@@ -234,7 +234,7 @@
 TEST_F(Leased, AWriteThatWasMadeInAnOlderEraGivesNone) {
   era = 1;
   while (next() == STORE_READ)
-    answer(STORE_ABSENT);
+    answer(STORE_NOT_FOUND);
   answer(STORE_OK, 7);
   now += length;
   ASSERT_EQ(next(), STORE_REPLACE);
@@ -250,7 +250,7 @@
   lease_init(&lease, "me", length, now);
   gint64 started = now;
   while (next() == STORE_READ)
-    answer(STORE_ABSENT);
+    answer(STORE_NOT_FOUND);
   EXPECT_EQ(call.operation, STORE_CREATE);
   EXPECT_GE(now - started, 2 * length);
 }
@@ -331,11 +331,11 @@
     one.carried_out = true;
     one.reply = {};
     one.reply.era = era;
-    one.reply.status = object.revision > 0 ? STORE_OK : STORE_ABSENT;
+    one.reply.status = object.revision > 0 ? STORE_OK : STORE_NOT_FOUND;
     if (what == STORE_CREATE && object.revision > 0)
-      one.reply.status = STORE_EXISTS;
+      one.reply.status = STORE_CONFLICT;
     else if (what == STORE_REPLACE && object.revision > 0 && !fits)
-      one.reply.status = STORE_EXISTS;
+      one.reply.status = STORE_CONFLICT;
     else if (what == STORE_CREATE ||
              (what == STORE_REPLACE && object.revision > 0)) {
       object = {++revision, one.name, one.term};
@@ -348,7 +348,7 @@
   }
   void begin_call(Instance &one) {
     LeaseRecord record;
-    if (!lease_step(&one.lease, &one.call, &record, now))
+    if (!lease_begin_call(&one.lease, &one.call, &record, now))
       return;
     one.term = record.term;
     one.carried_out = false;
@@ -367,10 +367,10 @@
       one.reply = {};
       one.reply.status = STORE_FAILED;
     }
-    lease_reply(&one.lease, &one.reply, now);
+    lease_handle_reply(&one.lease, &one.reply, now);
   }
   void check(const Instance &one) {
-    if (!lease_held(&one.lease, 0, now))
+    if (!lease_is_held(&one.lease, 0, now))
       return;
     gint64 fence = lease_fence(&one.lease);
     if (last != &one && last != nullptr && now - last_held < length)
@@ -393,7 +393,7 @@
       if (chance(200))
         one->cut = !one->cut;
       if (!one->cut && chance(10))
-        lease_hear_era(&one->lease, era, now);
+        lease_observe_era(&one->lease, era, now);
       if (!one->carried_out && one->answer_at != 0 &&
           now >= one->carried_out_at && !one->cut)
         carry_out(*one);
--- a/test/test_life_hash.cc
+++ b/test/test_life_hash.cc
@@ -22,8 +22,8 @@
     for (gint64 born = 0; born < 64; born++, lives++) {
       EndpointRecord record = {};
       record.id = id.data();
-      record.born_unix_ms = 1780000000000 + born;
-      seen.insert(endpoint_life_hash(&record));
+      record.started_unix_ms = 1780000000000 + born;
+      seen.insert(endpoint_incarnation_hash(&record));
     }
   }
   EXPECT_EQ(seen.size(), lives);
--- a/test/test_links.cc
+++ b/test/test_links.cc
@@ -31,7 +31,7 @@
   struct event_base *base = event_base_new();
   Listener endpoint;
   EndpointLinks *links = nullptr;
-  HttpHead *caller = http_head_request("POST", "/a/b?c=1");
+  HttpHead *caller = http_head_new_request("POST", "/a/b?c=1");
   GByteArray *body = g_byte_array_new();
   std::map<guint64, std::vector<Told>> told;
   std::vector<EndpointSignals> signals; /* of the heads */
@@ -55,7 +55,8 @@
 
   static void on_outcome(void *data, const Outcome *outcome) {
     auto *self = static_cast<Links *>(data);
-    const auto *answer = static_cast<const EndpointAnswer *>(outcome->payload);
+    const auto *answer =
+        static_cast<const EndpointResponse *>(outcome->payload);
     Told one = {outcome->kind, outcome->status, "", ""};
     if (answer != nullptr && answer->bytes != nullptr)
       one.bytes.assign(answer->bytes, answer->size);
@@ -255,7 +256,7 @@
   ended(first);
   endpoint.peers[0]->send_text(answer("stray"));
   settle();
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
   guint64 second = dispatch();
   asked(1)->send_text(answer("two"));
   EXPECT_EQ(ended(second).bytes, "two");
@@ -270,7 +271,7 @@
   EXPECT_TRUE(told[first].empty());
   peer->send_text(answer("mine"));
   EXPECT_EQ(ended(first).bytes, "mine");
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
 }
 
 TEST_F(Links, WithoutALengthAGoodEndIsTheEnd) {
@@ -342,14 +343,14 @@
   Told end = ended(first);
   EXPECT_EQ(end.kind, OUTCOME_ANSWER);
   EXPECT_EQ(end.status, 413);
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
 }
 
 TEST_F(Links, ALeavingEndpointsConnectionIsNotKept) {
   guint64 first = dispatch();
   asked(0)->send_text(answer("one", "Connection: close\r\n"));
   ended(first);
-  EXPECT_EQ(endpoint_links_idle(links), 0u);
+  EXPECT_EQ(endpoint_links_idle_count(links), 0u);
 }
 
 TEST_F(Links, ARefusedConnectionWasCertainlyNotRun) {
@@ -451,8 +452,8 @@
         base, [this] { caller->read_some(); }, done);
   }
   void whole(guint64 number, const char *text) {
-    HttpHead *head = http_head_answer(200);
-    front_answer(front, number, head, text, strlen(text));
+    HttpHead *head = http_head_new_response(200);
+    front_send_response(front, number, head, text, strlen(text));
     http_head_free(head);
   }
 };
@@ -487,7 +488,7 @@
 
 TEST_F(Fronted, ABodyOverTheLimitIsRefusedWithAnAnswer) {
   CallerLimits limits = {1000, 1000, MP_SEC, MP_SEC};
-  front_limits(front, &limits);
+  front_set_limits(front, &limits);
   caller = loopback::call(address);
   std::string body(32 << 10, 'x');
   caller->send_text("POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: " +
@@ -498,7 +499,7 @@
 
 TEST_F(Fronted, AHeadOverTheLimitIsRefusedWithAnAnswer) {
   CallerLimits limits = {1000, 1000, MP_SEC, MP_SEC};
-  front_limits(front, &limits);
+  front_set_limits(front, &limits);
   caller = loopback::call(address);
   caller->send_text("GET /1 HTTP/1.1\r\nX: " + std::string(3000, 'x') +
                     "\r\n\r\n");
@@ -508,7 +509,7 @@
 
 TEST_F(Fronted, ARequestThatDoesNotArriveInTimeIsRefused) {
   CallerLimits limits = {1000, 1000, 100 * MP_MS, MP_SEC};
-  front_limits(front, &limits);
+  front_set_limits(front, &limits);
   caller = loopback::call(address);
   caller->send_text("GET /1 HTTP/1.1\r\nHo");
   EXPECT_TRUE(wait([&] { return caller->ended; }));
@@ -516,12 +517,12 @@
 }
 
 TEST_F(Fronted, ABrokenOffAnswerCannotLookWhole) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   caller->send_text("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(wait([&] { return requests.size() == 1; }));
-  front_begin(front, requests[0], head);
-  front_piece(front, requests[0], "data: a\n\n", 9);
-  front_break_off(front, requests[0]);
+  front_begin_response(front, requests[0], head);
+  front_send_piece(front, requests[0], "data: a\n\n", 9);
+  front_abort_response(front, requests[0]);
   http_head_free(head);
   EXPECT_TRUE(wait([&] { return caller->ended; }));
   EXPECT_NE(caller->got.find("data: a"), std::string::npos);
@@ -530,12 +531,12 @@
 }
 
 TEST_F(Fronted, AWholeStreamHasItsLastChunk) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   caller->send_text("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(wait([&] { return requests.size() == 1; }));
-  front_begin(front, requests[0], head);
-  front_piece(front, requests[0], "data: a\n\n", 9);
-  front_end(front, requests[0]);
+  front_begin_response(front, requests[0], head);
+  front_send_piece(front, requests[0], "data: a\n\n", 9);
+  front_end_response(front, requests[0]);
   http_head_free(head);
   EXPECT_TRUE(wait(
       [&] { return caller->got.find("\r\n0\r\n\r\n") != std::string::npos; }));
--- a/test/test_lives.cc
+++ b/test/test_lives.cc
@@ -22,11 +22,11 @@
   World world;
 
   void SetUp() override {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.configure();
   }
   void start(const Place &place, gint64 born) {
-    world.born_unix_ms = born;
+    world.started_unix_ms = born;
     world.endpoint(place);
   }
   unsigned rows() {
@@ -82,7 +82,7 @@
 TEST_F(Lives, AnEarlierOneHeardLateChangesNothing) {
   start(plain, 2000);
   guint64 request = world.request("/unsafe/x");
-  world.born_unix_ms = 1000;
+  world.started_unix_ms = 1000;
   world.endpoint(plain, false); /* it was leaving then */
   EXPECT_EQ(world.end(request).ends(), 0);
   world.outcome(world.last().number, OUTCOME_ANSWER);
@@ -138,7 +138,7 @@
   start(plain, 1600000000000); /* a later life yet: the run has ended */
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OUTCOME_UNKNOWN);
   world.revision = 4;
-  world.born_unix_ms = 9000000000000;
+  world.started_unix_ms = 9000000000000;
   world.endpoint(plain, false); /* an older word, heard late */
   EXPECT_EQ(world.runs(world.request("/unsafe/x")), 1u);
 }
--- a/test/test_news.cc
+++ b/test/test_news.cc
@@ -84,7 +84,7 @@
   g_array_append_val(reply.objects, here);
   g_array_append_val(reply.objects, gone);
   std::string text = written(&reply);
-  StoreReply out = read(news_status(&reply), text, &good);
+  StoreReply out = read(news_reply_status(&reply), text, &good);
   ASSERT_TRUE(good);
   EXPECT_EQ(out.status, STORE_OK);
   EXPECT_EQ(out.at.revision, 530);
@@ -101,7 +101,7 @@
   StoreReply reply = {STORE_FAILED, nullptr, FALSE, store_position(0, 0),
                       FALSE,        0,       FALSE, FALSE};
   bool good;
-  EXPECT_EQ(read(news_status(&reply), "", &good).status, STORE_FAILED);
+  EXPECT_EQ(read(news_reply_status(&reply), "", &good).status, STORE_FAILED);
   EXPECT_TRUE(good);
 }
 
@@ -159,7 +159,7 @@
   ASSERT_GT(whole.size(), 200000u);
   std::string text = written(&reply);
   EXPECT_LE(text.size(), relay_answer_most);
-  EXPECT_EQ(news_status(&reply), 200);
+  EXPECT_EQ(news_reply_status(&reply), 200);
   StoreReply out = read(200, text, &good);
   ASSERT_TRUE(good);
   EXPECT_EQ(whole, g_array_index(out.objects, StoreObject, 0).text);
--- a/test/test_news_source.cc
+++ b/test/test_news_source.cc
@@ -24,7 +24,7 @@
 
 /* one that follows the store for itself and hears a relay */
 struct Source : ::testing::Test {
-  RelayTimes times = {2800 * ms, 3 * second};
+  RelayTiming times = {2800 * ms, 3 * second};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
   NewsSource source = {};
   gint64 now = 10 * second;
@@ -39,15 +39,15 @@
     follower_init(&source.follower, STORE_CONFIGURATION, times.watch_wait, 0,
                   &host);
     news_source_init(&source, group, &control, nullptr, 0);
-    relay_group_begin_alone(group);
+    relay_group_skip_start_wait(group);
     list(100);
   }
   void TearDown() override {
     follower_clear(&source.follower);
     relay_group_free(group);
   }
-  NewsWanted next() {
-    NewsWanted wanted;
+  NewsAction next() {
+    NewsAction wanted;
     news_source_next(&source, now, &wanted);
     return wanted;
   }
@@ -67,7 +67,7 @@
     mp_RelayHeartbeat told = {};
     told.changed[STORE_CONFIGURATION] =
         store_position(0, static_cast<gint64>(revision));
-    relay_group_hear(group, relay, &told, now);
+    relay_group_receive_heartbeat(group, relay, &told, now);
   }
 };
 
@@ -87,8 +87,8 @@
   news_source_progress(&source, now);
   EXPECT_EQ(next().step, NEWS_WAIT);
   now += 400 * ms;
-  EXPECT_EQ(next().step, NEWS_LEAVE_STORE);
-  NewsWanted wanted = next();
+  EXPECT_EQ(next().step, NEWS_ABANDON_STORE_CALL);
+  NewsAction wanted = next();
   EXPECT_EQ(wanted.step, NEWS_ASK_INSTANCE);
   EXPECT_EQ(wanted.call.operation, STORE_WATCH);
 }
@@ -102,7 +102,7 @@
   hear(103);
   news_source_reply(&source, &nothing, now);
   EXPECT_EQ(source.follower.known.revision, 100);
-  NewsWanted wanted = next();
+  NewsAction wanted = next();
   EXPECT_EQ(wanted.step, NEWS_ASK_STORE);
   EXPECT_EQ(wanted.call.operation, STORE_LIST);
   store_reply_clear(&nothing);
@@ -123,7 +123,7 @@
 
 /* its age is not known, and others would take it for none */
 TEST(Start, AnOldListIsNoNewOne) {
-  RelayTimes times = {2800 * ms, 3 * second};
+  RelayTiming times = {2800 * ms, 3 * second};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
   NewsSource sources[2] = {};
   FollowerHost host = {nullptr, [](void *, StoreKind, const StoreObject *) {},
@@ -132,7 +132,7 @@
   NewsSourceHost none = {nullptr,
                          [](void *, mp_Addr) -> mp_Addr { return 0; }};
   for (int kind = 0; kind < 2; kind++) {
-    NewsWanted wanted;
+    NewsAction wanted;
     StoreReply reply = {STORE_OK, store_objects_new(),
                         FALSE,    store_position(0, 100),
                         FALSE,    0,
@@ -146,7 +146,7 @@
     store_reply_clear(&reply);
   }
   EXPECT_GE(relay_group_age(group, second), 1500 * ms);
-  EXPECT_FALSE(relay_group_store_answers(group, second + 700 * ms));
+  EXPECT_FALSE(relay_group_is_store_answering(group, second + 700 * ms));
   for (auto &source : sources)
     follower_clear(&source.follower);
   relay_group_free(group);
--- a/test/test_news_state.cc
+++ b/test/test_news_state.cc
@@ -13,36 +13,37 @@
 
 TEST(NewsState, LagsFromTheNamingToTheHolding) {
   NewsState state = {};
-  news_state_hold(&state, store_position(0, 10), 100);
-  news_state_name(&state, store_position(0, 10), 200);
+  news_state_advance_held(&state, store_position(0, 10), 100);
+  news_state_advance_newest(&state, store_position(0, 10), 200);
   EXPECT_EQ(news_state_lag(&state, 300), 0);
-  news_state_name(&state, store_position(0, 12), 400);
-  news_state_name(&state, store_position(0, 14), 500);
+  news_state_advance_newest(&state, store_position(0, 12), 400);
+  news_state_advance_newest(&state, store_position(0, 14), 500);
   EXPECT_EQ(news_state_lag(&state, 600), 200);
-  news_state_hold(&state, store_position(0, 12), 700);
+  news_state_advance_held(&state, store_position(0, 12), 700);
   EXPECT_EQ(news_state_lag(&state, 800), 400);
-  news_state_hold(&state, store_position(0, 14), 900);
+  news_state_advance_held(&state, store_position(0, 14), 900);
   EXPECT_EQ(news_state_lag(&state, 1000), 0);
 }
 
 TEST(NewsState, NeverGoesBack) {
   NewsState state = {};
-  news_state_hold(&state, store_position(0, 10), 100);
-  news_state_hold(&state, store_position(0, 7), 200);
-  news_state_name(&state, store_position(0, 9), 300);
+  news_state_advance_held(&state, store_position(0, 10), 100);
+  news_state_advance_held(&state, store_position(0, 7), 200);
+  news_state_advance_newest(&state, store_position(0, 9), 300);
   EXPECT_EQ(state.held.revision, 10);
   EXPECT_EQ(news_state_lag(&state, 400), 0);
 }
 
 TEST(NewsState, WhatIsHeldOfAnOlderEraLacksANewerOne) {
   NewsState state = {};
-  news_state_hold(&state, store_position(1, 40), 100);
-  news_state_name(&state, store_position(2, 31), 200);
-  EXPECT_TRUE(news_state_lacks(&state));
-  news_state_hold(&state, store_position(2, 31), 300);
-  EXPECT_FALSE(news_state_lacks(&state));
-  news_state_name(&state, store_position(1, 90), 400); /* it is cut off */
-  EXPECT_FALSE(news_state_lacks(&state));
+  news_state_advance_held(&state, store_position(1, 40), 100);
+  news_state_advance_newest(&state, store_position(2, 31), 200);
+  EXPECT_TRUE(news_state_is_behind(&state));
+  news_state_advance_held(&state, store_position(2, 31), 300);
+  EXPECT_FALSE(news_state_is_behind(&state));
+  news_state_advance_newest(&state, store_position(1, 90),
+                            400); /* it is cut off */
+  EXPECT_FALSE(news_state_is_behind(&state));
 }
 
 } // namespace
--- a/test/test_patience.cc
+++ b/test/test_patience.cc
@@ -19,7 +19,7 @@
     patience_table_free(table);
   }
   gint64 note(const char *route, gint64 patience, gint64 now) {
-    return patience_table_note(table, route, patience, now);
+    return patience_table_observe(table, route, patience, now);
   }
 };
 
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -29,7 +29,7 @@
     R"(4194304,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}})";
 
 HttpHead *caller() {
-  HttpHead *head = http_head_request("POST", "/a/b/c?x=1");
+  HttpHead *head = http_head_new_request("POST", "/a/b/c?x=1");
   http_head_add(head, "Host", "h.example:80");
   http_head_add(head, "Request-Id", "9c41");
   http_head_add(head, "Deadline-Ms", "14000");
@@ -180,7 +180,7 @@
 
 TEST(PlatformSystemFields, TheTableHoldsEveryReservedName) {
   for (const char *name : reserved_names) {
-    const char *const *at = platform_system_fields;
+    const char *const *at = platform_reserved_fields;
     while (*at != nullptr && strcmp(*at, name) != 0)
       at++;
     EXPECT_NE(*at, nullptr) << name;
@@ -288,7 +288,7 @@
 
 EndpointSignals read_signals(int status, const char *name,
                              const std::vector<const char *> &values) {
-  HttpHead *head = http_head_answer(status);
+  HttpHead *head = http_head_new_response(status);
   EndpointHead read;
   for (const char *value : values)
     http_head_add(head, name, value);
@@ -361,7 +361,7 @@
 }
 
 TEST(PlatformEndpoint, AnUnknownFieldIsNamed) {
-  HttpHead *head = http_head_answer(200);
+  HttpHead *head = http_head_new_response(200);
   EndpointHead read;
   for (const char *known : {"server-stamp", "REQUEST-ID", "Date", "Connection",
                             "Content-Length", "Not-Run", "Weight-Versions"})
@@ -386,7 +386,7 @@
 }
 
 TEST(PlatformEndpoint, HeadIsRead) {
-  HttpHead *head = http_head_answer(503);
+  HttpHead *head = http_head_new_response(503);
   EndpointHead read;
   http_head_add(head, "Not-Run", "1");
   http_head_add(head, "Keep-Alive", "timeout=5, max=9");
@@ -404,7 +404,7 @@
 }
 
 TEST(PlatformEndpoint, A503WithoutItsPromiseMayHaveRun) {
-  HttpHead *head = http_head_answer(503);
+  HttpHead *head = http_head_new_response(503);
   EndpointHead read;
   platform_read_endpoint(head, &read);
   EXPECT_FALSE(read.not_run);
@@ -416,22 +416,22 @@
       platform_read_configuration(configuration, nullptr, nullptr);
   ASSERT_NE(table, nullptr);
   EXPECT_EQ(table->version, 7u);
-  const Route *route = route_table_find(table, "h.example", "/a/x");
+  const Route *route = route_table_find_route(table, "h.example", "/a/x");
   ASSERT_NE(route, nullptr);
   EXPECT_EQ(route->kind, ROUTE_STREAM);
-  EXPECT_TRUE(route_repeatable(route));
+  EXPECT_TRUE(route_is_repeatable(route));
   EXPECT_EQ(route->timeout, 14 * MP_SEC);
-  route = route_table_find(table, "H.example", "/a/b/x");
+  route = route_table_find_route(table, "H.example", "/a/b/x");
   ASSERT_NE(route, nullptr);
   EXPECT_EQ(route->kind, ROUTE_UNSAFE);
   EXPECT_STREQ(route_choose_service(route, 0), "s");
   EXPECT_STREQ(route_choose_service(route, G_MAXUINT32), "t");
-  EXPECT_EQ(route_table_find(table, "h.example", "/b/"), nullptr);
-  EXPECT_EQ(route_table_find(table, "other", "/a/"), nullptr);
-  const Service *service = route_table_service(table, "s");
+  EXPECT_EQ(route_table_find_route(table, "h.example", "/b/"), nullptr);
+  EXPECT_EQ(route_table_find_route(table, "other", "/a/"), nullptr);
+  const Service *service = route_table_find_service(table, "s");
   ASSERT_NE(service, nullptr);
   EXPECT_TRUE(service->is_engine);
-  EXPECT_EQ(service->event_tokens, 12u);
+  EXPECT_EQ(service->tokens_per_event, 12u);
   EXPECT_EQ(service->handle_life, 500 * MP_MS);
   EXPECT_EQ(table->limits.max_body_bytes, 4194304u);
   route_table_unref(table);
@@ -488,7 +488,7 @@
     EXPECT_TRUE(g_error_matches(error, MP_ERROR, MP_ERR_SETTINGS)) << part;
     g_clear_error(&error);
   }
-  EXPECT_NE(route_table_find(older, "h", "/p299/x"), nullptr);
+  EXPECT_NE(route_table_find_route(older, "h", "/p299/x"), nullptr);
   route_table_unref(older);
 }
 
@@ -509,7 +509,7 @@
 
 TEST(PlatformRecord, IsRead) {
   EndpointRecord record;
-  ASSERT_TRUE(platform_read_record(
+  ASSERT_TRUE(platform_read_endpoint_record(
       "i-7f",
       R"({"Service":"s","Addr":"10.128.0.9:8080","Zone":"z","Slots":64,)"
       R"("State":"ready","ColdLeftMs":20,"Stage":"prefill"})",
@@ -517,11 +517,11 @@
   EXPECT_STREQ(record.id, "i-7f");
   EXPECT_TRUE(record.ready);
   EXPECT_EQ(record.stage, STAGE_PREFILL);
-  EXPECT_EQ(record.cold_left, 20 * MP_MS);
+  EXPECT_EQ(record.warmup_left, 20 * MP_MS);
   endpoint_record_clear(&record);
-  EXPECT_FALSE(
-      platform_read_record("i-7f", R"({"Service":"s"})", &record, nullptr));
-  ASSERT_TRUE(platform_read_record(
+  EXPECT_FALSE(platform_read_endpoint_record("i-7f", R"({"Service":"s"})",
+                                             &record, nullptr));
+  ASSERT_TRUE(platform_read_endpoint_record(
       "i-7f",
       R"({"Service":"s","Addr":"1.2.3.4:5","Zone":"z","Slots":64,)"
       R"("State":"draining"})",
@@ -573,7 +573,7 @@
 TEST(PlatformStore, StatusesAreTold) {
   gboolean good;
   EXPECT_EQ(reply(STORE_WATCH, 410, "", &good).status, STORE_HISTORY_GONE);
-  EXPECT_EQ(reply(STORE_CREATE, 409, "{}", &good).status, STORE_EXISTS);
+  EXPECT_EQ(reply(STORE_CREATE, 409, "{}", &good).status, STORE_CONFLICT);
   EXPECT_EQ(reply(STORE_LIST, 503, "", &good).status, STORE_FAILED);
   EXPECT_EQ(reply(STORE_LIST, 429, "", &good).status, STORE_FAILED);
   EXPECT_EQ(reply(STORE_LIST, 200, "{}", &good).status, STORE_FAILED);
@@ -642,7 +642,8 @@
       R"({"Name":"other","ApiKeys":["k3","k1"]},{"Name":"none"}])",
       &error);
   ASSERT_NE(table, nullptr);
-  const Account *account = route_table_account(table, digest_of("k2").c_str());
+  const Account *account =
+      route_table_find_account(table, digest_of("k2").c_str());
   ASSERT_NE(account, nullptr);
   EXPECT_STREQ(account->name, "hule");
   EXPECT_EQ(account->priority, 1u);
@@ -652,13 +653,13 @@
   EXPECT_EQ(account_cost(account, 5200, 73), 5273);
   EXPECT_EQ(account_cost(account, 0, 0), 200);
   /* a key that stands twice is the first one's */
-  EXPECT_EQ(route_table_account(table, digest_of("k1").c_str()), account);
-  account = route_table_account(table, digest_of("k3").c_str());
+  EXPECT_EQ(route_table_find_account(table, digest_of("k1").c_str()), account);
+  account = route_table_find_account(table, digest_of("k3").c_str());
   ASSERT_NE(account, nullptr);
   EXPECT_STREQ(account->name, "other");
   EXPECT_EQ(account->rate, 0);
   EXPECT_EQ(account_cost(account, 5200, 73), 1);
-  EXPECT_EQ(route_table_account(table, digest_of("k4").c_str()), nullptr);
+  EXPECT_EQ(route_table_find_account(table, digest_of("k4").c_str()), nullptr);
   EXPECT_TRUE(static_cast<Route *>(table->routes->pdata[0])->is_public);
   route_table_unref(table);
 }
@@ -761,7 +762,7 @@
   for (int status : {200, 409}) {
     ASSERT_TRUE(platform_read_store_reply(&call, status, object.data(),
                                           object.size(), &out, nullptr));
-    EXPECT_EQ(out.status, status == 200 ? STORE_OK : STORE_EXISTS);
+    EXPECT_EQ(out.status, status == 200 ? STORE_OK : STORE_CONFLICT);
     ASSERT_EQ(out.objects->len, 1u);
     const StoreObject *one = &g_array_index(out.objects, StoreObject, 0);
     EXPECT_EQ(one->position.revision, 412);
@@ -777,7 +778,7 @@
   EXPECT_EQ(body, nullptr);
   http_head_free(head);
   platform_read_store_reply(&call, 404, "{}", 2, &out, nullptr);
-  EXPECT_EQ(out.status, STORE_ABSENT);
+  EXPECT_EQ(out.status, STORE_NOT_FOUND);
   EXPECT_FALSE(platform_read_lease("{}", &read, nullptr));
 }
 
@@ -805,9 +806,9 @@
     StoreReply out = reply(STORE_LIST, 200, answer, &read);
     store_reply_clear(&out);
     EndpointRecord record;
-    if (platform_read_record("i", answer.c_str(), &record, nullptr))
+    if (platform_read_endpoint_record("i", answer.c_str(), &record, nullptr))
       endpoint_record_clear(&record);
-    PrefillAnswer prefill = {};
+    PrefillResponse prefill = {};
     EngineReport report;
     platform_read_report(answer.data(), answer.size(), &report, nullptr);
     LeaseRecord lease;
--- a/test/test_quarantine.cc
+++ b/test/test_quarantine.cc
@@ -44,12 +44,12 @@
   }
   bool strike(guint64 content, guint32 crash) {
     QuarantineSuspect one = suspect(content);
-    return quarantine_strike(table, &one, crash, now);
+    return quarantine_add_strike(table, &one, crash, now);
   }
   bool hear(guint64 content, const std::vector<guint32> &crashes,
             gint64 last = 0) {
     QuarantineRecord told = record(content, crashes, last);
-    return quarantine_hear(table, &told, now);
+    return quarantine_merge(table, &told, now);
   }
   bool is_held(guint64 content) {
     return quarantine_held_until(table, content, now) != 0;
@@ -78,7 +78,7 @@
   EXPECT_FALSE(hear(7, {1}));
   EXPECT_TRUE(hear(7, {1, 2}));
   EXPECT_FALSE(hear(7, {2, 1}));
-  EXPECT_EQ(quarantine_strikes(table, 7), 2u);
+  EXPECT_EQ(quarantine_strike_count(table, 7), 2u);
 }
 
 /* each end of a hold lets it be tried; it ends an endpoint each time */
@@ -89,7 +89,7 @@
     quarantine_expire(table, now);
     if (is_held(7))
       continue;
-    after_third += quarantine_strikes(table, 7) >= 3;
+    after_third += quarantine_strike_count(table, 7) >= 3;
     strike(7, ++crash);
   }
   EXPECT_EQ(crash, 6u);
@@ -110,14 +110,14 @@
 TEST_F(Table, AGoodRunTakesOneStrikeOffAndNoneOfAHeldOne) {
   strike(7, 1);
   strike(7, 2);
-  quarantine_succeeded(table, 7);
-  EXPECT_EQ(quarantine_strikes(table, 7), 1u);
+  quarantine_run_succeeded(table, 7);
+  EXPECT_EQ(quarantine_strike_count(table, 7), 1u);
   EXPECT_FALSE(hear(7, {1, 2})); /* told late */
-  EXPECT_EQ(quarantine_strikes(table, 7), 1u);
+  EXPECT_EQ(quarantine_strike_count(table, 7), 1u);
   strike(7, 3);
   strike(7, 4);
   EXPECT_TRUE(is_held(7));
-  quarantine_succeeded(table, 7);
+  quarantine_run_succeeded(table, 7);
   EXPECT_TRUE(is_held(7));
 }
 
@@ -125,7 +125,7 @@
 TEST_F(Table, ARequestThatRunsWellBetweenEndsIsNeverHeld) {
   for (guint32 crash = 1; crash < 1000; crash++) {
     strike(7, crash);
-    quarantine_succeeded(table, 7);
+    quarantine_run_succeeded(table, 7);
     now += 10 * second;
     EXPECT_FALSE(is_held(7));
   }
@@ -148,7 +148,7 @@
   strike(7, 2);
   now += hour + second;
   quarantine_expire(table, now);
-  EXPECT_EQ(quarantine_strikes(table, 7), 0u);
+  EXPECT_EQ(quarantine_strike_count(table, 7), 0u);
 }
 
 TEST_F(Table, ItsSizeIsBoundedAndHeldOnesStay) {
@@ -172,7 +172,7 @@
     strike(content, 1);
   strike(150, 2);
   strike(151, 2);
-  quarantine_tell(table, FALSE, &news, now);
+  quarantine_write_news(table, FALSE, &news, now);
   EXPECT_EQ(news.n, static_cast<unsigned>(MP_CRASH_ROWS));
   unsigned grave = 0;
   for (unsigned i = 0; i < news.n; i++)
@@ -184,12 +184,12 @@
   mp_CrashUpdate news;
   strike(7, 1);
   hear(8, {1, 2});
-  quarantine_tell(table, FALSE, &news, now);
+  quarantine_write_news(table, FALSE, &news, now);
   EXPECT_EQ(news.n, 1u);
-  quarantine_tell(table, TRUE, &news, now);
+  quarantine_write_news(table, TRUE, &news, now);
   EXPECT_EQ(news.n, 2u);
   now += 11 * second;
-  quarantine_tell(table, TRUE, &news, now);
+  quarantine_write_news(table, TRUE, &news, now);
   EXPECT_EQ(news.n, 0u);
 }
 
@@ -215,14 +215,14 @@
   strike(7, 2);
   EXPECT_EQ(save().record.count, 2u);
   QuarantineRecord stands = record(7, {3, 4});
-  quarantine_stored(table, &stands, store_position(0, 40), now);
+  quarantine_merge_stored(table, &stands, store_position(0, 40), now);
   quarantine_save_failed(table, 7, now);
   EXPECT_EQ(save().record.count, 0u); /* not at once */
   now += second;
   QuarantineSave again = save();
   EXPECT_EQ(again.record.count, 4u);
   EXPECT_EQ(again.position.revision, 40);
-  quarantine_stored(table, &again.record, store_position(0, 41), now);
+  quarantine_merge_stored(table, &again.record, store_position(0, 41), now);
   EXPECT_EQ(save().record.count, 0u);
 }
 
@@ -230,7 +230,7 @@
   strike(7, 1);
   strike(7, 2);
   QuarantineSave first = save();
-  quarantine_stored(table, &first.record, store_position(0, 40), now);
+  quarantine_merge_stored(table, &first.record, store_position(0, 40), now);
   now += 3 * hour;
   quarantine_expire(table, now);
   now += 61 * second; /* each instance waits its part of a minute */
@@ -261,26 +261,26 @@
       tables.push_back(quarantine_new(offset, i));
     for (guint32 crash = 1; crash <= 12; crash++) {
       guint64 content = 1 + random() % 3;
-      if (ends[content].size() == QUARANTINE_MOST)
+      if (ends[content].size() == QUARANTINE_STRIKES_MAX)
         continue;
       ends[content].push_back(crash);
       QuarantineSuspect one = suspect(content);
-      quarantine_strike(tables[random() % 5], &one, crash, now);
+      quarantine_add_strike(tables[random() % 5], &one, crash, now);
     }
     for (int round = 0; round < 200; round++) {
       mp_CrashUpdate news;
-      quarantine_tell(tables[random() % 5], TRUE, &news, now);
+      quarantine_write_news(tables[random() % 5], TRUE, &news, now);
       Quarantine *to = tables[random() % 5];
       for (unsigned i = 0; i < news.n; i++) {
         std::vector<guint32> crashes(news.row[i].crash,
                                      news.row[i].crash + news.row[i].n);
         QuarantineRecord told = record(news.row[i].request, crashes);
-        quarantine_hear(to, &told, now);
+        quarantine_merge(to, &told, now);
       }
     }
     for (auto &[content, crashes] : ends) {
       for (Quarantine *table : tables)
-        EXPECT_EQ(quarantine_strikes(table, content), crashes.size())
+        EXPECT_EQ(quarantine_strike_count(table, content), crashes.size())
             << "seed " << seed;
     }
     for (Quarantine *table : tables)
@@ -292,17 +292,17 @@
   strike(7, 1);
   strike(7, 2);
   QuarantineSave first = save();
-  quarantine_stored(table, &first.record, store_position(1, 40), now);
+  quarantine_merge_stored(table, &first.record, store_position(1, 40), now);
   hear(8, {1, 2, 3});
   ASSERT_EQ(save().record.count, 0u);
-  quarantine_restored(table, 2);
+  quarantine_store_restored(table, 2);
   QuarantineSave again = save();
   EXPECT_EQ(again.record.content, 7u);
   EXPECT_EQ(again.record.count, 2u);
   EXPECT_TRUE(store_position_is_none(again.position));
-  quarantine_stored(table, &again.record, store_position(2, 12), now);
+  quarantine_merge_stored(table, &again.record, store_position(2, 12), now);
   EXPECT_EQ(save().record.count, 0u);
-  quarantine_restored(table, 2); /* heard once more, from another one */
+  quarantine_store_restored(table, 2); /* heard once more, from another one */
   EXPECT_EQ(save().record.count, 0u);
 }
 
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -23,7 +23,7 @@
 
 struct Rate : ::testing::Test {
   RateLimits *limits = rate_limits_new(1);
-  RateSharers alone = {{1, 1}, 0, RATE_NEWS_DELAY};
+  RateSharers alone = {{1, 1}, 0, RATE_REPORT_DELAY};
   gint64 now = 100 * second;
 
   ~Rate() override {
@@ -39,12 +39,12 @@
                    rate < 0 ? MP_RATE_UNLIMITED
                             : static_cast<guint32>(rate * 1000),
                    age_ms, sent};
-    rate_limits_hear(limits, from, &news, &alone, now);
+    rate_limits_receive(limits, from, &news, &alone, now);
   }
   mp_RateRow told(bool sums = false) {
     mp_RateUpdate news = {};
     if (sums)
-      rate_limits_write_sum(limits, &news, now);
+      rate_limits_write_summary(limits, &news, now);
     else
       rate_limits_write(limits, &news, now);
     return news.n == 1 ? news.row[0] : mp_RateRow{};
@@ -53,7 +53,7 @@
   unsigned allowed() {
     unsigned n = 0;
     while (n < 1000 && rate_limits_allow(limits, endpoint, &alone, now)) {
-      rate_limits_sent(limits, endpoint);
+      rate_limits_count_sent(limits, endpoint);
       n++;
     }
     return n;
@@ -61,13 +61,13 @@
 };
 
 TEST_F(Rate, WithoutOneAllIsAllowed) {
-  EXPECT_EQ(rate_limits_of(limits, endpoint), RATE_ANY);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
   EXPECT_EQ(allowed(), 1000u);
   EXPECT_EQ(rate_limits_count(limits), 0u);
 }
 
 TEST_F(Rate, NothingIsSavedUpWhenItIsNamedAndLittleLater) {
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   EXPECT_EQ(rate_limits_count(limits), 1u);
   EXPECT_EQ(allowed(), 0u);
   now += 60 * second;
@@ -76,48 +76,48 @@
 }
 
 TEST_F(Rate, TheNewestAnswerIsRight) {
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   now += 20 * ms;
   hear(9, 100);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), 4); /* said before that */
-  hear(RATE_ANY, 100);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), 4);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), 4); /* said before that */
+  hear(RATE_UNLIMITED, 100);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), 4);
   hear(9, 5);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), 9);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), 9);
   now += second;
-  rate_limits_named(limits, endpoint, RATE_ANY, now);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), RATE_ANY);
+  rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
   hear(9, 5);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), RATE_ANY);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
 }
 
 TEST_F(Rate, ItIsKnownFromAnotherInstanceAlone) {
   hear(4, 5);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), 4);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), 4);
   EXPECT_EQ(allowed(), 0u);
 }
 
 /* answers overtake one another: one without it among those that name it is no
 ** end, and does not set the limit aside until the next */
 TEST_F(Rate, OneAnswerWithoutItAmongOthersEndsNothing) {
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   for (int i = 0; i < 20; i++) {
     now += 40 * ms;
-    rate_limits_named(limits, endpoint, RATE_ANY, now);
-    EXPECT_EQ(rate_limits_of(limits, endpoint), 4);
+    rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
+    EXPECT_EQ(rate_limits_rate(limits, endpoint), 4);
     now += 10 * ms;
-    rate_limits_named(limits, endpoint, 4, now);
+    rate_limits_set(limits, endpoint, 4, now);
   }
   now += 600 * ms; /* none has named it for a while */
-  rate_limits_named(limits, endpoint, RATE_ANY, now);
-  EXPECT_EQ(rate_limits_of(limits, endpoint), RATE_ANY);
+  rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
 }
 
 TEST_F(Rate, ThatItIsOverIsToldForAWhile) {
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   EXPECT_EQ(told().rate, 4000u);
   now += second;
-  rate_limits_named(limits, endpoint, RATE_ANY, now);
+  rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
   EXPECT_EQ(told().rate, MP_RATE_UNLIMITED);
   EXPECT_EQ(told().endpoint, endpoint);
   now += 6 * second;
@@ -126,16 +126,16 @@
 
 /* what an endpoint has taken before it is overloaded again is not known */
 TEST_F(Rate, NamedAgainNothingIsSavedUp) {
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   now += 10 * second;
-  rate_limits_named(limits, endpoint, RATE_ANY, now);
+  rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
   now += 10 * second;
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   EXPECT_EQ(allowed(), 0u);
 }
 
 TEST_F(Rate, WhatPeersSendIsTakenOff) {
-  rate_limits_named(limits, endpoint, 4, now);
+  rate_limits_set(limits, endpoint, 4, now);
   hear(4, 0, 100);
   now += second;
   hear(4, 0, 104); /* on top of 100 */
@@ -145,8 +145,8 @@
 }
 
 TEST_F(Rate, SumsHoldWhatPeersOfTheDataCentreSent) {
-  rate_limits_named(limits, endpoint, 4, now);
-  rate_limits_sent(limits, endpoint);
+  rate_limits_set(limits, endpoint, 4, now);
+  rate_limits_count_sent(limits, endpoint);
   hear(4, 0, 10);
   hear(4, 0, 13);
   hear(4, 0, 500, 3, 20); /* sums of another one are not handed on in ours */
@@ -157,13 +157,13 @@
 
 /* a place that was not used is free here, and the others counted it already */
 TEST_F(Rate, WhatIsReturnedIsNotToldTwice) {
-  rate_limits_named(limits, endpoint, 4, now);
-  rate_limits_sent(limits, endpoint);
-  rate_limits_return(limits, endpoint);
+  rate_limits_set(limits, endpoint, 4, now);
+  rate_limits_count_sent(limits, endpoint);
+  rate_limits_refund(limits, endpoint);
   EXPECT_EQ(told().sent, 1u);
-  rate_limits_sent(limits, endpoint);
+  rate_limits_count_sent(limits, endpoint);
   EXPECT_EQ(told().sent, 1u);
-  rate_limits_sent(limits, endpoint);
+  rate_limits_count_sent(limits, endpoint);
   EXPECT_EQ(told().sent, 2u);
 }
 
@@ -172,17 +172,17 @@
   unsigned whole = 0;
   unsigned part = 0;
   RateLimits *other = rate_limits_new(1);
-  RateSharers cut = {{8, 1}, 0, RATE_NEWS_DELAY};
-  rate_limits_named(limits, endpoint, 8, now);
-  rate_limits_named(other, endpoint, 8, now);
+  RateSharers cut = {{8, 1}, 0, RATE_REPORT_DELAY};
+  rate_limits_set(limits, endpoint, 8, now);
+  rate_limits_set(other, endpoint, 8, now);
   for (int i = 0; i < 2000; i++) {
     now += 10 * ms;
     if (rate_limits_allow(limits, endpoint, &alone, now)) {
-      rate_limits_sent(limits, endpoint);
+      rate_limits_count_sent(limits, endpoint);
       whole++;
     }
     if (rate_limits_allow(other, endpoint, &cut, now)) {
-      rate_limits_sent(other, endpoint);
+      rate_limits_count_sent(other, endpoint);
       part++;
     }
   }
@@ -192,14 +192,15 @@
 }
 
 TEST_F(Rate, AWaitIsLongerTheLessIsLeft) {
-  rate_limits_named(limits, endpoint, 2, now);
-  gint64 one = rate_limits_wait(limits, endpoint, &alone, now);
-  rate_limits_sent(limits, endpoint);
-  gint64 two = rate_limits_wait(limits, endpoint, &alone, now);
+  rate_limits_set(limits, endpoint, 2, now);
+  gint64 one = rate_limits_retry_delay(limits, endpoint, &alone, now);
+  rate_limits_count_sent(limits, endpoint);
+  gint64 two = rate_limits_retry_delay(limits, endpoint, &alone, now);
   EXPECT_GT(one, 0);
   EXPECT_NEAR(static_cast<double>(two - one), 0.5 * second, 1000);
-  rate_limits_named(limits, endpoint, 0, now);
-  EXPECT_LE(rate_limits_wait(limits, endpoint, &alone, now), 3 * second);
+  rate_limits_set(limits, endpoint, 0, now);
+  EXPECT_LE(rate_limits_retry_delay(limits, endpoint, &alone, now),
+            3 * second);
 }
 
 /* }================================================================== */
@@ -277,11 +278,11 @@
 }
 
 TEST_F(RateWorld, ALaterLifeHasNone) {
-  world.born_unix_ms = 1000;
+  world.started_unix_ms = 1000;
   world.populate();
   std::string limited = served("/safe/x", 1);
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
-  world.born_unix_ms = 2000;
+  world.started_unix_ms = 2000;
   world.endpoint({limited.c_str(), "app", "a", STAGE_NONE});
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
 }
@@ -305,15 +306,15 @@
   served("/stream/x", 50);
   world.advance(5 * second);
   mp_RateUpdate before = {};
-  router_tell_rates(world.router, FALSE, &before, world.now);
+  router_report_rates(world.router, FALSE, &before, world.now);
   world.request("/stream/x");
   ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
   mp_RateUpdate reserved = {};
-  router_tell_rates(world.router, FALSE, &reserved, world.now);
+  router_report_rates(world.router, FALSE, &reserved, world.now);
   world.prefilled(world.last().number);
   ASSERT_EQ(world.last().kind, DISPATCH_RUN);
   mp_RateUpdate sent = {};
-  router_tell_rates(world.router, FALSE, &sent, world.now);
+  router_report_rates(world.router, FALSE, &sent, world.now);
   auto sum = [](const mp_RateUpdate &news) {
     guint32 all = 0;
     for (unsigned i = 0; i < news.n; i++)
--- a/test/test_relays.cc
+++ b/test/test_relays.cc
@@ -285,7 +285,7 @@
 */
 TEST(Seeds, ThatKnowNothingDoNotPutOffTheStore) {
   static const mp_Addr seeds[] = {11, 12};
-  RelayTimes times = {watch_wait, apply_bound};
+  RelayTiming times = {watch_wait, apply_bound};
   RelayGroup *group = relay_group_new(7, 0, &times, second);
   NewsSource source = {};
   FollowerHost host = {nullptr, [](void *, StoreKind, const StoreObject *) {},
@@ -299,11 +299,11 @@
   follower_init(&source.follower, STORE_CONFIGURATION, watch_wait, 300 * ms,
                 &host);
   news_source_init(&source, group, &none, seeds, 2);
-  relay_group_begin_alone(group);
+  relay_group_skip_start_wait(group);
   for (; now < 4 * second; now += ms) {
     StoreReply failed = {STORE_FAILED, nullptr, FALSE, {},
                          FALSE,        0,       FALSE, FALSE};
-    NewsWanted wanted;
+    NewsAction wanted;
     news_source_next(&source, now, &wanted);
     if (wanted.step == NEWS_WAIT)
       continue;
@@ -322,7 +322,7 @@
 
 /* the role of one whose data centre and others have so many other instances */
 RelayRole role_among(unsigned near_count, unsigned far_count) {
-  RelayTimes times = {watch_wait, apply_bound};
+  RelayTiming times = {watch_wait, apply_bound};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
   GArray *near = g_array_new(FALSE, FALSE, sizeof(RelayMember));
   GArray *far = g_array_new(FALSE, FALSE, sizeof(RelayMember));
@@ -337,7 +337,8 @@
   relay_group_set_members(group, near, far, second);
   relay_group_role(group, second); /* it waits for others from now on */
   RelayRole role = relay_group_role(group, 3 * second);
-  EXPECT_EQ(relay_group_sums(group), near_count + far_count + 1 > RELAY_MANY);
+  EXPECT_EQ(relay_group_uses_summaries(group),
+            near_count + far_count + 1 > RELAY_FULL_MESH_MAX);
   g_array_free(near, TRUE);
   g_array_free(far, TRUE);
   relay_group_free(group);
@@ -363,7 +364,7 @@
 
 /* it may be of an earlier release, and names no change of the new era */
 TEST(Relays, OneThatKnowsAnOlderEraIsNotFresh) {
-  RelayTimes times = {watch_wait, 3 * second};
+  RelayTiming times = {watch_wait, 3 * second};
   gint64 now = 10 * second;
   RelayGroup *group = relay_group_new(7, 0, &times, now);
   GArray *near = g_array_new(FALSE, FALSE, sizeof(RelayMember));
@@ -377,13 +378,13 @@
   told.age_ms = 50;
   told.changed[STORE_CONFIGURATION] = store_position(1, 900);
   for (mp_Addr i = 1; i < 10; i++)
-    relay_group_hear(group, 100 + i, &told, now);
-  EXPECT_GE(relay_group_before(group, now).fresh, 2u);
-  relay_group_hear_era(group, 2);
-  EXPECT_EQ(relay_group_before(group, now).fresh, 0u);
+    relay_group_receive_heartbeat(group, 100 + i, &told, now);
+  EXPECT_GE(relay_group_relays_before(group, now).fresh, 2u);
+  relay_group_observe_era(group, 2);
+  EXPECT_EQ(relay_group_relays_before(group, now).fresh, 0u);
   told.changed[STORE_CONFIGURATION] = store_position(2, 31);
-  relay_group_hear(group, 101, &told, now);
-  EXPECT_EQ(relay_group_before(group, now).fresh, 1u);
+  relay_group_receive_heartbeat(group, 101, &told, now);
+  EXPECT_EQ(relay_group_relays_before(group, now).fresh, 1u);
   g_array_free(near, TRUE);
   g_array_free(far, TRUE);
   relay_group_free(group);
--- a/test/test_router.cc
+++ b/test/test_router.cc
@@ -119,27 +119,27 @@
 /* an instance that has lost the store and all relays cannot know of a route
 ** that has come since; a caller would take its "no" for the last word */
 TEST_F(Routed, OldNewsSayNothingOfAnUnknownPath) {
-  world.advance(news_bound);
+  world.advance(news_age_max);
   guint64 request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
   world.advance(1 * ms);
   request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OLD_CONFIGURATION);
   EXPECT_GT(world.end(request).retry_after_ms, 0);
-  router_news_heard(world.router, world.now);
+  router_store_answered(world.router, world.now);
   request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
 }
 
 TEST_F(Routed, AnInstanceThatLacksAChangeDoesNotSayThatThereIsNoRoute) {
   NewsState news = {};
-  router_set_news(world.router, &news);
-  news_state_hold(&news, store_position(0, 100), world.now);
-  news_state_name(&news, store_position(0, 101), world.now);
+  router_set_news_state(world.router, &news);
+  news_state_advance_held(&news, store_position(0, 100), world.now);
+  news_state_advance_newest(&news, store_position(0, 101), world.now);
   guint64 request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OLD_CONFIGURATION);
   EXPECT_GT(world.end(request).retry_after_ms, 0);
-  news_state_hold(&news, store_position(0, 101), world.now);
+  news_state_advance_held(&news, store_position(0, 101), world.now);
   request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
 }
@@ -354,7 +354,7 @@
   guint64 request = world.request("/stream/x");
   fill(world, 1, 9500);
   world.prefilled(world.last().number, "h7");
-  router_stop_taking(world.router, world.now);
+  router_stop_accepting(world.router, world.now);
   EXPECT_EQ(world.last().kind, DISPATCH_RELEASE);
   EXPECT_EQ(world.last().handle, "h7");
   EXPECT_EQ(world.end(request).refusals, 1);
@@ -832,7 +832,7 @@
   ASSERT_EQ(other.notes.size(), 2u);
   for (mp_LoadNote note : other.notes) {
     note.after = 7;
-    router_peer_note(world.router, peer, &note);
+    router_peer_reservation(world.router, peer, &note);
   }
   guint64 first = world.request("/stream/x", 10000, 9000);
   EXPECT_TRUE(world.dispatches.empty()); /* there is no room */
@@ -840,7 +840,7 @@
   router_peer_load(world.router, peer, 8, &digest, world.now); /* all ended */
   for (mp_LoadNote note : other.notes) {
     note.after = 7; /* overtaken by the digest */
-    router_peer_note(world.router, peer, &note);
+    router_peer_reservation(world.router, peer, &note);
   }
   world.request("/stream/x", 10000, 9000);
   EXPECT_EQ(world.dispatches.size(), 1u);
@@ -881,7 +881,7 @@
   world.request("/stream/x", 10000, 9000);
   guint64 running_one = world.request("/stream/x", 10000, 9000);
   guint64 waiting = world.request("/stream/x", 10000, 9000);
-  router_stop_taking(world.router, world.now);
+  router_stop_accepting(world.router, world.now);
   EXPECT_EQ(world.end(waiting).refusal, REFUSAL_DRAINING);
   guint64 late = world.request("/unsafe/x");
   EXPECT_EQ(world.end(late).refusal, REFUSAL_DRAINING);
--- a/test/test_shared_totals.cc
+++ b/test/test_shared_totals.cc
@@ -25,8 +25,8 @@
   }
   guint32 hear(guint32 total, gint64 after = 100 * ms) {
     now += after;
-    return peer_totals_grown(shared_totals_hear(totals, peer, now), limit,
-                             total);
+    return peer_totals_increase(shared_totals_receive(totals, peer, now),
+                                limit, total);
   }
 };
 
@@ -50,9 +50,9 @@
 TEST_F(SharedTotal, PeersOfFormerAddressesAreForgotten) {
   for (guint64 address = 1; address <= 500; address++) {
     now += 300 * ms;
-    shared_totals_hear(totals, address, now);
+    shared_totals_receive(totals, address, now);
   }
-  EXPECT_LE(shared_totals_peers(totals), 6u);
+  EXPECT_LE(shared_totals_peer_count(totals), 6u);
 }
 
 TEST_F(SharedTotal, TheShareIsOfThoseHeard) {
--- a/test/test_stages.cc
+++ b/test/test_stages.cc
@@ -137,7 +137,7 @@
     traffic(9 * second);
     ASSERT_EQ(world.lease_calls.size(), 1u);
     EXPECT_EQ(world.lease_calls[0].operation, STORE_READ);
-    world.lease(STORE_ABSENT, 0, nullptr);
+    world.lease(STORE_NOT_FOUND, 0, nullptr);
     world.advance(300 * ms);
     ASSERT_EQ(world.lease_calls.size(), 2u);
     EXPECT_EQ(world.lease_calls[1].operation, STORE_CREATE);
--- a/test/test_suspicions.cc
+++ b/test/test_suspicions.cc
@@ -22,7 +22,7 @@
   std::vector<Sent> broken;
 
   void SetUp() override {
-    world.born_unix_ms = 1000;
+    world.started_unix_ms = 1000;
     world.populate();
     for (const char *id : {"app-3", "app-4", "app-5"})
       world.endpoint({id, "app", "a", STAGE_NONE});
@@ -58,8 +58,8 @@
   EXPECT_EQ(world.end(number).refusal, REFUSAL_SUSPECTED);
   EXPECT_EQ(world.runs(number), 0u);
   EXPECT_GT(world.end(number).retry_after_ms, 0);
-  EXPECT_LE(world.end(number).retry_after_ms, SUSPICION_LIFE / ms);
-  world.advance(SUSPICION_LIFE - ms);
+  EXPECT_LE(world.end(number).retry_after_ms, SUSPICION_LIFETIME / ms);
+  world.advance(SUSPICION_LIFETIME - ms);
   EXPECT_TRUE(is_deferred());
   world.advance(ms);
   EXPECT_FALSE(is_deferred());
@@ -127,18 +127,18 @@
   mp_CrashUpdate own = {};
   break_off(2);
   world.advance(300 * ms);
-  router_tell_crashes(world.router, FALSE, &own, world.now);
+  router_report_crashes(world.router, FALSE, &own, world.now);
   EXPECT_EQ(own.suspected_n, 2u);
   EXPECT_GE(own.suspected[0].age_ms, 300u);
   news.suspected_n = 2;
   news.suspected[0] = {5, 4711, 400};
-  news.suspected[1] = {5, 4712, static_cast<guint32>(SUSPICION_LIFE / ms)};
-  EXPECT_TRUE(router_hear_crashes(world.router, &news, world.now));
-  EXPECT_FALSE(router_hear_crashes(world.router, &news, world.now));
+  news.suspected[1] = {5, 4712, static_cast<guint32>(SUSPICION_LIFETIME / ms)};
+  EXPECT_TRUE(router_receive_crashes(world.router, &news, world.now));
+  EXPECT_FALSE(router_receive_crashes(world.router, &news, world.now));
   EXPECT_TRUE(is_deferred());
-  router_tell_crashes(world.router, FALSE, &own, world.now);
+  router_report_crashes(world.router, FALSE, &own, world.now);
   EXPECT_EQ(own.suspected_n, 2u) << "what others told is not its own";
-  router_tell_crashes(world.router, TRUE, &own, world.now);
+  router_report_crashes(world.router, TRUE, &own, world.now);
   EXPECT_EQ(own.suspected_n, 3u);
 }
 
--- a/test/test_text_history.cc
+++ b/test/test_text_history.cc
@@ -56,8 +56,8 @@
   GBytes *patch = text_patch_new(older.c_str(), newer.c_str());
   gsize size;
   auto *bytes = static_cast<const char *>(g_bytes_get_data(patch, &size));
-  ASSERT_TRUE(text_patch_is(bytes, size));
-  EXPECT_FALSE(text_patch_is("{\"at\":5}", 8));
+  ASSERT_TRUE(text_patch_is_patch(bytes, size));
+  EXPECT_FALSE(text_patch_is_patch("{\"at\":5}", 8));
   for (gsize i = 0; i < size; i++) {
     std::string spoilt(bytes, size);
     spoilt[i] = static_cast<char>(spoilt[i] ^ 0x20);
