--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -24,8 +24,7 @@
 static constexpr gint64 between_sums = 200 * ms;
 static constexpr gint64 least_between_rate_sums = 100 * ms;
 /* a resting connection is kept so long; between two looks for those that
- *others
- ** need (io/gateway.c) */
+ ** others need (io/gateway.c) */
 static constexpr gint64 kept = 4400 * ms;
 static constexpr gint64 trim_pause = 100 * ms;
 static const char *const zone_names[] = {"a", "b", "c"};
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -9,8 +9,7 @@
 ** the store was back, and listed it as draining, it got none.
 **
 ** Cause: an answer's head was translated into seven facts, and this was none
-*of
-** them; what the list says was the only word that counted, and the list was
+** of them; what the list says was the only word that counted, and the list was
 ** 12.7 s old. Evidence: no source named the field; the endpoint's share of the
 ** requests was the same before and after it had said so, at all instances; the
 ** first list that had it as draining ended that at once. Nothing had been on
