--- a/router/router.h
+++ b/router/router.h
@@ -325,8 +325,8 @@
 ** near instances since the last summary. */
 double router_limits_unreported(const Router *router);
 /* Handles the summary that a relay sent of another data centre. */
-void router_zone_load(Router *router, guint32 sequence,
-                      const mp_LoadSummary *summary, gint64 now);
+void router_receive_summary(Router *router, guint32 sequence,
+                            const mp_LoadSummary *summary, gint64 now);
 
 /* Handles the notice that another instance has reserved memory
 ** (RouterHost.note there). */
