--- a/router/availability.h
+++ b/router/availability.h
@@ -3,7 +3,8 @@
 ** What one incarnation of an endpoint has announced about accepting requests
 **
 ** An incarnation is one run of an endpoint's process, from its start to its
-** end. With the head of an answer (signals.c) it may announce:
+** end. In the head (the header fields) of an answer it may announce the
+** following, which signals.c records here:
 **
 **   announced   who has to obey it          until
 **   leaving     every instance              a later incarnation starts
@@ -12,12 +13,18 @@
 **
 ** A rest is a period in which the endpoint wants no request. A rate is the
 ** third announcement; it limits all instances together, so it is kept in
-** router/rate_limits.h. The gate (router/gate.h) and the module shortage.c
-** read this state; signals.c, the endpoint table and dispatcher.c write it.
+** router/rate_limits.h. The gate (router/gate.h), shortage.c, loads.c and
+** signals.c read this state; signals.c, lives.c, the endpoint table and
+** dispatcher.c write it.
 **
 ** Invariants:
 ** - What the platform lists (EndpointRecord.ready) is a separate fact, and
-**   often an older one. It neither sets nor clears anything here.
+**   often an older one. It never clears anything here. It sets something only
+**   after the store was restored from a copy, which may list an endpoint as it
+**   was before it left: if its last record before that was not ready, the
+**   endpoint is recorded as leaving (lives.c and the endpoint table). If it
+**   had been removed while it was ready, the endpoint table records a short
+**   rest.
 ** - Only the passing of time ends a rest. A request that succeeds, a later and
 **   shorter rest, or a failed connection does not end it.
 ** - Each of several rests counts for its own duration, so the latest end
@@ -53,12 +60,14 @@
   gboolean is_logged; /* its unreadable signals have been logged once */
 } Availability;
 
-/* Records that the endpoint is leaving, as announced in an answer to this or
-** another instance. Returns TRUE if that was not known before. */
+/* Records that the endpoint is leaving, as it announced in an answer to this
+** or another instance, or as its record said before the store was restored.
+** Returns TRUE if that was not known before. */
 gboolean availability_set_leaving(Availability *known, gint64 now);
-/* Records a rest of 'time' microseconds from 'now', announced in an answer to
-** this instance. A 'time' of 0 or less extends nothing. Returns TRUE if the
-** endpoint was not resting before and is now. */
+/* Records a rest of 'time' microseconds from 'now': announced in an answer to
+** this instance, or assumed by the endpoint table after a restore of the
+** store. A 'time' of 0 or less extends nothing. Returns TRUE if the endpoint
+** was not resting before and is now. */
 gboolean availability_extend_rest(Availability *known, gint64 time,
                                   gint64 now);
 /* Returns for how many microseconds more the endpoint wants no request; 0 when
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -67,8 +67,9 @@
 ** it, because entries of endpoints that go on serving expire and come back
 ** while the store is unreachable. */
 #define UNLISTED_KEEP_TIME (600 * MP_SEC)
-/* the most such incarnations kept; those that have announced nothing get half
-** of this */
+/* The most such incarnations kept. One that has announced nothing is kept only
+** if fewer than half of this are in the table, so that it leaves room for
+** those that have. */
 #define UNLISTED_MAX 1024
 /* An endpoint that had been removed and that a restored store lists again is
 ** avoided for this long: whoever removed it does so again within this time. */
--- a/router/follower.h
+++ b/router/follower.h
@@ -84,7 +84,7 @@
   StoreOperation operation;
   /* LIST: continue after this name; NULL: from the start. */
   const char *after;
-  /* WATCH: the last position known; REPLACE: the object's position. */
+  /* WATCH: the last position known; REPLACE, REMOVE: the object's position. */
   StorePosition position;
   /* WATCH: us after which to answer even without a change. */
   gint64 wait;
@@ -92,7 +92,7 @@
   gboolean in_full; /* Sent to an instance: it must send texts, not patches. */
   /* LIST sent to an instance: digest of the objects known here; 0: none. */
   guint64 digest;
-  const char *name; /* CREATE, READ, REPLACE: name of the object. */
+  const char *name; /* CREATE, READ, REPLACE, REMOVE: name of the object. */
   /* CREATE and REPLACE of an instance. */
   const struct InstanceRecord *instance;
   const struct LeaseRecord *lease; /* CREATE and REPLACE of a lease. */
@@ -136,8 +136,9 @@
   */
   StorePosition at;
   /*
-  ** WATCH: the reply names all objects that exist, unchanged ones without
-  ** their text; all others are gone.
+  ** Set by an instance that answers a WATCH, or a LIST whose digest matches:
+  ** the reply names all objects that exist, unchanged ones without their text;
+  ** all others are gone.
   */
   gboolean whole;
   /*
--- a/router/lease.h
+++ b/router/lease.h
@@ -6,18 +6,23 @@
 ** engines (stages.h). The instance that replaced the lease object last, on the
 ** condition that no other had replaced it since it was read, holds the lease
 ** for 'length' from the time just before that call. The object's position is
-** the fencing token: it grows with every holder. A lease is not renewed: it is
-** taken when there is something to do, and expires.
+** the fencing token: an engine rejects an order whose token is smaller than
+** one that it has seen. The token grows with every replacement. A lease is not
+** kept up while there is nothing to do: it is taken when the duty is wanted,
+** and then expires. If the duty is wanted again before that, its holder
+** replaces the object again, which extends the lease.
 **
 ** A store that was restored from a backup may have lost the object while its
-** holder relies on it. So no lease is held across a change of the store's era,
-** and none is taken within twice 'length' of such a change, or of the time at
-** which an instance that did not see the change first hears of an era.
+** holder relies on it. Each restore begins a new era of the store, a number
+** that grows. So no lease is held across a change of the era, and an instance
+** takes none within twice 'length' of the moment at which it hears of a newer
+** era. The first era that an instance hears of counts as newer too, because
+** the instance may have started just after the change.
 **
 ** Invariants: a lease counts as held only after an answer of the store that
 ** says so, and never longer than 'length' after the call was made. Another
 ** instance's lease is taken only after its position has stayed the same for
-** twice 'length' by this instance's steady clock, so that the terms of two
+** twice 'length' by this instance's steady clock, so that the leases of two
 ** holders are at least one 'length' apart. After a call without an answer the
 ** object is read again before anything else. Times are in us.
 */
@@ -42,7 +47,10 @@
   gint64 free_from; /* No lease is taken before this time. */
   StorePosition position;
   gint64 seen_at; /* Time at which 'position' was first seen. */
-  /* Counts the holders; makes each record differ from the one before. */
+  /*
+  ** Number of times the object was written, by whichever holder; it makes each
+  ** record differ from the one before.
+  */
   guint64 term;
   /* End of this instance's lease, exclusive; 0: it is not held. */
   gint64 held_until;
@@ -104,7 +112,9 @@
 gboolean lease_is_held(const Lease *lease, gint64 span, gint64 now);
 /*
 ** Ends the lease at once because a newer fencing token was seen. No call is
-** made for twice 'length' and the usual pause after a failure.
+** begun for twice 'length' and the usual pause after a failure. This does not
+** hold for a call that is open: its reply ends the pause, and the lease is
+** held again if the call replaced the object.
 */
 void lease_give_up(Lease *lease, gint64 now);
 
--- a/router/loads.c
+++ b/router/loads.c
@@ -11,9 +11,10 @@
 #include "router/retry_exchange.h"
 #include "router/state.h"
 
-/* An endpoint counts as failing from this share of failures on, in percent:
-** either one instance could not reach it, or runs of several instances failed
-** there. */
+/* An endpoint counts as failing from this share of failures on, in percent.
+** Either this instance alone has it (100 while it avoids the endpoint as
+** unreachable, or while the endpoint rests at its own request), or the shares
+** that the near instances report add up to it. */
 #define FAILING_PERCENT_MIN 90
 /* Smaller shares of failures are not reported, in percent. */
 #define REPORTED_FAILING_PERCENT_MIN 5
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -19,9 +19,11 @@
 /* Strikes too few for a hold are remembered for this long after the newest
 ** one, and those of a hold for this long after its end. */
 #define STRIKE_LIFETIME (3600 * MP_SEC)
-/* A request without counting strikes is remembered for this long, so that a
-** late report of a strike that was lifted changes nothing: instances report a
-** strike for NEWS_REPEAT_TIME after they learned it. */
+/* A request whose strikes were all taken off is remembered until this long
+** after this instance learned of its newest strike, or of the lift by an
+** operator. A late report of such a strike then changes nothing: instances
+** report a strike for NEWS_REPEAT_TIME after they learned it. (A run that ends
+** well doesn't extend this time.) */
 #define LIFTED_RETENTION (60 * MP_SEC)
 /* A strike is reported again and again for this long after this instance
 ** learned it, which makes good a lost datagram or a data centre that is cut
--- a/router/relay_group.c
+++ b/router/relay_group.c
@@ -19,8 +19,10 @@
 #define RELAYS_WANTED_SMALL 1
 #define SMALL_GROUP_BELOW 8
 /*
-** With fewer instances each follows the store for itself: their calls are few.
-** (9 instances in three data centres: less than 0.008 of what a day earns.)
+** In a data centre of fewer instances each follows the store for itself, since
+** their calls are few; but not when there are more than RELAY_FULL_MESH_MAX
+** instances in all, because every data centre then needs a relay that sends
+** summaries of its loads.
 */
 #define GROUP_SIZE_MIN 4
 /*
@@ -51,9 +53,11 @@
 */
 #define HEARTBEAT_TIMEOUT (3 * RELAY_HEARTBEAT_INTERVAL + 50 * MP_MS)
 /*
-** A member that misses relays waits TAKEOVER_STEP, which a heartbeat takes to
-** arrive, for each place before its own. When too few relays are heard at all,
-** it waits TAKEOVER_WAIT_MAX at most.
+** When a data centre has too few fresh relays, the members that come first in
+** the order, as many as there should be relays, become relays at once. Each
+** member after them waits TAKEOVER_STEP longer than the one before it, so that
+** a heartbeat of that one arrives first. If too few relays are heard at all,
+** no member waits longer than TAKEOVER_WAIT_MAX.
 */
 #define TAKEOVER_STEP (RELAY_HEARTBEAT_INTERVAL + 50 * MP_MS)
 #define TAKEOVER_WAIT_MAX (1000 * MP_MS)
--- a/router/router.h
+++ b/router/router.h
@@ -121,7 +121,8 @@
   REFUSAL_NO_ROUTE,          /* not run: no route matches */
   REFUSAL_NO_ENDPOINT,       /* not run: no endpoint is available */
   REFUSAL_BUSY,              /* not run: endpoints rejected it or have no
-                             ** room */
+                             ** room, or its prompt could not be read and no
+                             ** retry is left */
   REFUSAL_NOT_RUN,           /* not run: its time passed while it waited */
   REFUSAL_DRAINING,          /* not run: this instance is shutting down */
   REFUSAL_OUTCOME_UNKNOWN,   /* it may have run */
@@ -317,9 +318,10 @@
 ** data centres. The host fills in who sends it and for which data centre. */
 void router_load_summary(const Router *router, mp_LoadSummary *out,
                          gint64 now);
-/* Returns a number that changes with the set of endpoints that this instance
-** or a near one finds failing, or that announced that they are leaving: the
-** other data centres should know at once. */
+/* Returns a number that changes with the set of endpoints that the other data
+** centres should know of at once: those that this instance or the near ones
+** find failing, those that asked an instance for a rest, and those that
+** announced that they are leaving. */
 guint64 router_urgent_set(const Router *router, gint64 now);
 /* Returns the largest part of an account's burst that was spent here and at
 ** near instances since the last summary. */
--- a/router/shared_totals.h
+++ b/router/shared_totals.h
@@ -10,11 +10,12 @@
 ** Invariant: the first total of a limit that a peer reports charges nothing,
 ** and neither do the totals in its first message after a silence longer than
 ** the timeout, because they don't say how much was used lately. While a peer
-** is unreachable, the part of the limit that is available here is smaller
+** is not heard from, the part of the limit that is available here is smaller
 ** instead (limit_share).
 **
-** Times are in microseconds of this instance's steady clock. Limits are named
-** by a hash that their user chooses.
+** Times are in microseconds of this instance's steady clock. A limit is named
+** by a 32-bit hash, which account_limits.c computes of the account's name and
+** rate_limits.c of the endpoint's incarnation.
 */
 
 #ifndef ROUTER_SHARED_TOTALS_H
@@ -38,8 +39,10 @@
 /* the totals of one peer; they belong to their SharedTotals */
 typedef struct PeerTotals PeerTotals;
 
-/* A peer that was silent for longer than 'timeout' counts as unreachable. The
-** caller frees the result with shared_totals_free. */
+/* The first message of a peer after a silence longer than 'timeout' charges
+** nothing, and the totals of a peer that stays silent for longer are removed.
+** (LimitSharers.heard, from which limit_share follows, doesn't depend on
+** 'timeout'.) The caller frees the result with shared_totals_free. */
 SharedTotals *shared_totals_new(gint64 timeout);
 void shared_totals_free(SharedTotals *totals);
 
@@ -53,8 +56,10 @@
 /*
 ** Stores the total that the peer reports for a limit, and returns the increase
 ** over its total before, or 0 where the invariant says so. A total smaller
-** than the one before comes from a restarted peer or has wrapped around; then
-** the whole of it is returned, which misses a little once in some hours.
+** than the one before has wrapped around, or the peer counts from 0 again;
+** then the whole of it is returned. At a wrap-around this misses what was used
+** before the counter passed 0: a little, and only once in some hours, which a
+** busy account's counter of 24 bits takes.
 */
 guint32 peer_totals_increase(PeerTotals *peer, guint32 limit, guint32 total);
 
--- a/router/stage_plan.h
+++ b/router/stage_plan.h
@@ -6,8 +6,10 @@
 ** decodes (generates tokens). The plan aims at filling both stages at the same
 ** load, so that neither is idle while requests wait for the other. It uses the
 ** measured work that one full decode engine causes at the prefill engines;
-** therefore it depends only on the mix of prompts and answers and not on the
-** amount of traffic.
+** therefore the split that it aims at depends only on the mix of prompts and
+** answers and not on the amount of traffic. The amount decides whether engines
+** change at all: the result is 0 unless the memory in use, the prompts that
+** queue and 'waiting' show that one stage is short of engines.
 **
 ** stages.c calls this with the averaged use of a service. The function has no
 ** state and does not fail.
@@ -30,7 +32,8 @@
                        ** averaged */
   double decode_used;  /* memory of the runs, in units of the memory of one
                        ** engine; averaged */
-  gboolean waiting;    /* requests wait for room at a decode engine */
+  gboolean waiting;    /* requests, of this or another service, wait for room
+                       ** at a decode engine */
 } StageUse;
 
 /* Returns how many engines should change their stage: a positive number from
