--- a/router/accounts.c
+++ b/router/accounts.c
@@ -1,11 +1,13 @@
 /*
-** accounts.c Client accounts: finds the account of a request by its key,
-** checks that it may run, and charges the account's limit
+** accounts.c
+** Client accounts: finds the account of a request by its key, checks that it
+** may run, and charges the account's limit
 **
-** Invariant: no dispatch of a request with a key leaves unless the newest
-** configuration known here has the key, and was certainly the newest one at
-** most RouterOptions.proof_age_max ago (router/config_proof.h). A
-** proof_age_max of 0 sets no bound.
+** Invariant: a request with a key is dispatched only if the newest
+** configuration known here has the key. Besides, this instance must have proof
+** that no newer configuration existed at some time in the last
+** RouterOptions.proof_age_max (router/config_proof.h), so that a revoked key
+** stops working within that time. A proof_age_max of 0 sets no bound.
 */
 
 #include <string.h>
@@ -28,7 +30,7 @@
 
 LimitSharers accounts_sharers(const Router *router, gint64 now) {
   LimitSharers sharers = {0, 1};
-  if (!router->is_listed)
+  if (!router->has_instance_list)
     return sharers;
   sharers.instances = router->instances;
   sharers.heard = 1 + peer_loads_count_reachable(router->endpoints->peers,
--- a/router/endpoint_table.h
+++ b/router/endpoint_table.h
@@ -36,7 +36,7 @@
                          ** incarnation in digests */
   guint open;            /* open dispatches of this instance */
   guint connections;     /* of this instance, idle ones too */
-  guint resting;         /* the idle ones among them */
+  guint idle;            /* the idle ones among them */
   guint64 tokens;        /* engines: memory planned for this instance's open
                          ** dispatches and reservations, in tokens */
   double failures;       /* moving share of failed dispatches, 0 to 1, as of
--- a/router/follower.c
+++ b/router/follower.c
@@ -18,23 +18,28 @@
 #define RETRY_WAIT_FIRST (100 * MP_MS)
 #define RETRY_WAIT_MAX (800 * MP_MS)
 #define RETRY_DOUBLINGS_MAX 6 /* 6.4 s, beyond each longest wait */
-/* The store may still be silent: no long watch until it has answered. */
+/*
+** Longest wait of a watch after a failure, until the store has answered again:
+** a store that is still silent is then noticed soon.
+*/
 #define WATCH_WAIT_AFTER_FAILURE (300 * MP_MS)
 /*
-** A partial list is read again after this. What was removed before it is known
-** to be gone then, if that list is complete. One call in 5 s for each instance
-** that follows the store is a hundredth of the load that a small store takes.
+** A partial list is read again after this. A complete list then also removes
+** the objects that were removed before the partial one was read. One call in 5
+** s for each instance that follows the store is a hundredth of the load that a
+** small store can take.
 */
 #define PARTIAL_RELIST_DELAY (5 * MP_SEC)
 /*
-** The first list of an era is read again after this, and that one counts as it
-** stands: endpoints that are alive have registered again within 2 s of the
-** store's return.
+** The first list of an era removes no object. The store is listed again after
+** this, and that second list removes every object that it lacks: endpoints
+** that are alive have registered again within 2 s of the store's return.
 */
 #define RECONCILE_DELAY (2500 * MP_MS)
 /*
-** What is known from a list that may be stale is listed again after this:
-** instances that start together have found their relays by then.
+** An instance that starts may read a list for which the store accepts an
+** answer that is seconds old (StoreCall.stale). It lists again after this,
+** when instances that start together have found their relays.
 */
 #define STALE_RELIST_DELAY (1 * MP_SEC)
 /*
@@ -243,9 +248,10 @@
 }
 
 /*
-** Returns TRUE when the object changed after all that is known, so that its
-** position is exactly the one of the change: no instance can know more and
-** lack it. A list names no position for what it removes.
+** Returns TRUE when the update is a change made after everything that is known
+** here. Its position is then exactly that of the change, and no instance that
+** knows the store up to a later position lacks it. A list names no position
+** for what it removes.
 */
 static gboolean is_newest_change(const Follower *follower,
                                  const StoreObject *update) {
@@ -394,6 +400,11 @@
     announce_change(follower, follower->known);
 }
 
+/*
+** Applies the end of a page of a list. An empty page ends the list even if the
+** reply says that more follow: it has no last name after which to continue,
+** and the call would be repeated for ever.
+*/
 static void apply_list_page(Follower *follower, const StoreReply *reply,
                             gint64 now) {
   guint count = reply->objects != NULL ? reply->objects->len : 0;
@@ -618,16 +629,17 @@
   while (g_hash_table_iter_next(&iterator, &name, &value)) {
     const FollowedObject *known = value;
     StoreObject object = {0};
-    gboolean is_old =
+    /* not changed after what the caller knows */
+    gboolean is_unchanged =
         is_same || !store_position_is_before(query->since, known->changed_by);
-    if (is_old && !(out->whole && known->text != NULL))
+    if (is_unchanged && !(out->whole && known->text != NULL))
       continue;
     if (is_first && known->text == NULL)
       continue;
     object.name = g_strdup(name);
     object.position = known->position;
     object.gone = known->text == NULL;
-    if (!is_old)
+    if (!is_unchanged)
       write_text_or_changes(known, query->since, query->in_full, &object);
     g_array_append_val(out->objects, object);
   }
--- a/router/follower.h
+++ b/router/follower.h
@@ -22,13 +22,15 @@
 ** RECONCILE_DELAY later, does. An answer of an older era than the one known
 ** has no effect at all.
 **
-** A list that may be stale may even predate the era that its answer names, and
-** a revision that was assigned again may stand for another text. So what is
-** known only from such a list is listed again soon, and is passed on to other
-** instances with the mark 'from_stale_list'.
+** A list may be requested for which an answer that is seconds old is good
+** enough (StoreCall.stale). Such a list may predate the restore of the store,
+** although its answer names the new era. A revision in it may then have been
+** assigned again since, to another text. So what is known only from such a
+** list is listed again soon, and is passed on to other instances with the mark
+** 'from_stale_list'.
 **
-** Catching up reads the present state only: after losing the store, a follower
-** of a kind with a single object lists that object again. A watch from the old
+** After losing the store, a follower of a kind with a single object lists that
+** object again, which reads its present state alone. A watch from the old
 ** revision would return each version since.
 **
 ** Between instances, long texts travel as patches. Patches that don't fit the
--- a/router/gate.c
+++ b/router/gate.c
@@ -61,7 +61,7 @@
                                    const Endpoint *endpoint,
                                    const GateLimits *limits, gint64 now) {
   double remaining;
-  if (limits->connections_max == 0 || endpoint->resting > 0)
+  if (limits->connections_max == 0 || endpoint->idle > 0)
     return TRUE;
   remaining = OPEN_NEW_SHARE * limits->connections_max -
               endpoint_connections(table, endpoint);
--- a/router/loads.c
+++ b/router/loads.c
@@ -1,7 +1,11 @@
 /*
 ** loads.c
-** Load digests: writes what is open at this instance for the other instances,
-** and applies the digests and summaries that they send
+** Exchanges loads with other instances
+**
+** A load digest is an instance's message with the dispatches and the memory
+** that it has open at each endpoint. A load summary is the sum of the digests
+** of one data centre, which a relay sends to other data centres. This file
+** writes both, and applies those of other instances.
 */
 
 #include <string.h>
@@ -48,12 +52,12 @@
 }
 
 void router_set_connections(Router *router, const char *id, guint connections,
-                            guint resting) {
+                            guint idle) {
   Endpoint *endpoint = endpoint_table_get(router->endpoints, id);
   if (endpoint == NULL)
     return;
   endpoint->connections = connections;
-  endpoint->resting = resting;
+  endpoint->idle = idle;
 }
 
 gboolean router_keeps_connection(const Router *router, const char *id) {
@@ -79,14 +83,14 @@
 }
 
 /* Returns TRUE if this instance has work or failures at the endpoint, which
-** the other instances need to know in any case. Whether resting connections
-** alone are reported is for connections_must_report to say. */
+** the other instances need to know in any case. Whether an endpoint that has
+** only idle connections is reported, connections_must_report decides. */
 static gboolean has_reportable_load(const Endpoint *endpoint, guint failing) {
   return endpoint->open > 0 || endpoint->tokens > 0 ||
          failing >= REPORTED_FAILING_PERCENT_MIN;
 }
 
-/* Fills the rows of the digest. Endpoints at which connections only rest come
+/* Fills the rows of the digest. Endpoints that have only idle connections come
 ** last, so it is these that are left out when there is no more room. */
 static void write_rows(const Router *router, mp_LoadDigest *out, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
@@ -153,8 +157,8 @@
   return account_limits_unreported_share(router->limits);
 }
 
-void router_zone_load(Router *router, guint32 sequence,
-                      const mp_LoadSummary *summary, gint64 now) {
+void router_receive_summary(Router *router, guint32 sequence,
+                            const mp_LoadSummary *summary, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
   const mp_LoadDigest *known =
       peer_loads_latest_summary(peers, summary->relay);
@@ -170,15 +174,16 @@
   sharers = accounts_sharers(router, now);
   account_limits_receive_summary(router->limits, summary->relay,
                                  &summary->loads, &sharers, now);
+  /* the endpoints that announced that they are leaving */
   signals_read_digest(router, &summary->loads, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 void router_peer_load(Router *router, mp_Addr peer, guint32 sequence,
                       const mp_LoadDigest *digest, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
   const mp_LoadDigest *known = peer_loads_latest_digest(peers, peer);
-  mp_LoadDigest before; /* as in router_zone_load */
+  mp_LoadDigest before; /* as in router_receive_summary */
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
@@ -188,7 +193,7 @@
   sharers = accounts_sharers(router, now);
   account_limits_receive(router->limits, peer, digest, &sharers, now);
   signals_read_digest(router, digest, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 void router_peer_reservation(Router *router, mp_Addr peer,
--- a/router/outcomes.c
+++ b/router/outcomes.c
@@ -55,6 +55,9 @@
   return request->repeatable && request->runs < request->route->attempts;
 }
 
+/* Logs whether a retry is allowed. 'again': it is. Of the logged numbers,
+** 'runs' counts the RUN dispatches that may have run, and 'arrivals' those
+** that reached an endpoint. */
 static void log_retry(Router *router, const Request *request, gboolean again,
                       gboolean may_have_run) {
   router_log(router, MP_LOG_ROUTE_RETRY,
--- a/router/path.c
+++ b/router/path.c
@@ -5,7 +5,8 @@
 ** Invariants:
 ** - A request that is not repeatable is sent again only after its endpoint
 **   stated that it did not run it, or if no connection was made.
-** - At most Route.attempts dispatches of a request may have run.
+** - Among the dispatches of a request there are at most Route.attempts of
+**   which it is not certain that they did not run.
 ** - Every arrival (dispatch that reaches an endpoint) after the first is taken
 **   from the service's retry budget before it is sent; prefill.c says how
 **   prefills count.
@@ -18,7 +19,8 @@
 #include "router/silence.h"
 #include "router/state.h"
 
-/* The connect timeout is the route's objective, within these bounds.
+/* The connect timeout is Route.objective, the time within which the route's
+** answers should begin, within these bounds.
 ** Connecting takes some milliseconds, and a lost first packet is sent again
 ** only after a second, so waiting longer gains nothing. */
 #define CONNECT_TIMEOUT_MIN (100 * MP_MS)
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -7,13 +7,16 @@
 ** its handle. A handle is valid for a short time and for one fetch. If no
 ** prefill engine can read the prompt, the decode engine reads it itself.
 **
-** Invariant: of the arrivals at endpoints that a request causes, its first run
-** and the one prefill that reads its prompt cost no retry; for each other one
-** the retry budget is asked before the next arrival is sent. That includes a
-** run that replaces a prefill which an engine lost: counted as a first
-** arrival, with half of the engines dropping connections, it led to 102 to 138
-** extra arrivals in ten seconds where 100 to 113 are allowed, and 0.69 to 0.92
-** of them followed a lost prompt.
+** Invariant: of the dispatches of a request that arrive at endpoints, the
+** first run and the one prefill that reads the prompt cost no retry. Each
+** other one is an extra arrival, which the retry budget has to allow before it
+** is sent. It is charged then, except when it follows a PREFILL that was
+** rejected: the rejected one was charged when it was rejected, so it is only
+** checked that retries are left.
+** A run that replaces a prefill which an engine lost is an extra arrival too.
+** Without that charge, with half of the engines dropping connections, there
+** were 102 to 138 extra arrivals in ten seconds where 100 to 113 are allowed,
+** and 0.69 to 0.92 of them followed a lost prompt.
 */
 
 #include <string.h>
@@ -199,7 +202,7 @@
   return retry_exchange_try_take(router, service, now);
 }
 
-/* Logs whether the prompt is sent again. */
+/* Logs whether the retry budget allows another arrival ('again'). */
 static void log_prompt_retry(Router *router, const Request *request,
                              gboolean again) {
   router_log(router, MP_LOG_ROUTE_RETRY,
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -1,6 +1,6 @@
 /*
 ** quarantine.c
-** Quarantine for requests under which endpoints end
+** Quarantine for requests during whose runs endpoints crash
 */
 
 #include <string.h>
@@ -49,7 +49,8 @@
 #define ROWS_MAX 4096
 
 typedef struct Strike {
-  guint32 crash;      /* hash of the endpoint's id and the life that ended */
+  guint32 crash;      /* names the incarnation (one run of the endpoint's
+                      ** process) that ended: Endpoint.hash */
   gboolean is_off;    /* taken off: it doesn't count, but stays known */
   gboolean is_own;    /* this instance saw it */
   gboolean is_stored; /* the store has it */
@@ -75,8 +76,8 @@
   gint64 unix_offset;
   guint64 seed;
   guint64 version;
-  gboolean may_need_save; /* FALSE: no row needs a write. It saves the search
-                          ** through all rows with every event */
+  gboolean may_need_save; /* FALSE: no row needs a write to the store, so that
+                          ** not all rows are searched with every event */
   gint64 next_expiry_at;  /* when rows are searched for expired ones again */
 };
 
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -1,18 +1,20 @@
 /*
 ** quarantine.h
-** Quarantine for requests under which endpoints end ("queries of death")
+** Quarantine for requests during whose runs endpoints crash ("queries of
+** death")
 **
-** A request is identified by the digest of its content and client account,
+** A request is identified by the hash of its content and client account,
 ** whatever id it bears. When an endpoint's process ends while it runs the
 ** request, the request gets a strike, and so do all others that ran there, so
 ** a single strike says little. From QUARANTINE_HOLD_STRIKES strikes on the
 ** request is held: no instance sends it to an endpoint.
 **
 ** Invariants:
-** 1. The strikes of a request are a set, identified by the endpoint that ended
-**    and the life of it that ended. To hear of a strike twice, from whomever
-**    and in whatever order, changes nothing. So instances only merge what they
-**    know, and none of them has to decide first.
+** 1. The strikes of a request are a set. A strike is identified by the
+**    incarnation, one run of an endpoint's process, that ended. To hear of a
+**    strike twice, from whomever and in whatever order, changes nothing. So
+**    instances only merge what they know, and none of them has to decide
+**    first.
 ** 2. A hold ends by itself, so that a request that was blamed wrongly is
 **    served again. Each further strike makes the next hold longer, and from
 **    QUARANTINE_STRIKES_MAX strikes on only an operator ends it. So after the
@@ -49,10 +51,10 @@
 /* the strikes of one request, as instances report them and the store keeps
 ** them */
 typedef struct QuarantineRecord {
-  guint64 content; /* digest of the request's content and account */
+  guint64 content; /* hash of the request's content and account */
   guint count;     /* of 'crashes' */
-  guint32 crashes[QUARANTINE_STRIKES_MAX]; /* hashes of an endpoint's id and
-                                           ** the life that ended */
+  guint32 crashes[QUARANTINE_STRIKES_MAX]; /* the incarnations that ended, each
+                                           ** as Endpoint.hash */
   gint64 last_unix_ms; /* time of the newest strike; 0: not known */
   /* For operators: the id, route and client account of the last request that
   ** got a strike, where this is known; else NULL. */
@@ -80,9 +82,9 @@
   const char *account; /* NULL: none */
 } QuarantineSuspect;
 
-/* Adds a strike that this instance saw itself: the life 'crash' of an endpoint
-** ended while it ran the suspect. Texts are copied. Returns FALSE if the
-** strike is known already, or if there is no room for it. */
+/* Adds a strike that this instance saw itself: the incarnation 'crash' of an
+** endpoint (Endpoint.hash) ended while it ran the suspect. Texts are copied.
+** Returns FALSE if the strike is known already, or if there is no room. */
 gboolean quarantine_add_strike(Quarantine *quarantine,
                                const QuarantineSuspect *suspect, guint32 crash,
                                gint64 now);
@@ -98,8 +100,8 @@
 
 /* Returns the number of strikes that count against the request. */
 guint quarantine_strike_count(const Quarantine *quarantine, guint64 content);
-/* Returns TRUE if this end of a life is known as a strike of the request,
-** whether it still counts or was taken off. */
+/* Returns TRUE if the end of this incarnation is known as a strike of the
+** request, whether it still counts or was taken off. */
 gboolean quarantine_has_strike(const Quarantine *quarantine, guint64 content,
                                guint32 crash);
 /* Returns the time until which the request is held; 0 if it is not held, and
--- a/router/rates.c
+++ b/router/rates.c
@@ -220,7 +220,7 @@
   for (i = 0; i < news.n; i++)
     log_change(router, find_listed(router, news.row[i].endpoint), before[i],
                "instance", news.row[i].age_ms, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* }================================================================== */
--- a/router/router.c
+++ b/router/router.c
@@ -156,7 +156,7 @@
 }
 
 void router_set_instances(Router *router, unsigned count, unsigned near) {
-  router->is_listed = TRUE;
+  router->has_instance_list = TRUE;
   router->instances = MAX(count, 1);
   router->near = CLAMP(near, 1, router->instances);
   router->endpoints->has_late_loads = router->near < router->instances;
@@ -170,11 +170,12 @@
 ** ===================================================================
 */
 
-/* Returns the digest by which the quarantine knows a request. It includes the
-** client account, so that a request held for one account is not held for
+/* Returns the hash by which the quarantine (router/quarantine.h) knows a
+** request: Request.content. It includes the client account, so that a request
+** that is held, which no endpoint gets, for one account is not held for
 ** others. */
-static guint64 quarantine_digest(const CallerRequest *call,
-                                 const Account *account) {
+static guint64 quarantine_key(const CallerRequest *call,
+                              const Account *account) {
   if (account == NULL)
     return call->content;
   return XXH3_64bits_withSeed(account->name, strlen(account->name),
@@ -196,7 +197,7 @@
   request->prompt_tokens = call->prompt_tokens;
   request->output_tokens = call->output_tokens;
   request->session = call->session;
-  request->content = quarantine_digest(call, account);
+  request->content = quarantine_key(call, account);
   request->resumes = call->resumes;
   request->arrived = now;
   request->caller_deadline = now + patience;
@@ -322,7 +323,7 @@
   if (request == NULL)
     return;
   finish_hangup(router, request, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* Returns TRUE if the outcome shows that the endpoint itself answered. */
@@ -346,7 +347,7 @@
     prefill_handle_outcome(router, request, outcome, now);
   else
     outcomes_handle(router, request, outcome, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* }================================================================== */
@@ -416,14 +417,14 @@
 
 void router_tick(Router *router, gint64 now) {
   if (peer_loads_expire(router->endpoints->peers, now))
-    admission_start_waiting(router, now);
+    admission_start_waiting_requests(router, now);
   while (handle_one_due(router, now)) {
   }
   stages_tick(router->stages, now);
   crash_watch_expire(router->crashes, now);
   quarantine_expire(router->quarantine, now);
   suspicions_expire(router->suspicions, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* }================================================================== */
--- a/router/router.h
+++ b/router/router.h
@@ -14,12 +14,22 @@
 **   dispatch     one message to an endpoint, for a request or for the router
 **                itself
 **   incarnation  one run of an endpoint's process; Endpoint.hash names it
-**                (router/endpoint_table.h). Members called 'life' hold it.
+**                (router/endpoint_table.h). Members called 'life' hold that
+**                hash.
 **   handle       names a prompt's KV memory at the engine that prefilled it
+**   store        the platform's database of the configuration, the endpoints,
+**                the instances, the quarantine and the lease; its contents are
+**                objects (router/follower.h)
+**   era          a number that the store names and that grows when the store
+**                is restored from a copy
+**   relay        an instance that follows the store for the other instances of
+**                its data centre (router/relay_group.h)
+**   digest       of loads: a message with what one instance has open at the
+**                endpoints; a summary adds up those of a data centre
 **   near         the instances that exchange load digests with this one; other
 **                data centres are known from the summaries of their relays
-**   era          a number of the store that grows when it is restored from a
-**                copy
+**   held         a request that no instance sends to an endpoint, because
+**                endpoints crashed while they ran it (router/quarantine.h)
 **
 ** A RUN dispatch may have run from the moment when its first byte was sent,
 ** unless its endpoint states that it did not run it.
@@ -52,7 +62,7 @@
   const char *id; /* the caller's own id for this attempt */
   const char *host;
   const char *path;
-  guint64 content;       /* digest of what it asks for (http/content.h) */
+  guint64 content;       /* hash of what it asks for (http/content.h) */
   gint64 deadline_ms;    /* for how long the caller will wait, in ms from now;
                          ** 0: not given */
   guint32 prompt_tokens; /* 0: not given */
@@ -129,13 +139,15 @@
   REFUSAL_TIMEOUT,           /* it may have run; its time passed */
   REFUSAL_KEY,               /* not run: no account has its key */
   REFUSAL_LIMIT,             /* not run: its account's limit is used up */
-  REFUSAL_OLD_CONFIGURATION, /* not run: since the configuration known here its
-                             ** key may have been revoked, or its key or route
-                             ** added */
-  REFUSAL_HELD, /* not run: endpoints crash under it (router/quarantine.h) */
+  REFUSAL_OLD_CONFIGURATION, /* not run: the configuration known here may be
+                             ** outdated; a newer one may revoke its key, or
+                             ** add its key or route */
+  REFUSAL_HELD, /* not run: the quarantine holds it, because several endpoints
+                ** crashed while they ran it (router/quarantine.h) */
   REFUSAL_RATE, /* not run: the rates that endpoints name are used up */
   REFUSAL_REST, /* not run: endpoints want no request for a while */
-  REFUSAL_SUSPECTED /* not run: endpoints may have crashed under it */
+  REFUSAL_SUSPECTED /* not run: its runs broke off, and it is not known yet
+                    ** whether the endpoints crashed (router/suspicions.h) */
 } RefusalKind;
 
 typedef struct Refusal {
@@ -254,12 +266,13 @@
 /* The configuration was certainly the newest one at the time 'at'
 ** (router/config_proof.h); 0: that is not known. */
 void router_configuration_proved(Router *router, gint64 at);
-/* The store answered, at the time 'at', the instance from which this one has
-** its objects (itself, or a relay). */
+/* The store answered, at the time 'at', the instance from which this one
+** learns of the store's objects: itself, or a relay. */
 void router_store_answered(Router *router, gint64 at);
-/* Sets the state that compares the configuration known here with what any
-** instance has named. The state is borrowed and must outlive the router;
-** without one no instance counts as having named any. */
+/* Sets the state that compares the position of the configuration known here
+** with the latest one that any instance has announced. The state is borrowed
+** and must outlive the router. Without it, no newer configuration counts as
+** announced. */
 void router_set_news_state(Router *router, const NewsState *news);
 /* Adds, changes or (with 'gone') removes one endpoint. Requests that run on an
 ** earlier incarnation of it end there. */
@@ -292,7 +305,7 @@
 /* Sets the number of this instance's connections to the endpoint and how many
 ** of them are idle; may be called at any time. */
 void router_set_connections(Router *router, const char *endpoint,
-                            guint connections, guint resting);
+                            guint connections, guint idle);
 /* Returns TRUE if the host should keep an idle connection to the endpoint. */
 gboolean router_keeps_connection(const Router *router, const char *endpoint);
 
@@ -308,7 +321,7 @@
 /* Returns the same for what is open at plain endpoints, which is less
 ** urgent. */
 guint64 router_plain_version(const Router *router);
-/* Writes what this instance has open. */
+/* Writes the load digest of this instance: what it has open at endpoints. */
 void router_load_digest(const Router *router, mp_LoadDigest *out, gint64 now);
 /* Handles the digest of another instance; 'sequence' grows with each. */
 void router_peer_load(Router *router, mp_Addr peer, guint32 sequence,
@@ -323,12 +336,12 @@
 ** find failing, those that asked an instance for a rest, and those that
 ** announced that they are leaving. */
 guint64 router_urgent_set(const Router *router, gint64 now);
-/* Returns the largest part of an account's burst that was spent here and at
-** near instances since the last summary. */
+/* Returns, for the client account that used the largest share of its burst
+** here and at near instances since the last summary, that share. */
 double router_limits_unreported(const Router *router);
 /* Handles the summary that a relay sent of another data centre. */
-void router_zone_load(Router *router, guint32 sequence,
-                      const mp_LoadSummary *summary, gint64 now);
+void router_receive_summary(Router *router, guint32 sequence,
+                            const mp_LoadSummary *summary, gint64 now);
 
 /* Handles the notice that another instance has reserved memory
 ** (RouterHost.note there). */
--- a/router/state.h
+++ b/router/state.h
@@ -100,7 +100,8 @@
   const Account *account; /* of 'table'; NULL: it needs none */
   char key_digest[MP_DIGEST + 1];
   double cost;     /* charged to the account's limit, in the limit's unit */
-  guint64 content; /* digest of CallerRequest.content and the account */
+  guint64 content; /* hash of CallerRequest.content and the account's name;
+                   ** names the request in the quarantine */
   guint32 prompt_tokens, output_tokens;
   guint64 session;
   gint64 arrived;
@@ -176,7 +177,7 @@
   guint64 last_dispatch;
   unsigned instances;         /* instances that share the traffic */
   unsigned near;              /* near ones among them (router.h) */
-  gboolean is_listed;         /* router_set_instances was called */
+  gboolean has_instance_list; /* router_set_instances was called */
   GHashTable *unknown_fields; /* "service field" of those already logged */
   AccountLimits *limits;
   RateLimits *rates; /* named by endpoints */
@@ -197,7 +198,8 @@
                        ** borrowed */
   gint64 last_run_end; /* when a stream last ended here; 0: never */
   double mean_end_interval; /* moving mean of the time between such ends, us */
-  guint64 plain_version;    /* the same for what is open at plain endpoints */
+  guint64 plain_version;    /* grows when what is open at plain endpoints
+                            ** changes, which is less urgent */
   guint64 load_version;     /* grows when the near instances should know a
                             ** change at once: of open dispatches and
                             ** reservations at engines, of the queue, or of
@@ -430,7 +432,7 @@
 /* Returns how many requests that wait here can still be answered in time. */
 guint admission_count_in_time(const Router *router, gint64 now);
 /* Starts the waiting requests that fit; called whenever there may be room. */
-void admission_start_waiting(Router *router, gint64 now);
+void admission_start_waiting_requests(Router *router, gint64 now);
 /* Records that a stream ended, which frees memory. */
 void admission_note_run_end(Router *router, gint64 now);
 
