--- a/router/account_limits.c
+++ b/router/account_limits.c
@@ -20,8 +20,9 @@
 #define USED_TOLERANCE_SHARE 0.82
 /* Requests that cost at most this part of the burst are admitted before larger
 ** ones: in a bucket that large ones keep empty there is nearly always enough
-** left for them. (A day with two floods, prompts of 5,000 tokens and plain
-** requests of 200: 10.3% of the requests refused without it, 3.2% with it.) */
+** left for them. (With two floods, prompts of 5,000 tokens and plain requests
+** of 200 tokens, 10.3% of the requests were refused without it, and 3.2% with
+** it.) */
 #define SMALL_REQUEST_SHARE 0.02
 /* The level may fall by this many floors more before small requests are
 ** refused, which is about what is on its way in a flood. */
--- a/router/account_limits.h
+++ b/router/account_limits.h
@@ -5,12 +5,13 @@
 ** A limit is a rate and a burst over all instances. Each instance keeps a
 ** whole token bucket for each account: the rate fills it, and it is charged
 ** for what this instance admits and for what the other instances report that
-** they admitted. These totals travel with the load digests, and between data
-** centres with the summaries of relays. So no instance owns a limit, none has
-** to be replaced when it fails, and no request waits for a call to another
-** one. A fixed share of the limit for each instance would be too small: a
-** request takes some hundredth of what a limit gives in a second, and less
-** than one request falls on an instance in that time.
+** they admitted. These totals travel with the load digests (peer_loads.h),
+** and between data centres with the summaries of relays, which add up the
+** digests of one data centre. So no instance owns a limit, none has to be
+** replaced when it fails, and no request waits for a call to another one. A
+** fixed share of the limit for each instance would be too small: a request
+** takes some hundredth of what a limit gives in a second, and less than one
+** request falls on an instance in that time.
 **
 ** What others admitted becomes known late, so the level of a bucket may fall
 ** below zero. There a request is admitted by chance; the probability falls
--- a/router/config_proof.h
+++ b/router/config_proof.h
@@ -5,9 +5,11 @@
 ** A client key that was revoked must not be accepted for long, even by an
 ** instance that is cut off from the network and hears nothing. So each
 ** instance keeps a time, on its own steady clock, at which its configuration
-** was certainly the newest one, the proof. It is either the time at which it
-** asked the store and was told nothing newer, or a time on a relay's clock,
-** told by that relay (relay_group.h) and converted to its own clock.
+** was certainly the newest one. This time is called the proof. It is either
+** the time at which this instance asked the store and was told of nothing
+** newer, or such a time of a relay, an instance that follows the store for
+** others (relay_group.h). A relay's time is converted from the relay's clock
+** to this instance's own.
 **
 ** The arrival of a heartbeat proves nothing, because it may have waited in a
 ** queue for seconds, or this instance may have been stopped since it came. The
--- a/router/crash_watch.h
+++ b/router/crash_watch.h
@@ -6,9 +6,9 @@
 ** partitions. A broken run is held against its request only when the
 ** endpoint's process has ended. There are two proofs: a new connection to the
 ** endpoint is refused at once, or the platform's list drops the endpoint or
-** names a later life of it (a newer start of its process) soon after. A check
-** that gets no reply proves nothing, because that is what a partition looks
-** like.
+** names a later life of it soon after. (A life, or incarnation, is one run of
+** the process, from its start to its end.) A check that gets no reply proves
+** nothing, because that is what a partition looks like.
 **
 ** Invariants:
 ** 1. A request is reported at most once for each life of an endpoint.
--- a/router/follower.c
+++ b/router/follower.c
@@ -37,9 +37,8 @@
 */
 #define RECONCILE_DELAY (2500 * MP_MS)
 /*
-** An instance that starts may read a list for which the store accepts an
-** answer that is seconds old (StoreCall.stale). It lists again after this,
-** when instances that start together have found their relays.
+** A list that may be stale (StoreCall.stale) is read again after this, when
+** instances that start together have found their relays.
 */
 #define STALE_RELIST_DELAY (1 * MP_SEC)
 /*
@@ -402,8 +401,8 @@
 
 /*
 ** Applies the end of a page of a list. An empty page ends the list even if the
-** reply says that more follow: it has no last name after which to continue,
-** and the call would be repeated for ever.
+** reply says that more follow, because it has no last name after which to
+** continue.
 */
 static void apply_list_page(Follower *follower, const StoreReply *reply,
                             gint64 now) {
--- a/router/lease.h
+++ b/router/lease.h
@@ -2,15 +2,16 @@
 ** lease.h
 ** A lease on one duty, kept as one object of the store
 **
-** At most one instance at a time performs the duty of changing the stages of
-** engines (stages.h). The instance that replaced the lease object last, on the
-** condition that no other had replaced it since it was read, holds the lease
-** for 'length' from the time just before that call. The object's position is
-** the fencing token: an engine rejects an order whose token is smaller than
-** one that it has seen. The token grows with every replacement. A lease is not
-** kept up while there is nothing to do: it is taken when the duty is wanted,
-** and then expires. If the duty is wanted again before that, its holder
-** replaces the object again, which extends the lease.
+** At most one instance at a time performs the duty of ordering engines to
+** change between the prefill and the decode stage (stages.h). The instance
+** that replaced the lease object last, on the condition that no other had
+** replaced it since it was read, holds the lease for 'length' from the time
+** just before that call. The object's position is the fencing token: an engine
+** rejects an order whose token is smaller than one that it has seen. The token
+** grows with every replacement. A lease is not kept up while there is nothing
+** to do: it is taken when the duty is wanted, and then expires. If the duty is
+** wanted again before that, its holder replaces the object again, which
+** extends the lease.
 **
 ** A store that was restored from a backup may have lost the object while its
 ** holder relies on it. Each restore begins a new era of the store, a number
--- a/router/news_source.h
+++ b/router/news_source.h
@@ -2,13 +2,13 @@
 ** news_source.h
 ** Chooses whom an instance asks for changes of one kind of objects
 **
-** The Follower decides what to ask, and the RelayGroup knows which relays have
-** changes. This module chooses between the store, a relay and, when an
-** instance starts without the store, the instances that the settings name
-** (seeds). The code that does the input and output (io/following.c) asks for
-** the next action and hands back the reply. Positions in replies are the
-** store's, whoever answers, so the source may change from one call to the
-** next.
+** The Follower decides what to ask, and the RelayGroup knows which relays
+** (instances that follow the store for others) have changes. This module
+** chooses between the store, a relay and, when an instance starts without the
+** store, the instances that the settings name (seeds). The code that does the
+** input and output (io/following.c) asks for the next action and hands back
+** the reply. Positions in replies are the store's, whoever answers, so the
+** source may change from one call to the next.
 **
 ** Invariants: at most one call is open. When a relay does not answer, the
 ** store is asked at once. No call is given up while its answer is arriving. A
--- a/router/path.c
+++ b/router/path.c
@@ -19,8 +19,8 @@
 #include "router/silence.h"
 #include "router/state.h"
 
-/* The connect timeout is Route.objective, the time within which the route's
-** answers should begin, within these bounds.
+/* The connect timeout is Route.objective, the time within which an answer of
+** the route has its full value, within these bounds.
 ** Connecting takes some milliseconds, and a lost first packet is sent again
 ** only after a second, so waiting longer gains nothing. */
 #define CONNECT_TIMEOUT_MIN (100 * MP_MS)
--- a/router/peer_loads.h
+++ b/router/peer_loads.h
@@ -2,8 +2,9 @@
 ** peer_loads.h
 ** The loads that the other instances report for each endpoint
 **
-** An instance sends a load digest (mp_LoadDigest) with everything that it
-** has open whenever that changes, so the next digest makes good a lost one.
+** An instance sends a load digest (mp_LoadDigest) with all dispatches and
+** memory that it has open at endpoints whenever that changes, so the next
+** digest makes good a lost one.
 ** The last digest of a peer is counted until a newer one replaces it, or
 ** until the peer has been silent for PEER_LOAD_TIMEOUT.
 **
@@ -18,7 +19,7 @@
 ** The endpoint table (router/endpoint_table.h) owns the only PeerLoads of a
 ** router; loads.c feeds it. All times are in microseconds of this instance's
 ** steady clock. Endpoints are named by Endpoint.hash, the hash of their id
-** and life.
+** and start time.
 */
 
 #ifndef ROUTER_PEER_LOADS_H
--- a/router/rate_limits.h
+++ b/router/rate_limits.h
@@ -26,13 +26,14 @@
 **    what is on its way at the moment when the span begins
 **    (docs/design/endpoint-rates.md).
 ** 3. What an answer says counts from the time when it was received, at
-**    whichever instance that was. The newest answer is right.
+**    whichever instance that was. The newest answer replaces what earlier ones
+**    said.
 **
 ** A Router owns one RateLimits: the gate asks it before it opens an endpoint
 ** (gate.c), dispatcher.c and prefill.c count what is sent, and rates.c applies
 ** answers and messages. Endpoints are named by Endpoint.hash, the hash of
-** their id and life. Rates are in requests a second, times in microseconds of
-** this instance's steady clock.
+** their id and start time. Rates are in requests a second, times in
+** microseconds of this instance's steady clock.
 */
 
 #ifndef ROUTER_RATE_LIMITS_H
@@ -47,8 +48,9 @@
 /* What a peer has sent is known here after about this time: its message leaves
 ** at once, may wait for the processor on a small machine, and may be lost. */
 #define RATE_REPORT_DELAY (50 * MP_MS)
-/* The same where relays pass on sums of rates: they send one in 30 ms, and the
-** message takes two more hops. */
+/* The same delay where relays, which inform other data centres for all
+** instances of their own, pass on sums of what was sent: a relay sends one sum
+** in 30 ms, and the message takes two more hops. */
 #define RATE_SUMMARY_DELAY (250 * MP_MS)
 
 /* who sends to the endpoints of a service, as this instance sees it now */
--- a/router/relay_group.h
+++ b/router/relay_group.h
@@ -27,8 +27,9 @@
 ** A relay is fresh while the store has recently answered it, or another relay
 ** that it hears; the age of that answer travels with the heartbeats. A relay
 ** that knows an older era of the store than this instance is not fresh,
-** whatever its age: it can't tell what has changed since. A relay that runs an
-** earlier release names no era at all.
+** whatever its age: it can't tell what has changed since. (The era is a number
+** of the store that grows when the store is restored from a copy.) A relay
+** that runs an earlier release names no era at all.
 **
 ** Invariants: a member counts fresh relays alone. The age up to which a relay
 ** is fresh follows from RelayTiming.propagation_max: the rest of that time
--- a/router/stages.h
+++ b/router/stages.h
@@ -21,8 +21,9 @@
 **   to the engine may take.
 ** - An order names the engine's incarnation and the number of orders that this
 **   incarnation has accepted before.
-** - After an engine has reported a newer fence (the number that grows with
-**   each holder of the lease), nothing more is sent under the old one.
+** - After an engine has reported a newer fence (the number of an order that
+**   grows with each replacement of the lease and each era of the store),
+**   nothing more is sent under the old one.
 **
 ** Times are microseconds of the router's steady clock.
 */
--- a/router/suspicions.h
+++ b/router/suspicions.h
@@ -10,14 +10,14 @@
 ** Invariants:
 ** 1. A suspicion ends by itself after SUSPICION_LIFETIME, within which the
 **    list would have proved the end.
-** 2. It ends at once when that life of the endpoint answers anything. So an
-**    endpoint that breaks answers off because of a fault, and goes on to
-**    answer, leaves no suspicion here.
+** 2. It ends at once when that life of the endpoint (that run of its process)
+**    answers anything. So an endpoint that breaks answers off because of a
+**    fault, and goes on to answer, leaves no suspicion here.
 ** 3. It never becomes a strike (router/quarantine.h): a suspicion can defer a
 **    request and can't quarantine one.
 **
 ** A Router owns one Suspicions, which suspects.c uses. A request is identified
-** by the digest of its content and client account, a life by Endpoint.hash.
+** by the hash of its content and client account, a life by Endpoint.hash.
 ** Times are in microseconds of this instance's steady clock.
 */
 
