--- a/io/relays.c
+++ b/io/relays.c
@@ -287,7 +287,8 @@
                            gint64 now) {
   if (message->u.summary.zone == relays->zone)
     return;
-  router_receive_summary(relays->router, message->seq, &message->u.summary, now);
+  router_receive_summary(relays->router, message->seq, &message->u.summary,
+                         now);
   if (from == message->u.summary.relay &&
       relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -396,7 +396,8 @@
   one.summed_at = now;
   for (unsigned k = 0; k < all.size(); k++) {
     if (all[k].zone != one.zone && hears(i, k))
-      router_receive_summary(all[k].world->router, one.sequence, &summary, now);
+      router_receive_summary(all[k].world->router, one.sequence, &summary,
+                             now);
   }
 }
 
--- a/test/test_summaries.cc
+++ b/test/test_summaries.cc
@@ -169,7 +169,8 @@
       summary.zone = zone + 1;
       for (unsigned to = 0; to < all.size(); to++) {
         if (to / each != zone)
-          router_receive_summary(all[to]->router, sequence, &summary, all[to]->now);
+          router_receive_summary(all[to]->router, sequence, &summary,
+                                 all[to]->now);
       }
     }
   }
