--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -8,7 +8,8 @@
 ** line runs NODES cores in virtual time between stand-ins that answer at
 ** once, first idle, then with RATE requests a second, then through one
 ** change of configuration. Bytes are those of the encoded datagrams with
-** their UDP and IP headers; processor time is that of mp_feed and mp_take
+** their UDP and IP headers; processor time is that of mp_feed and
+*mp_next_effect
 ** alone; memory is what the allocator handed out for the cores. HTTP and
 ** the kernel are not in it (docs/CAPACITY.md adds them, measured apart).
 */
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -46,7 +46,7 @@
   GHashTable *gone; /* xcalls that were aborted: node << 48 ^ xcall */
   char *list, *manifest;
   char *section[2]; /* accounts, and what changes */
-  char digest[2][MP_DIGEST + 1];
+  char digest[2][MP_SHA256_HEX + 1];
   uint64_t manifestversion;
   GPtrArray *watches; /* Due, answered by the next change */
   uint64_t answered, refused;
--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -106,7 +106,7 @@
   slopes_push(R, d);
 }
 
-static void onxcall(Run *R, unsigned node, const mp_Xcall *x) {
+static void onxcall(Run *R, unsigned node, const mp_EndpointCall *x) {
   mp_EndpointEvent e = {0};
   char kv[64];
   e.xcall = x->xcall;
@@ -118,7 +118,7 @@
     answerx(R, node, 60 * MP_MS, &e, kv, 0);
     break;
   case MP_X_DECODE:
-    e.what = MP_EP_PIECE;
+    e.what = MP_EP_CHUNK;
     e.tokens = 1;
     answerx(R, node, 25 * MP_MS, &e, "token ", R->tokens);
     break;
@@ -137,7 +137,7 @@
   }
 }
 
-static void loadanswer(const Run *R, mp_Addr engine, mp_LoadAnswer *l) {
+static void loadanswer(const Run *R, mp_Addr engine, mp_LoadReport *l) {
   unsigned i = (unsigned)(engine >> 16) - 0x0a400000;
   l->role = slopes_prefills(R, i) ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
   l->slots = SLOTS;
@@ -176,7 +176,7 @@
 }
 
 static void onsend(Run *R, unsigned node, mp_Addr to, const mp_Msg *m) {
-  char buf[MP_MAXDGRAM];
+  char buf[MP_DATAGRAM_MAX];
   Due *d = slopes_due(R, R->now + LINK, W_MSG, nodeof(to));
   size_t n = rpc_encode(m, buf, sizeof buf) + UDP_IP;
   R->node[node].bytes += n;
@@ -209,15 +209,15 @@
   mp_Time w;
   for (;;) {
     double c = cputime();
-    int more = mp_take(N->M, &fx);
+    int more = mp_next_effect(N->M, &fx);
     N->cpu += cputime() - c;
     if (!more)
       break;
     if (fx.kind == MP_FX_SEND)
       onsend(R, i, fx.u.send.to, &fx.u.send.msg);
-    else if (fx.kind == MP_FX_XCALL)
+    else if (fx.kind == MP_FX_ENDPOINT_CALL)
       onxcall(R, i, &fx.u.xcall);
-    else if (fx.kind == MP_FX_XABORT) {
+    else if (fx.kind == MP_FX_ENDPOINT_ABORT) {
       uint64_t k = gonekey(i, fx.u.xabort);
       g_hash_table_add(R->gone, g_memdup2(&k, sizeof k));
     } else if (fx.kind == MP_FX_STORE)
@@ -228,7 +228,7 @@
       R->errors[fx.u.reply.error] += fx.u.reply.what == MP_REPLY_ERROR;
     }
   }
-  w = mp_wake(N->M);
+  w = mp_next_tick(N->M);
   if (N->woken > R->now && N->woken <= w)
     return;
   N->woken = MAX(w, R->now);
@@ -266,10 +266,10 @@
 /* one token of a stream; the next one follows, and then the end */
 static void token(Run *R, Due *d, mp_Event *e) {
   uint64_t k = gonekey(d->node, d->x.xcall);
-  mp_LoadAnswer l = {0};
+  mp_LoadReport l = {0};
   if (g_hash_table_contains(R->gone, &k))
     return;
-  if (d->x.what == MP_EP_PIECE && d->tokens > 0) {
+  if (d->x.what == MP_EP_CHUNK && d->tokens > 0) {
     mp_EndpointEvent x = d->x;
     x.index++;
     if (d->tokens == 1) {
--- a/bench/slopes_world.c
+++ b/bench/slopes_world.c
@@ -53,7 +53,7 @@
 }
 
 static void manyaccounts(GString *g) {
-  char d[MP_DIGEST + 1];
+  char d[MP_SHA256_HEX + 1];
   char key[32];
   unsigned i;
   g_string_append(g, "accounts:\n");
--- a/router/loads.c
+++ b/router/loads.c
@@ -97,13 +97,13 @@
   ConnectionsView view = {0};
   guint i;
   out->n = 0;
-  for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
+  for (i = 0; i < all->len && out->n < MP_LOAD_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
     guint failing = failing_percent(endpoint, now);
     if (has_reportable_load(endpoint, failing))
       write_row(endpoint, out, failing);
   }
-  for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
+  for (i = 0; i < all->len && out->n < MP_LOAD_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
     guint failing = failing_percent(endpoint, now);
     if (!has_reportable_load(endpoint, failing) &&
@@ -120,7 +120,7 @@
   retry_exchange_write(router, out);
   account_limits_write(router->limits, out);
   out->changing_count = stages_list_changing(router->stages, out->changing,
-                                             MP_DIGEST_CHANGING, now);
+                                             MP_LOAD_DIGEST_CHANGING, now);
   signals_write_digest(router, out, now);
 }
 
--- a/router/state.h
+++ b/router/state.h
@@ -98,7 +98,7 @@
   const Route *route;     /* of 'table' */
   const Service *service; /* of 'table' */
   const Account *account; /* of 'table'; NULL: it needs none */
-  char key_digest[MP_DIGEST + 1];
+  char key_digest[MP_SHA256_HEX + 1];
   double cost;     /* charged to the account's limit, in the limit's unit */
   guint64 content; /* hash of CallerRequest.content and the account's name;
                    ** names the request in the quarantine */
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -286,7 +286,7 @@
   GError *err = NULL;
   size_t n;
   char *s;
-  mp_List *l;
+  mp_InstanceList *l;
   unsigned i;
   struct timeval lag = {0, LOAD_LAG_US};
   if (argc < 2) {
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -14,8 +14,8 @@
 #define BLOCK 256         /* bytes of prompt in one cached block */
 #define CACHE_BLOCKS 4096 /* blocks one engine's prefix cache keeps */
 
-static mp_Time linkfree[MP_MAXDCS][MP_MAXDCS]; /* link busy until */
-static GPtrArray *dcnames;                     /* places in that table */
+static mp_Time linkfree[MP_DCS_MAX][MP_DCS_MAX]; /* link busy until */
+static GPtrArray *dcnames;                       /* places in that table */
 
 /*
 ** {==================================================================
--- a/test/test_summaries.cc
+++ b/test/test_summaries.cc
@@ -121,13 +121,13 @@
   mp_LoadSummary out;
   for (guint32 peer = 0; peer < 4; peer++) {
     mp_LoadDigest digest = {};
-    for (digest.n = 0; digest.n < MP_DIGEST_ROWS; digest.n++)
+    for (digest.n = 0; digest.n < MP_LOAD_DIGEST_ROWS; digest.n++)
       digest.row[digest.n] = {1000 * peer + digest.n, 500, 1, 0};
     router_peer_load(world.router, 0x0a00000000010001 + peer, 1, &digest,
                      world.now);
   }
   router_load_summary(world.router, &out, world.now);
-  EXPECT_EQ(out.loads.n, unsigned(MP_DIGEST_ROWS));
+  EXPECT_EQ(out.loads.n, unsigned(MP_LOAD_DIGEST_ROWS));
 }
 
 /* data centres whose instances hear each other each 100 ms, and of the other
