--- a/router/follower.h
+++ b/router/follower.h
@@ -22,13 +22,15 @@
 ** RECONCILE_DELAY later, does. An answer of an older era than the one known
 ** has no effect at all.
 **
-** A list that may be stale may even predate the era that its answer names, and
-** a revision that was assigned again may stand for another text. So what is
-** known only from such a list is listed again soon, and is passed on to other
-** instances with the mark 'from_stale_list'.
+** A list may be requested for which an answer that is seconds old is good
+** enough (StoreCall.stale). Such a list may predate the restore of the store,
+** although its answer names the new era. A revision in it may then have been
+** assigned again since, to another text. So what is known only from such a
+** list is listed again soon, and is passed on to other instances with the mark
+** 'from_stale_list'.
 **
-** Catching up reads the present state only: after losing the store, a follower
-** of a kind with a single object lists that object again. A watch from the old
+** After losing the store, a follower of a kind with a single object lists that
+** object again, which reads its present state alone. A watch from the old
 ** revision would return each version since.
 **
 ** Between instances, long texts travel as patches. Patches that don't fit the
@@ -84,7 +86,7 @@
   StoreOperation operation;
   /* LIST: continue after this name; NULL: from the start. */
   const char *after;
-  /* WATCH: the last position known; REPLACE: the object's position. */
+  /* WATCH: the last position known; REPLACE, REMOVE: the object's position. */
   StorePosition position;
   /* WATCH: us after which to answer even without a change. */
   gint64 wait;
@@ -92,7 +94,7 @@
   gboolean in_full; /* Sent to an instance: it must send texts, not patches. */
   /* LIST sent to an instance: digest of the objects known here; 0: none. */
   guint64 digest;
-  const char *name; /* CREATE, READ, REPLACE: name of the object. */
+  const char *name; /* CREATE, READ, REPLACE, REMOVE: name of the object. */
   /* CREATE and REPLACE of an instance. */
   const struct InstanceRecord *instance;
   const struct LeaseRecord *lease; /* CREATE and REPLACE of a lease. */
@@ -136,8 +138,9 @@
   */
   StorePosition at;
   /*
-  ** WATCH: the reply names all objects that exist, unchanged ones without
-  ** their text; all others are gone.
+  ** Set by an instance that answers a WATCH, or a LIST whose digest matches:
+  ** the reply names all objects that exist, unchanged ones without their text;
+  ** all others are gone.
   */
   gboolean whole;
   /*
--- a/router/loads.c
+++ b/router/loads.c
@@ -1,7 +1,11 @@
 /*
 ** loads.c
-** Load digests: writes what is open at this instance for the other instances,
-** and applies the digests and summaries that they send
+** Exchanges loads with other instances
+**
+** A load digest is an instance's message with the dispatches and the memory
+** that it has open at each endpoint. A load summary is the sum of the digests
+** of one data centre, which a relay sends to other data centres. This file
+** writes both, and applies those of other instances.
 */
 
 #include <string.h>
@@ -11,9 +15,10 @@
 #include "router/retry_exchange.h"
 #include "router/state.h"
 
-/* An endpoint counts as failing from this share of failures on, in percent:
-** either one instance could not reach it, or runs of several instances failed
-** there. */
+/* An endpoint counts as failing from this share of failures on, in percent.
+** Either this instance alone has it (100 while it avoids the endpoint as
+** unreachable, or while the endpoint rests at its own request), or the shares
+** that the near instances report add up to it. */
 #define FAILING_PERCENT_MIN 90
 /* Smaller shares of failures are not reported, in percent. */
 #define REPORTED_FAILING_PERCENT_MIN 5
@@ -47,12 +52,12 @@
 }
 
 void router_set_connections(Router *router, const char *id, guint connections,
-                            guint resting) {
+                            guint idle) {
   Endpoint *endpoint = endpoint_table_get(router->endpoints, id);
   if (endpoint == NULL)
     return;
   endpoint->connections = connections;
-  endpoint->resting = resting;
+  endpoint->idle = idle;
 }
 
 gboolean router_keeps_connection(const Router *router, const char *id) {
@@ -78,14 +83,14 @@
 }
 
 /* Returns TRUE if this instance has work or failures at the endpoint, which
-** the other instances need to know in any case. Whether resting connections
-** alone are reported is for connections_must_report to say. */
+** the other instances need to know in any case. Whether an endpoint that has
+** only idle connections is reported, connections_must_report decides. */
 static gboolean has_reportable_load(const Endpoint *endpoint, guint failing) {
   return endpoint->open > 0 || endpoint->tokens > 0 ||
          failing >= REPORTED_FAILING_PERCENT_MIN;
 }
 
-/* Fills the rows of the digest. Endpoints at which connections only rest come
+/* Fills the rows of the digest. Endpoints that have only idle connections come
 ** last, so it is these that are left out when there is no more room. */
 static void write_rows(const Router *router, mp_LoadDigest *out, gint64 now) {
   const GPtrArray *all = router->endpoints->all;
@@ -169,6 +174,7 @@
   sharers = accounts_sharers(router, now);
   account_limits_receive_summary(router->limits, summary->relay,
                                  &summary->loads, &sharers, now);
+  /* the endpoints that announced that they are leaving */
   signals_read_digest(router, &summary->loads, now);
   admission_start_waiting_requests(router, now);
 }
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -1,6 +1,6 @@
 /*
 ** quarantine.c
-** Quarantine for requests under which endpoints end
+** Quarantine for requests during whose runs endpoints crash
 */
 
 #include <string.h>
@@ -19,9 +19,11 @@
 /* Strikes too few for a hold are remembered for this long after the newest
 ** one, and those of a hold for this long after its end. */
 #define STRIKE_LIFETIME (3600 * MP_SEC)
-/* A request without counting strikes is remembered for this long, so that a
-** late report of a strike that was lifted changes nothing: instances report a
-** strike for NEWS_REPEAT_TIME after they learned it. */
+/* A request whose strikes were all taken off is remembered until this long
+** after this instance learned of its newest strike, or of the lift by an
+** operator. A late report of such a strike then changes nothing: instances
+** report a strike for NEWS_REPEAT_TIME after they learned it. (A run that ends
+** well doesn't extend this time.) */
 #define LIFTED_RETENTION (60 * MP_SEC)
 /* A strike is reported again and again for this long after this instance
 ** learned it, which makes good a lost datagram or a data centre that is cut
@@ -47,7 +49,8 @@
 #define ROWS_MAX 4096
 
 typedef struct Strike {
-  guint32 crash;      /* hash of the endpoint's id and the life that ended */
+  guint32 crash;      /* names the incarnation (one run of the endpoint's
+                      ** process) that ended: Endpoint.hash */
   gboolean is_off;    /* taken off: it doesn't count, but stays known */
   gboolean is_own;    /* this instance saw it */
   gboolean is_stored; /* the store has it */
@@ -73,8 +76,8 @@
   gint64 unix_offset;
   guint64 seed;
   guint64 version;
-  gboolean may_need_save; /* FALSE: no row needs a write. It saves the search
-                          ** through all rows with every event */
+  gboolean may_need_save; /* FALSE: no row needs a write to the store, so that
+                          ** not all rows are searched with every event */
   gint64 next_expiry_at;  /* when rows are searched for expired ones again */
 };
 
