--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -26,7 +26,7 @@
   return a->t != b->t ? a->t < b->t : a->n < b->n;
 }
 
-void slopes_push(Run *R, Due *d) {
+void slopes_schedule(Run *R, Due *d) {
   guint i = R->heap->len;
   d->n = ++R->serial;
   g_ptr_array_add(R->heap, d);
@@ -37,7 +37,7 @@
   R->heap->pdata[i] = d;
 }
 
-Due *slopes_pop(Run *R) {
+Due *slopes_take_event(Run *R) {
   Due *top = R->heap->pdata[0];
   Due *last = R->heap->pdata[R->heap->len - 1];
   guint n;
@@ -58,7 +58,7 @@
   return top;
 }
 
-Due *slopes_due(Run *R, mp_Time t, What w, unsigned node) {
+Due *slopes_new_event(Run *R, mp_Time t, What w, unsigned node) {
   Due *d = g_new0(Due, 1);
   d->t = t;
   d->what = w;
@@ -75,11 +75,11 @@
 ** ===================================================================
 */
 
-mp_Addr slopes_nodeaddr(unsigned i) {
+mp_Addr slopes_node_address(unsigned i) {
   return (mp_Addr)(0x0a000000 + i) << 16 | 7000;
 }
 
-mp_Addr slopes_workeraddr(unsigned i) {
+mp_Addr slopes_worker_address(unsigned i) {
   return (mp_Addr)(0x0a400000 + i) << 16 | 8000;
 }
 
@@ -88,7 +88,7 @@
 }
 
 /* one worker in four of each data centre computes prefills */
-int slopes_prefills(const Run *R, unsigned i) {
+int slopes_is_prefill_worker(const Run *R, unsigned i) {
   return i / R->centres % 4 == 0;
 }
 
@@ -99,11 +99,11 @@
 static void answerx(Run *R, unsigned node, mp_Time wait,
                     const mp_EndpointEvent *x, const char *text,
                     uint32_t tokens) {
-  Due *d = slopes_due(R, R->now + wait, W_X, node);
+  Due *d = slopes_new_event(R, R->now + wait, SCHEDULED_ENDPOINT, node);
   d->x = *x;
   d->text = g_strdup(text);
   d->tokens = tokens;
-  slopes_push(R, d);
+  slopes_schedule(R, d);
 }
 
 static void onxcall(Run *R, unsigned node, const mp_EndpointCall *x) {
@@ -123,12 +123,12 @@
     answerx(R, node, 25 * MP_MS, &e, "token ", R->tokens);
     break;
   case MP_X_LOAD: {
-    Due *d = slopes_due(R, R->now + 2 * LINK, W_X, node);
+    Due *d = slopes_new_event(R, R->now + 2 * LINK, SCHEDULED_ENDPOINT, node);
     d->x = e;
     d->text = g_strdup("");
     d->load = 1;
     d->from = x->endpoint;
-    slopes_push(R, d);
+    slopes_schedule(R, d);
     break;
   }
   default:
@@ -139,7 +139,7 @@
 
 static void loadanswer(const Run *R, mp_Addr engine, mp_LoadReport *l) {
   unsigned i = (unsigned)(engine >> 16) - 0x0a400000;
-  l->role = slopes_prefills(R, i) ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
+  l->role = slopes_is_prefill_worker(R, i) ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
   l->slots = SLOTS;
   l->rate = l->role == MP_ROLE_PREFILL ? 100000 : 25000;
 }
@@ -150,13 +150,13 @@
   R->node[node].writes += s->what == MP_ST_PUT;
   if (s->what == MP_ST_WATCH) {
     if (strcmp(s->key, "config/manifest") == 0) {
-      d = slopes_due(R, 0, W_STORE, node);
+      d = slopes_new_event(R, 0, SCHEDULED_STORE, node);
       d->store.op = s->op;
       g_ptr_array_add(R->watches, d);
     }
     return; /* the core renews it by itself */
   }
-  d = slopes_due(R, R->now + 2 * LINK, W_STORE, node);
+  d = slopes_new_event(R, R->now + 2 * LINK, SCHEDULED_STORE, node);
   d->store.op = s->op;
   d->store.status = MP_STORE_OK;
   d->store.version = 1;
@@ -172,21 +172,21 @@
                                                               : R->section[1]);
   else
     d->store.status = MP_STORE_ABSENT;
-  slopes_push(R, d);
+  slopes_schedule(R, d);
 }
 
 static void onsend(Run *R, unsigned node, mp_Addr to, const mp_Msg *m) {
   char buf[MP_DATAGRAM_MAX];
-  Due *d = slopes_due(R, R->now + LINK, W_MSG, nodeof(to));
+  Due *d = slopes_new_event(R, R->now + LINK, SCHEDULED_MSG, nodeof(to));
   size_t n = rpc_encode(m, buf, sizeof buf) + UDP_IP;
   R->node[node].bytes += n;
   R->node[node].msgs++;
   R->kindmsgs[m->kind]++;
   R->kindbytes[m->kind] += n;
   R->node[d->node].bytes += n; /* in and out both count */
-  d->from = slopes_nodeaddr(node);
+  d->from = slopes_node_address(node);
   d->msg = g_memdup2(m, sizeof *m);
-  slopes_push(R, d);
+  slopes_schedule(R, d);
 }
 
 /* }================================================================== */
@@ -203,7 +203,7 @@
   return (double)t.tv_sec + (double)t.tv_nsec / 1e9;
 }
 
-void slopes_perform(Run *R, unsigned i) {
+void slopes_perform_effects(Run *R, unsigned i) {
   Node *N = &R->node[i];
   mp_Effect fx;
   mp_Time w;
@@ -232,21 +232,21 @@
   if (N->woken > R->now && N->woken <= w)
     return;
   N->woken = MAX(w, R->now);
-  slopes_push(R, slopes_due(R, N->woken, W_TICK, i));
+  slopes_schedule(R, slopes_new_event(R, N->woken, SCHEDULED_TICK, i));
 }
 
 static void feed(Run *R, unsigned i, const mp_Event *e) {
   double c = cputime();
   mp_feed(R->node[i].M, R->now, e);
   R->node[i].cpu += cputime() - c;
-  slopes_perform(R, i);
+  slopes_perform_effects(R, i);
 }
 
 static void call(Run *R, Due *d) {
   static const char *const classes[] = {"flag", "question", "summary"};
   mp_Event e = {0};
-  Due *next = slopes_due(R, R->now + (mp_Time)(MP_SEC / R->rate), W_CALL,
-                         (d->node + 7) % R->nodes);
+  Due *next = slopes_new_event(R, R->now + (mp_Time)(MP_SEC / R->rate),
+                               SCHEDULED_REQUEST, (d->node + 7) % R->nodes);
   char bearer[32];
   char model[16];
   g_snprintf(bearer, sizeof bearer, "key-%u", (unsigned)(R->call % 280));
@@ -259,7 +259,7 @@
   e.u.call.prompt_tokens = 1000;
   e.u.call.max_tokens = R->tokens;
   e.u.call.prefix = R->call % 500 + 1;
-  slopes_push(R, next);
+  slopes_schedule(R, next);
   feed(R, d->node, &e);
 }
 
@@ -293,28 +293,28 @@
 static void happen(Run *R, Due *d) {
   mp_Event e = {0};
   switch (d->what) {
-  case W_TICK:
+  case SCHEDULED_TICK:
     if (R->node[d->node].woken == d->t)
       R->node[d->node].woken = 0;
     feed(R, d->node, &e);
     break;
-  case W_MSG:
+  case SCHEDULED_MSG:
     e.kind = MP_EV_MSG;
     e.u.msg.from = d->from;
     e.u.msg.msg = d->msg;
     feed(R, d->node, &e);
     break;
-  case W_X:
+  case SCHEDULED_ENDPOINT:
     token(R, d, &e);
     break;
-  case W_STORE:
+  case SCHEDULED_STORE:
     e.kind = MP_EV_STORE;
     e.u.store = d->store;
     e.u.store.value = d->text;
     e.u.store.len = d->text != NULL ? strlen(d->text) : 0;
     feed(R, d->node, &e);
     break;
-  case W_CALL:
+  case SCHEDULED_REQUEST:
     call(R, d);
     break;
   }
@@ -323,9 +323,9 @@
   g_free(d);
 }
 
-void slopes_runto(Run *R, mp_Time until) {
+void slopes_run_until(Run *R, mp_Time until) {
   while (R->heap->len > 0 && ((Due *)R->heap->pdata[0])->t <= until) {
-    Due *d = slopes_pop(R);
+    Due *d = slopes_take_event(R);
     R->now = MAX(R->now, d->t);
     happen(R, d);
   }
