--- a/bench/compare.c
+++ b/bench/compare.c
@@ -1,12 +1,14 @@
 /*
 ** compare.c
-** Compares runs of the load tool
+** Compares the reports of several runs of the load tool
 **
 **   compare REPORTS.jsonl [PLOT.svg]
 **
-** Groups the reports by label; prints means, spread (least to most over the
-** seeds) and the ratio to the first label. The plot shows goodput and
-** wasted prefill side by side, as an operator would look at them.
+** The reports are grouped by label. For each label the table shows means,
+** the range (least to most over the runs) and the ratio of the mean goodput
+** to that of the first label. The plot shows goodput and wasted prefill side
+** by side, as an operator would look at them.
+** The exit code is 2 when a file cannot be opened.
 */
 
 #include <stdio.h>
@@ -17,70 +19,83 @@
 
 #include "madderpier.h"
 
-#define MAXARMS 32
+/* Reports with further labels are ignored. */
+#define LABELS_MAX 32
 
+/* A statistic over the runs of a label. */
 typedef struct Stat {
   double sum, least, most;
   unsigned n;
 } Stat;
 
-typedef struct Arm {
+/* The runs that have the same label. */
+typedef struct Group {
   char label[64];
-  Stat good, wasted, short_first;
-  int broken;
-  unsigned silent;
-} Arm;
+  Stat goodput;        /* goodput, 0..1 */
+  Stat wasted_prefill; /* share of prefilled tokens, 0..1 */
+  Stat first_token_ms; /* p95 of the class with short prompts, ms */
+  int broken;          /* broken guarantees, summed over the runs */
+  unsigned silent;     /* requests that ended without answer or error */
+} Group;
 
-static Arm arms[MAXARMS];
-static int narms;
+static Group groups[LABELS_MAX];
+static int groups_count;
 
-static void add(Stat *s, double v) {
+static void stat_add(Stat *s, double v) {
   s->least = s->n == 0 || v < s->least ? v : s->least;
   s->most = s->n == 0 || v > s->most ? v : s->most;
   s->sum += v;
   s->n++;
 }
 
-static double mean(const Stat *s) {
+static double stat_mean(const Stat *s) {
   return s->n > 0 ? s->sum / s->n : 0;
 }
 
-static Arm *armof(const char *label) {
+/* Returns the group of 'label', added when missing; NULL: no room. */
+static Group *find_group(const char *label) {
   int i;
-  for (i = 0; i < narms; i++) {
-    if (strcmp(arms[i].label, label) == 0)
-      return &arms[i];
+  for (i = 0; i < groups_count; i++) {
+    if (strcmp(groups[i].label, label) == 0)
+      return &groups[i];
   }
-  if (narms == MAXARMS)
+  if (groups_count == LABELS_MAX)
     return NULL;
-  g_strlcpy(arms[narms].label, label, sizeof arms[narms].label);
-  return &arms[narms++];
+  g_strlcpy(groups[groups_count].label, label,
+            sizeof groups[groups_count].label);
+  return &groups[groups_count++];
 }
 
-/* p95 of the first token of the class that comes first in the mix */
-static double shortfirst(const json_t *j) {
+/*
+** Returns the p95 of the time to the first token, in ms, of the class with
+** short prompts: "lookup" or "spoilage-flag", which come first in the mixes
+** of bench/mixes/. Returns 0 when the report has neither.
+*/
+static double first_token_p95(const json_t *j) {
   const char *k;
   json_t *v;
-  double worst = 0;
+  double p95 = 0;
   json_object_foreach(json_object_get(j, "classes"), k, v) {
     double p = json_number_value(json_object_get(v, "p95_first_ms"));
     if (strcmp(k, "lookup") == 0 || strcmp(k, "spoilage-flag") == 0)
-      worst = p;
+      p95 = p;
   }
-  return worst;
+  return p95;
 }
 
-static void take(const json_t *j) {
+/* Adds a report to the group of its label. */
+static void add_report(const json_t *j) {
   const char *label = json_string_value(json_object_get(j, "label"));
   const json_t *broken = json_object_get(j, "broken");
-  Arm *a = label != NULL ? armof(label) : NULL;
+  Group *a = label != NULL ? find_group(label) : NULL;
   const char *k;
   json_t *v;
   if (a == NULL)
     return;
-  add(&a->good, json_number_value(json_object_get(j, "goodput")));
-  add(&a->wasted, json_number_value(json_object_get(j, "wasted_prefill")));
-  add(&a->short_first, shortfirst(j));
+  stat_add(&a->goodput, json_number_value(json_object_get(j, "goodput")));
+  stat_add(&a->wasted_prefill,
+           json_number_value(json_object_get(j, "wasted_prefill")));
+  stat_add(&a->first_token_ms, first_token_p95(j));
   json_object_foreach((json_t *)broken, k, v) {
     if (strcmp(k, "silent") == 0)
       a->silent += (unsigned)json_integer_value(v);
@@ -89,19 +104,21 @@
   }
 }
 
-static void print(void) {
+static void print_table(void) {
   int i;
   printf("%-22s %4s  %-24s %-26s %-20s %s\n", "arm", "runs", "goodput (ratio)",
          "wasted prefill", "short p95 first ms", "broken silent");
-  for (i = 0; i < narms; i++) {
-    const Arm *a = &arms[i];
-    double base = mean(&arms[0].good);
+  for (i = 0; i < groups_count; i++) {
+    const Group *a = &groups[i];
+    double base = stat_mean(&groups[0].goodput);
     printf("%-22s %4u  %.3f %.3f-%.3f (%.2f)  %.4f %.4f-%.4f      "
            "%5.0f %4.0f-%-5.0f     %d %u\n",
-           a->label, a->good.n, mean(&a->good), a->good.least, a->good.most,
-           base > 0 ? mean(&a->good) / base : 0, mean(&a->wasted),
-           a->wasted.least, a->wasted.most, mean(&a->short_first),
-           a->short_first.least, a->short_first.most, a->broken, a->silent);
+           a->label, a->goodput.n, stat_mean(&a->goodput), a->goodput.least,
+           a->goodput.most, base > 0 ? stat_mean(&a->goodput) / base : 0,
+           stat_mean(&a->wasted_prefill), a->wasted_prefill.least,
+           a->wasted_prefill.most, stat_mean(&a->first_token_ms),
+           a->first_token_ms.least, a->first_token_ms.most, a->broken,
+           a->silent);
   }
 }
 
@@ -111,43 +128,49 @@
 ** ===================================================================
 */
 
-#define ROW 26
-#define LEFT 180
-#define WIDE 240
-
-static void bar(FILE *f, int x, int y, const Stat *s, double most,
-                const char *colour) {
-  double w = most > 0 ? mean(s) / most * WIDE : 0;
-  double a = most > 0 ? s->least / most * WIDE : 0;
-  double b = most > 0 ? s->most / most * WIDE : 0;
+/* Sizes in pixels. */
+#define ROW_HEIGHT 26
+#define LABEL_WIDTH 180   /* of the column of labels */
+#define BAR_WIDTH_MAX 240 /* of a bar at the greatest value */
+
+/* Draws a mean as a bar, with a line for the range; 'most' is the scale. */
+static void draw_bar(FILE *f, int x, int y, const Stat *s, double most,
+                     const char *colour) {
+  double w = most > 0 ? stat_mean(s) / most * BAR_WIDTH_MAX : 0;
+  double a = most > 0 ? s->least / most * BAR_WIDTH_MAX : 0;
+  double b = most > 0 ? s->most / most * BAR_WIDTH_MAX : 0;
   fprintf(f,
           "<rect x='%d' y='%d' width='%.1f' height='14' fill='%s'/>\n"
           "<line x1='%.1f' x2='%.1f' y1='%d' y2='%d' stroke='black'/>\n"
           "<text x='%.1f' y='%d'>%.4f</text>\n",
           x, y, w, colour, x + a, x + b, y + 7, y + 7, x + MAX(w, b) + 6,
-          y + 11, mean(s));
+          y + 11, stat_mean(s));
 }
 
-static int plot(const char *path) {
+/* Writes the plot as SVG; returns 0 when the file cannot be opened. */
+static int write_plot(const char *path) {
   FILE *f = fopen(path, "we");
   double most = 0;
   int i;
   if (f == NULL)
     return 0;
-  for (i = 0; i < narms; i++)
-    most = MAX(most, arms[i].wasted.most);
+  for (i = 0; i < groups_count; i++)
+    most = MAX(most, groups[i].wasted_prefill.most);
   fprintf(f,
           "<svg xmlns='http://www.w3.org/2000/svg' width='%d' height='%d' "
           "font-family='sans-serif' font-size='11'>\n"
           "<rect width='100%%' height='100%%' fill='white'/>\n"
           "<text x='%d' y='18'>goodput (share in both targets)</text>\n"
           "<text x='%d' y='18'>wasted prefill (share of tokens)</text>\n",
-          LEFT + 2 * (WIDE + 80), 40 + ROW * narms, LEFT, LEFT + WIDE + 80);
-  for (i = 0; i < narms; i++) {
-    int y = 30 + ROW * i;
-    fprintf(f, "<text x='8' y='%d'>%s</text>\n", y + 11, arms[i].label);
-    bar(f, LEFT, y, &arms[i].good, 1, "#3b7dd8");
-    bar(f, LEFT + WIDE + 80, y, &arms[i].wasted, most, "#d8783b");
+          LABEL_WIDTH + 2 * (BAR_WIDTH_MAX + 80),
+          40 + ROW_HEIGHT * groups_count, LABEL_WIDTH,
+          LABEL_WIDTH + BAR_WIDTH_MAX + 80);
+  for (i = 0; i < groups_count; i++) {
+    int y = 30 + ROW_HEIGHT * i;
+    fprintf(f, "<text x='8' y='%d'>%s</text>\n", y + 11, groups[i].label);
+    draw_bar(f, LABEL_WIDTH, y, &groups[i].goodput, 1, "#3b7dd8");
+    draw_bar(f, LABEL_WIDTH + BAR_WIDTH_MAX + 80, y, &groups[i].wasted_prefill,
+             most, "#d8783b");
   }
   fprintf(f, "</svg>\n");
   fclose(f);
@@ -164,10 +187,10 @@
     return 2;
   }
   while ((j = json_loadf(f, JSON_DISABLE_EOF_CHECK, NULL)) != NULL) {
-    take(j);
+    add_report(j);
     json_decref(j);
   }
   fclose(f);
-  print();
-  return argc > 2 && !plot(argv[2]) ? 2 : 0;
+  print_table();
+  return argc > 2 && !write_plot(argv[2]) ? 2 : 0;
 }
--- a/bench/load.c
+++ b/bench/load.c
@@ -1,12 +1,15 @@
 /*
 ** load.c
-** The load tool: open-loop arrivals against entry instances, every answer
-** verified, the engines' ledgers read afterwards, one report
+** The load tool: sends open-loop arrivals to entry instances, verifies every
+** answer, reads the ledgers of the engines afterwards and writes one report
 **
 **   load --mix FILE --list INSTANCES.json --rate R --seconds S
 **        [--seed N] [--entries N] [--label TEXT] [--json FILE]
 **
-** Arrivals do not wait for answers. Exit code 1 when a promise was broken.
+** Open loop means that arrivals do not wait for answers. The exit code is 1
+** when the router broke a guarantee: an answer was wrong, a key was answered
+** twice, a request ran although its error said that it had not, or an engine
+** still holds KV cache at the end. It is 2 when a file cannot be used.
 */
 
 #include <argp.h>
@@ -21,36 +24,39 @@
 #include "conf/conf.h"
 #include "io/http.h"
 
-/* a class's requests and what became of them */
-typedef struct Tally {
-  unsigned sent, ended, good, wrong, silent, hung;
-  unsigned spare; /* second copies that were refused: as it should be */
-  GArray *first;  /* double, ms */
-  GArray *gap;
-} Tally;
+/* The requests of one class, by outcome. */
+typedef struct ClassTotals {
+  unsigned sent, completed, good, wrong, silent, hung_up; /* as in Result */
+  unsigned rejected_duplicates; /* second copies, correctly rejected */
+  GArray *first_token_ms;       /* double, ms; complete answers only */
+  GArray *token_gap_ms;         /* likewise */
+} ClassTotals;
 
-typedef struct Args {
+typedef struct Arguments {
   const char *mix, *list, *label, *json;
   double rate;
-  unsigned seconds, entries, settle;
+  unsigned seconds; /* duration of the arrivals */
+  unsigned entries; /* use only the first ones; 0: all */
+  unsigned settle;  /* seconds from the last answer to reading the ledgers */
   uint64_t seed;
-} Args;
+} Arguments;
 
 static struct event_base *base;
-static Args args = {
+static Arguments args = {
     .rate = 10, .seconds = 10, .settle = 3, .seed = 1, .label = "run"};
 static Mix *mix;
-static GArray *entries;   /* mp_Addr of the callers' side */
-static GArray *endpoints; /* mp_Addr */
-static GArray *operators; /* mp_Addr */
-static GArray *results;   /* Result */
-static Tally *tally;
-static GRand *rnd;
-static unsigned open_, sent;
-static mp_Time started;
-static struct event *arrival;
-static uint64_t engine_prefill, engine_prefill_cached;
-static uint64_t counters[64];
+static GArray *entries;           /* mp_Addr of the callers' port */
+static GArray *endpoints;         /* mp_Addr */
+static GArray *operators;         /* mp_Addr of the operators' port */
+static GArray *results;           /* Result */
+static ClassTotals *class_totals; /* one element for each class of the mix */
+static GRand *random_source;
+static unsigned open_requests, sent_requests;
+static mp_Time start_us; /* monotonic clock, us */
+static struct event *arrival_timer;
+/* Prompt tokens of all prefills, from the ledgers. */
+static uint64_t computed_prompt_tokens, cached_prompt_tokens;
+static uint64_t counters[64]; /* by mp_Counter, summed over the entries */
 
 /*
 ** {==================================================================
@@ -58,13 +64,14 @@
 ** ===================================================================
 */
 
-static void addaddr(GArray *a, const json_t *row, const char *key) {
+static void append_address(GArray *a, const json_t *row, const char *key) {
   mp_Addr at = mp_addr_parse(json_string_value(json_object_get(row, key)));
   if (at != 0)
     g_array_append_val(a, at);
 }
 
-static void readlist(const char *path) {
+/* Fills the lists of addresses; exits with 2 when no entry is listed. */
+static void read_instance_list(const char *path) {
   json_t *j = json_load_file(path, 0, NULL);
   const json_t *rows = json_object_get(j, "instances");
   size_t i;
@@ -72,10 +79,10 @@
     const json_t *row = json_array_get(rows, i);
     const char *kind = json_string_value(json_object_get(row, "kind"));
     if (kind != NULL && strcmp(kind, "entry") == 0) {
-      addaddr(entries, row, "callers");
-      addaddr(operators, row, "operators");
+      append_address(entries, row, "callers");
+      append_address(operators, row, "operators");
     } else
-      addaddr(endpoints, row, "address");
+      append_address(endpoints, row, "address");
   }
   json_decref(j);
   if (args.entries > 0 && args.entries < entries->len) {
@@ -84,7 +91,7 @@
   }
   if (entries->len > 0)
     return;
-  fprintf(stderr, "%s: no entry instance there\n", path);
+  fprintf(stderr, "%s: the list names no entry instance\n", path);
   exit(2);
 }
 
@@ -96,72 +103,84 @@
 ** ===================================================================
 */
 
-static int percent(uint32_t p) {
-  return (uint32_t)g_rand_int_range(rnd, 0, 100) < p;
+/* Returns whether an event of 'p' percent probability occurs. */
+static int draw_percent(uint32_t p) {
+  return (uint32_t)g_rand_int_range(random_source, 0, 100) < p;
 }
 
-static int ingood(const MixClass *c, const Result *r) {
-  return r->ended && !r->wrong && r->first_ms <= c->first_ms &&
-         (c->token_ms == 0 || r->gap_ms <= c->token_ms);
+/* Returns whether the answer was complete, right and in both targets. */
+static int meets_targets(const MixClass *c, const Result *r) {
+  return r->is_complete && !r->is_wrong &&
+         r->first_token_ms <= c->first_token_max_ms &&
+         (c->token_interval_max_ms == 0 ||
+          r->token_gap_ms <= c->token_interval_max_ms);
 }
 
-static void done(void *ud, Result *r) {
-  Tally *t = &tally[r->class_no];
+static void record_result(void *ud, Result *r) {
+  ClassTotals *t = &class_totals[r->class_index];
   (void)ud;
-  open_--;
-  t->ended += r->ended;
-  t->wrong += r->wrong;
-  t->silent += r->silent;
-  t->hung += r->hung;
-  t->spare += strcmp(r->kind, "duplicate_request") == 0;
-  t->good += ingood(&mix->classes[r->class_no], r);
-  if (r->ended) {
-    g_array_append_val(t->first, r->first_ms);
-    g_array_append_val(t->gap, r->gap_ms);
+  open_requests--;
+  t->completed += r->is_complete;
+  t->wrong += r->is_wrong;
+  t->silent += r->is_silent;
+  t->hung_up += r->has_hung_up;
+  t->rejected_duplicates += strcmp(r->error_kind, "duplicate_request") == 0;
+  t->good += meets_targets(&mix->classes[r->class_index], r);
+  if (r->is_complete) {
+    g_array_append_val(t->first_token_ms, r->first_token_ms);
+    g_array_append_val(t->token_gap_ms, r->token_gap_ms);
   }
   g_array_append_val(results, *r);
 }
 
-static unsigned pickclass(void) {
+/* Returns a random index of a class, by weight. */
+static unsigned draw_class(void) {
   uint32_t all = 0;
   uint32_t at;
   unsigned i;
   for (i = 0; i < mix->classes_count; i++)
     all += mix->classes[i].weight;
-  at = (uint32_t)g_rand_int_range(rnd, 0, (gint32)all);
+  at = (uint32_t)g_rand_int_range(random_source, 0, (gint32)all);
   for (i = 0; at >= mix->classes[i].weight; i++)
     at -= mix->classes[i].weight;
   return i;
 }
 
-static mp_Addr anyentry(void) {
-  gint32 i = g_rand_int_range(rnd, 0, (gint32)entries->len);
+static mp_Addr draw_entry(void) {
+  gint32 i = g_rand_int_range(random_source, 0, (gint32)entries->len);
   return g_array_index(entries, mp_Addr, i);
 }
 
-static void sendone(unsigned k, uint64_t seed, const char *key, int hangup) {
-  open_++;
-  sent++;
-  tally[k].sent++;
-  caller_start(base, anyentry(), &mix->classes[k], k, seed, key, hangup, done,
-               NULL);
+static void start_request(unsigned k, uint64_t seed, const char *key,
+                          int hangs_up) {
+  open_requests++;
+  sent_requests++;
+  class_totals[k].sent++;
+  caller_start(base, draw_entry(), &mix->classes[k], k, seed, key, hangs_up,
+               record_result, NULL);
 }
 
-static void arrive(void) {
-  unsigned k = pickclass();
+/* Sends the request of one arrival, or the two copies of a duplicate. */
+static void start_arrival(void) {
+  unsigned k = draw_class();
   const MixClass *c = &mix->classes[k];
-  uint64_t seed = args.seed << 32 | sent;
+  uint64_t seed = args.seed << 32 | sent_requests;
   char key[48];
-  int keyed = percent(c->keyed);
+  int keyed = draw_percent(c->keyed_percent);
   g_snprintf(key, sizeof key, "load-%u-%" G_GUINT64_FORMAT,
-             (unsigned)(started & 0xffffff), (guint64)seed);
-  if (keyed && percent(c->again))
-    sendone(k, seed, key, 0); /* and once more, below */
-  sendone(k, seed, keyed ? key : NULL, percent(c->hangup));
+             (unsigned)(start_us & 0xffffff), (guint64)seed);
+  if (keyed && draw_percent(c->duplicate_percent))
+    start_request(k, seed, key, 0); /* the other copy follows */
+  start_request(k, seed, keyed ? key : NULL, draw_percent(c->hangup_percent));
 }
 
-static double ratenow(void) {
-  double t = (double)(g_get_monotonic_time() - started) / MP_SEC;
+/*
+** Returns the present rate in requests per second. With bursts it is
+** 'burst_factor' times the mean in the first tenth of each period, and lower
+** in the rest, so that the mean over a period is the rate asked for.
+*/
+static double current_rate(void) {
+  double t = (double)(g_get_monotonic_time() - start_us) / MP_SEC;
   double in;
   if (mix->burst_every_s == 0)
     return args.rate;
@@ -171,27 +190,32 @@
   return args.rate * (1 - 0.1 * mix->burst_factor) / 0.9;
 }
 
-static void onarrival(evutil_socket_t fd, short what, void *arg) {
+/*
+** Sends the arrivals that are due and sets the timer for the next one. The
+** intervals are exponential; the last arrival is at most 'seconds' after the
+** start.
+*/
+static void on_arrival_timer(evutil_socket_t fd, short what, void *arg) {
   static mp_Time next;
   (void)fd;
   (void)what;
   (void)arg;
   if (next == 0)
-    next = started;
-  /* open loop: what is due is sent, however late the loop is */
+    next = start_us;
+  /* Open loop: every arrival that is due is sent, however late this is. */
   while (next <= g_get_monotonic_time()) {
-    if (next - started > (mp_Time)args.seconds * MP_SEC)
+    if (next - start_us > (mp_Time)args.seconds * MP_SEC)
       return;
-    arrive();
-    next +=
-        (mp_Time)(-log(1 - g_rand_double(rnd)) / MAX(ratenow(), 0.1) * MP_SEC);
+    start_arrival();
+    next += (mp_Time)(-log(1 - g_rand_double(random_source)) /
+                      MAX(current_rate(), 0.1) * MP_SEC);
   }
   {
     mp_Time wait = next - g_get_monotonic_time();
     struct timeval t = {wait / MP_SEC, wait % MP_SEC};
     if (wait < 0)
       t.tv_sec = t.tv_usec = 0;
-    event_add(arrival, &t);
+    event_add(arrival_timer, &t);
   }
 }
 
@@ -199,56 +223,67 @@
 
 /*
 ** {==================================================================
-** Afterwards: ledgers and counters
+** Ledgers of the engines and counters of the router
 ** ===================================================================
 */
 
-typedef struct Get {
+/* The body of a response to GET, and whether the call has ended. */
+typedef struct Fetch {
   GString *text;
-  int done;
-} Get;
+  int is_done;
+} Fetch;
 
-static void getdata(void *ud, const char *s, size_t n) {
-  g_string_append_len(((Get *)ud)->text, s, (gssize)n);
+static void append_body(void *ud, const char *s, size_t n) {
+  g_string_append_len(((Fetch *)ud)->text, s, (gssize)n);
 }
 
-static void getend(void *ud, HttpEnd end, int status) {
+static void mark_done(void *ud, HttpEnd end, int status) {
   (void)end;
   (void)status;
-  ((Get *)ud)->done = 1;
+  ((Fetch *)ud)->is_done = 1;
 }
 
-static GString *get(mp_Addr at, const char *path) {
-  static const HttpHooks hooks = {NULL, getdata, getend};
-  Get g = {g_string_new(NULL), 0};
+/*
+** Returns the body that a GET answers, which the caller frees; what arrived
+** before a failure, and an empty text when the call cannot be made.
+*/
+static GString *fetch(mp_Addr at, const char *path) {
+  static const HttpHooks hooks = {NULL, append_body, mark_done};
+  Fetch g = {g_string_new(NULL), 0};
   HttpCall *c =
       http_call(base, at, EVHTTP_REQ_GET, path, NULL, NULL, 0, &hooks, &g);
-  while (c != NULL && !g.done)
+  while (c != NULL && !g.is_done)
     event_base_loop(base, EVLOOP_ONCE);
   return g.text;
 }
 
-/* which of our requests ran what: id without attempt -> Runs */
-typedef struct Runs {
-  unsigned prefills, decodes, plains, decoded;
-  uint32_t tokens; /* prompt tokens computed for it */
-} Runs;
-
-static Runs *runsof(GHashTable *t, const char *id) {
-  char base_[64];
-  Runs *r;
-  g_strlcpy(base_, id, sizeof base_);
-  if (strchr(base_, '.') != NULL)
-    *strchr(base_, '.') = '\0';
-  r = g_hash_table_lookup(t, base_);
+/* The work that the engines did for one request, over all its attempts. */
+typedef struct EngineRuns {
+  unsigned prefills, decodes, plain_calls, completed_decodes;
+  uint32_t computed_tokens; /* prompt tokens computed, without cached ones */
+} EngineRuns;
+
+/*
+** Returns the runs of the request 'id', which are created when missing. The
+** table maps an id without its attempt (".N" at the end) to EngineRuns that
+** the table owns.
+*/
+static EngineRuns *runs_of_request(GHashTable *t, const char *id) {
+  char request_id[64];
+  EngineRuns *r;
+  g_strlcpy(request_id, id, sizeof request_id);
+  if (strchr(request_id, '.') != NULL)
+    *strchr(request_id, '.') = '\0';
+  r = g_hash_table_lookup(t, request_id);
   if (r == NULL) {
-    r = g_new0(Runs, 1);
-    g_hash_table_insert(t, g_strdup(base_), r);
+    r = g_new0(EngineRuns, 1);
+    g_hash_table_insert(t, g_strdup(request_id), r);
   }
   return r;
 }
 
-static void ledgerline(GHashTable *t, const char *line) {
+/* Adds a line of an engine's ledger, a JSON object, to the table. */
+static void add_ledger_line(GHashTable *t, const char *line) {
   json_t *j = json_loads(line, 0, NULL);
   const char *id = json_string_value(json_object_get(j, "id"));
   const char *op = json_string_value(json_object_get(j, "op"));
@@ -256,33 +291,34 @@
   uint32_t tokens = (uint32_t)json_integer_value(json_object_get(j, "tokens"));
   uint32_t cached = (uint32_t)json_integer_value(json_object_get(j, "cached"));
   if (id != NULL && op != NULL && out != NULL) {
-    Runs *r = runsof(t, id);
+    EngineRuns *r = runs_of_request(t, id);
     if (strcmp(op, "prefill") == 0) {
       r->prefills++;
-      r->tokens += tokens - MIN(tokens, cached);
-      engine_prefill += tokens - MIN(tokens, cached);
-      engine_prefill_cached += cached;
+      r->computed_tokens += tokens - MIN(tokens, cached);
+      computed_prompt_tokens += tokens - MIN(tokens, cached);
+      cached_prompt_tokens += cached;
     }
     if (strcmp(op, "decode") == 0) {
       r->decodes++;
-      r->decoded += strcmp(out, "done") == 0;
+      r->completed_decodes += strcmp(out, "done") == 0;
     }
-    r->plains += strcmp(op, "plain") == 0;
+    r->plain_calls += strcmp(op, "plain") == 0;
   }
   json_decref(j);
 }
 
-static GHashTable *readledgers(void) {
+/* Returns the runs by request id; the caller destroys the table. */
+static GHashTable *read_ledgers(void) {
   GHashTable *t =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
   guint i;
   for (i = 0; i < endpoints->len; i++) {
-    GString *s = get(g_array_index(endpoints, mp_Addr, i), "/ledger");
+    GString *s = fetch(g_array_index(endpoints, mp_Addr, i), "/ledger");
     gchar **lines = g_strsplit(s->str, "\n", -1);
     guint k;
     for (k = 0; lines[k] != NULL; k++) {
       if (lines[k][0] == '{')
-        ledgerline(t, lines[k]);
+        add_ledger_line(t, lines[k]);
     }
     g_strfreev(lines);
     g_string_free(s, TRUE);
@@ -290,11 +326,12 @@
   return t;
 }
 
-static void readcounters(void) {
+/* Adds up the counters that the entries report at /metrics. */
+static void read_counters(void) {
   guint i;
   int k;
   for (i = 0; i < operators->len; i++) {
-    GString *s = get(g_array_index(operators, mp_Addr, i), "/metrics");
+    GString *s = fetch(g_array_index(operators, mp_Addr, i), "/metrics");
     for (k = 0; k < MP_C_COUNT; k++) {
       gchar *name =
           g_strdup_printf("madderpier_%s ", mp_counter_name((mp_Counter)k));
@@ -307,12 +344,12 @@
   }
 }
 
-/* engine memory that is still held when all callers are gone */
-static unsigned heldnow(void) {
+/* Returns how many KV caches the engines still hold. */
+static unsigned count_kv_holds(void) {
   unsigned n = 0;
   guint i;
   for (i = 0; i < endpoints->len; i++) {
-    GString *s = get(g_array_index(endpoints, mp_Addr, i), "/holds");
+    GString *s = fetch(g_array_index(endpoints, mp_Addr, i), "/holds");
     json_t *j = json_loads(s->str, 0, NULL);
     n += (unsigned)json_array_size(json_object_get(j, "holds"));
     json_decref(j);
@@ -329,28 +366,36 @@
 ** ===================================================================
 */
 
-typedef struct Sums {
-  unsigned sent, ended, good, wrong, silent, hung, spare, twice;
-  unsigned ranthough, held;
-  double wasted; /* share of computed prompt tokens that no answer used */
-} Sums;
+typedef struct Totals {
+  unsigned sent, completed, good, wrong, silent, hung_up; /* as in Result */
+  unsigned rejected_duplicates; /* second copies, correctly rejected */
+  unsigned answered_twice; /* complete answers to a key already answered */
+  unsigned ran_despite_no; /* an error said "not run", and an engine ran it */
+  unsigned kv_holds;       /* KV caches still held after all requests ended */
+  double wasted_share; /* computed prompt tokens that no answer used, 0..1 */
+} Totals;
 
-static int bydouble(gconstpointer a, gconstpointer b) {
+static int compare_doubles(gconstpointer a, gconstpointer b) {
   double x = *(const double *)a;
   double y = *(const double *)b;
   return x < y ? -1 : x > y;
 }
 
+/* Sorts 'a' and returns its 95th percentile; 0 when it is empty. */
 static double p95(GArray *a) {
   if (a->len == 0)
     return 0;
-  g_array_sort(a, bydouble);
+  g_array_sort(a, compare_doubles);
   return g_array_index(a, double, (guint)(a->len * 0.95));
 }
 
-/* promises, over all results and ledgers */
-static Sums judge(GHashTable *runs) {
-  Sums s = {0};
+/*
+** Returns the totals over all results, with the broken guarantees. A prompt's
+** computed tokens count as used once, at their mean over the prefills of the
+** request, when the answer was complete or the caller hung up.
+*/
+static Totals check_guarantees(GHashTable *runs) {
+  Totals s = {0};
   GHashTable *keys =
       g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
   uint64_t used = 0;
@@ -358,40 +403,42 @@
   for (i = 0; i < results->len; i++) {
     const Result *r = &g_array_index(results, Result, i);
     char id[64];
-    const Runs *run;
-    g_strlcpy(id, r->id, sizeof id);
+    const EngineRuns *run;
+    g_strlcpy(id, r->request_id, sizeof id);
     if (strchr(id, '.') != NULL)
       *strchr(id, '.') = '\0';
     run = g_hash_table_lookup(runs, id);
     s.sent++;
-    s.ended += r->ended;
-    s.wrong += r->wrong;
-    s.silent += r->silent;
-    s.hung += r->hung;
-    s.spare += strcmp(r->kind, "duplicate_request") == 0;
-    s.good += ingood(&mix->classes[r->class_no], r);
-    if (r->ended && r->key[0] != '\0' &&
-        !g_hash_table_add(keys, g_strdup(r->key)))
-      s.twice++;
-    if (r->kind[0] != '\0' && r->ran == MP_RAN_NO && run != NULL)
-      s.ranthough++;
-    if (run != NULL && (r->ended || r->hung))
-      used += run->tokens / MAX(run->prefills, 1);
+    s.completed += r->is_complete;
+    s.wrong += r->is_wrong;
+    s.silent += r->is_silent;
+    s.hung_up += r->has_hung_up;
+    s.rejected_duplicates += strcmp(r->error_kind, "duplicate_request") == 0;
+    s.good += meets_targets(&mix->classes[r->class_index], r);
+    if (r->is_complete && r->idempotency_key[0] != '\0' &&
+        !g_hash_table_add(keys, g_strdup(r->idempotency_key)))
+      s.answered_twice++;
+    if (r->error_kind[0] != '\0' && r->ran == MP_RAN_NO && run != NULL)
+      s.ran_despite_no++;
+    if (run != NULL && (r->is_complete || r->has_hung_up))
+      used += run->computed_tokens / MAX(run->prefills, 1);
   }
-  s.wasted =
-      engine_prefill > 0 ? 1 - (double)used / (double)engine_prefill : 0;
-  s.wasted = MAX(s.wasted, 0);
-  s.held = heldnow();
+  s.wasted_share = computed_prompt_tokens > 0
+                       ? 1 - (double)used / (double)computed_prompt_tokens
+                       : 0;
+  s.wasted_share = MAX(s.wasted_share, 0);
+  s.kv_holds = count_kv_holds();
   g_hash_table_destroy(keys);
   return s;
 }
 
-static json_t *kinds(void) {
+/* Returns an object: error kind -> number of requests. */
+static json_t *count_error_kinds(void) {
   json_t *j = json_object();
   guint i;
   for (i = 0; i < results->len; i++) {
     const Result *r = &g_array_index(results, Result, i);
-    const char *k = r->kind[0] != '\0' ? r->kind : NULL;
+    const char *k = r->error_kind[0] != '\0' ? r->error_kind : NULL;
     json_int_t n;
     if (k == NULL)
       continue;
@@ -401,27 +448,31 @@
   return j;
 }
 
-/* of those who wanted one answer and waited for it: share in target */
-static double goodput(unsigned good, unsigned n, unsigned hung,
-                      unsigned spare) {
-  unsigned of = n - hung - spare;
+/*
+** Returns the share of good requests among those that did not hang up and
+** were not rejected as duplicates; 0 when there are none.
+*/
+static double goodput(unsigned good, unsigned n, unsigned hung_up,
+                      unsigned rejected_duplicates) {
+  unsigned of = n - hung_up - rejected_duplicates;
   return of > 0 ? (double)good / of : 0;
 }
 
-static json_t *classreport(unsigned i) {
-  Tally *t = &tally[i];
+static json_t *class_report(unsigned i) {
+  ClassTotals *t = &class_totals[i];
   return json_pack("{s:i, s:i, s:i, s:f, s:f, s:f}", "sent", (int)t->sent,
-                   "ended", (int)t->ended, "good", (int)t->good, "goodput",
+                   "ended", (int)t->completed, "good", (int)t->good, "goodput",
                    t->sent > 0 ? (double)t->good / t->sent : 0, "p95_first_ms",
-                   p95(t->first), "p95_gap_ms", p95(t->gap));
+                   p95(t->first_token_ms), "p95_gap_ms", p95(t->token_gap_ms));
 }
 
-static json_t *report(const Sums *s) {
+/* Returns the report, as one JSON object; the caller frees it. */
+static json_t *make_report(const Totals *s) {
   json_t *classes = json_object();
   json_t *cnt = json_object();
   unsigned i;
   for (i = 0; i < mix->classes_count; i++)
-    json_object_set_new(classes, mix->classes[i].class_name, classreport(i));
+    json_object_set_new(classes, mix->classes[i].class_name, class_report(i));
   for (i = 0; i < MP_C_COUNT; i++)
     json_object_set_new(cnt, mp_counter_name((mp_Counter)i),
                         json_integer((json_int_t)counters[i]));
@@ -429,30 +480,31 @@
       "{s:s, s:I, s:f, s:i, s:i, s:i, s:f, s:f, s:f, s:{s:i, s:i, s:i, s:i, "
       "s:i}, s:o, s:o, s:o}",
       "label", args.label, "seed", (json_int_t)args.seed, "rate", args.rate,
-      "sent", (int)s->sent, "ended", (int)s->ended, "good", (int)s->good,
-      "goodput", goodput(s->good, s->sent, s->hung, s->spare), "good_per_s",
-      (double)s->good / MAX(args.seconds, 1), "wasted_prefill", s->wasted,
-      "broken", "wrong", (int)s->wrong, "answered_twice", (int)s->twice,
-      "ran_though_told_not", (int)s->ranthough, "held_after", (int)s->held,
-      "silent", (int)s->silent, "refusals", kinds(), "classes", classes,
-      "counters", cnt);
+      "sent", (int)s->sent, "ended", (int)s->completed, "good", (int)s->good,
+      "goodput", goodput(s->good, s->sent, s->hung_up, s->rejected_duplicates),
+      "good_per_s", (double)s->good / MAX(args.seconds, 1), "wasted_prefill",
+      s->wasted_share, "broken", "wrong", (int)s->wrong, "answered_twice",
+      (int)s->answered_twice, "ran_though_told_not", (int)s->ran_despite_no,
+      "held_after", (int)s->kv_holds, "silent", (int)s->silent, "refusals",
+      count_error_kinds(), "classes", classes, "counters", cnt);
 }
 
-static void print(const Sums *s) {
+static void print_totals(const Totals *s) {
   unsigned i;
   printf("%-18s seed %-3" G_GUINT64_FORMAT
          " sent %-5u ended %-5u goodput %.3f (%.1f/s) wasted prefill %.4f "
          "broken %u silent %u\n",
-         args.label, (guint64)args.seed, s->sent, s->ended,
-         goodput(s->good, s->sent, s->hung, s->spare),
-         (double)s->good / MAX(args.seconds, 1), s->wasted,
-         s->wrong + s->twice + s->ranthough + s->held, s->silent);
+         args.label, (guint64)args.seed, s->sent, s->completed,
+         goodput(s->good, s->sent, s->hung_up, s->rejected_duplicates),
+         (double)s->good / MAX(args.seconds, 1), s->wasted_share,
+         s->wrong + s->answered_twice + s->ran_despite_no + s->kv_holds,
+         s->silent);
   for (i = 0; i < mix->classes_count; i++) {
-    Tally *t = &tally[i];
+    ClassTotals *t = &class_totals[i];
     printf("  %-18s sent %-5u good %.3f p95 first %7.0f ms gap %5.1f ms\n",
            mix->classes[i].class_name, t->sent,
-           goodput(t->good, t->sent, t->hung, t->spare), p95(t->first),
-           p95(t->gap));
+           goodput(t->good, t->sent, t->hung_up, t->rejected_duplicates),
+           p95(t->first_token_ms), p95(t->token_gap_ms));
   }
 }
 
@@ -462,7 +514,7 @@
     {"mix", 'm', "FILE", 0, "The classes and their shares", 0},
     {"list", 'l', "FILE", 0, "The instance list", 0},
     {"rate", 'r', "N", 0, "Requests a second", 0},
-    {"seconds", 's', "N", 0, "How long", 0},
+    {"seconds", 's', "N", 0, "Duration of the arrivals", 0},
     {"seed", 'e', "N", 0, "Seed", 0},
     {"entries", 'n', "N", 0, "Use only the first N entry instances", 0},
     {"settle", 'w', "N", 0, "Seconds before the ledgers are read", 0},
@@ -508,23 +560,27 @@
   }
 }
 
-static void drive(void) {
+/* Runs the event loop until all arrivals were sent and have ended. */
+static void send_all(void) {
   struct timeval t = {0, 0};
   unsigned i;
-  tally = g_new0(Tally, mix->classes_count);
+  class_totals = g_new0(ClassTotals, mix->classes_count);
   for (i = 0; i < mix->classes_count; i++) {
-    tally[i].first = g_array_new(FALSE, FALSE, sizeof(double));
-    tally[i].gap = g_array_new(FALSE, FALSE, sizeof(double));
+    class_totals[i].first_token_ms = g_array_new(FALSE, FALSE, sizeof(double));
+    class_totals[i].token_gap_ms = g_array_new(FALSE, FALSE, sizeof(double));
   }
-  started = g_get_monotonic_time();
-  arrival = evtimer_new(base, onarrival, NULL);
-  event_add(arrival, &t);
-  while (open_ > 0 || event_pending(arrival, EV_TIMEOUT, NULL))
+  start_us = g_get_monotonic_time();
+  arrival_timer = evtimer_new(base, on_arrival_timer, NULL);
+  event_add(arrival_timer, &t);
+  while (open_requests > 0 || event_pending(arrival_timer, EV_TIMEOUT, NULL))
     event_base_loop(base, EVLOOP_ONCE);
 }
 
-/* what a dead instance held is freed when its leases are over */
-static void settle(void) {
+/*
+** Waits before the ledgers are read, because what a dead instance held is
+** freed only when its leases expire.
+*/
+static void wait_until_settled(void) {
   struct timeval t = {(time_t)args.settle, 0};
   event_base_loopexit(base, &t);
   event_base_dispatch(base);
@@ -534,25 +590,25 @@
   static const struct argp argp = {options, parse, NULL, NULL,
                                    NULL,    NULL,  NULL};
   GHashTable *runs;
-  Sums s;
+  Totals s;
   argp_parse(&argp, argc, argv, 0, NULL, NULL);
   base = event_base_new();
   entries = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
   endpoints = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
   operators = g_array_new(FALSE, FALSE, sizeof(mp_Addr));
   results = g_array_new(FALSE, FALSE, sizeof(Result));
-  rnd = g_rand_new_with_seed((guint32)args.seed);
+  random_source = g_rand_new_with_seed((guint32)args.seed);
   mix = mix_read(args.mix);
-  readlist(args.list);
-  drive();
-  settle();
-  runs = readledgers();
-  readcounters();
-  s = judge(runs);
-  print(&s);
+  read_instance_list(args.list);
+  send_all();
+  wait_until_settled();
+  runs = read_ledgers();
+  read_counters();
+  s = check_guarantees(runs);
+  print_totals(&s);
   if (args.json != NULL) {
     FILE *f = fopen(args.json, "ae");
-    json_t *j = report(&s);
+    json_t *j = make_report(&s);
     if (f != NULL) {
       json_dumpf(j, f, JSON_COMPACT | JSON_REAL_PRECISION(6));
       fputc('\n', f);
@@ -561,5 +617,5 @@
     json_decref(j);
   }
   g_hash_table_destroy(runs);
-  return s.wrong + s.twice + s.ranthough + s.held > 0;
+  return s.wrong + s.answered_twice + s.ran_despite_no + s.kv_holds > 0;
 }
