--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -1,6 +1,13 @@
 /*
 ** slopes.h
-** A fleet of real cores in one process and virtual time
+** Types and functions that the parts of the slopes benchmark share
+**
+** slopes runs many real cores in one process and in virtual time. The
+** platform, the engines and the network between the cores are stand-ins that
+** answer after fixed delays. slopes_run.c has the event queue, the stand-ins
+** and the loop that feeds the cores; slopes_world.c makes the instance list
+** and the configuration; slopes.c measures and prints.
+** All times are virtual, in us, unless a comment says otherwise.
 */
 
 #ifndef BENCH_SLOPES_H
@@ -8,75 +15,96 @@
 
 #include "madderpier.h"
 
-#define LINK (1 * MP_MS)
+/* One-way delay between two cores; a call to a stand-in takes it twice. */
+#define LINK_DELAY (1 * MP_MS)
 
-/* something that will happen */
-typedef enum What { W_TICK, W_MSG, W_X, W_STORE, W_CALL } What;
+/* What is delivered to a core when a scheduled event is due. */
+typedef enum ScheduledKind {
+  SCHEDULED_TICK,     /* nothing but the time */
+  SCHEDULED_MSG,      /* a message of another core */
+  SCHEDULED_ENDPOINT, /* the answer of an engine */
+  SCHEDULED_STORE,    /* the answer of the platform's store */
+  SCHEDULED_REQUEST   /* a request of a caller; schedules the next one too */
+} ScheduledKind;
 
-typedef struct Due {
-  mp_Time t;
-  uint64_t n;
-  What what;
-  unsigned node;
-  mp_Addr from;
-  mp_Msg *msg;
-  mp_EndpointEvent x;
-  char *text;
-  mp_StoreEvent store;
-  uint32_t tokens; /* W_X: of the answer that are still to come */
-  int load;        /* W_X: an answer to a load call; 'from' is the engine */
-} Due;
+/* An event in the queue, which owns it with its 'msg' and 'text'. */
+typedef struct ScheduledEvent {
+  mp_Time due_at;
+  uint64_t sequence; /* of scheduling; orders events of the same time */
+  ScheduledKind kind;
+  unsigned node; /* index of the receiver */
+  mp_Addr from;  /* sender of a message, or engine of a load answer */
+  mp_Msg *msg;   /* NULL unless the event is a message */
+  mp_EndpointEvent endpoint_event;
+  char *text; /* of an engine's answer, or value of an object; or NULL */
+  mp_StoreEvent store_event;
+  uint32_t tokens;    /* of the engine's answer that are still to come */
+  int is_load_answer; /* the engine 'from' answers a load call */
+} ScheduledEvent;
 
+/* A core and what it has spent since the counters were last reset. */
 typedef struct Node {
-  mp_State *M;
-  mp_Time woken;
-  uint64_t bytes, msgs, store, writes;
-  double cpu; /* seconds */
-  uint64_t config;
+  mp_State *core;
+  mp_Time tick_at;       /* time of the scheduled tick; 0: none */
+  uint64_t bytes;        /* sent and received, with UDP and IP headers */
+  uint64_t messages;     /* sent */
+  uint64_t store_calls;  /* all calls of the store */
+  uint64_t store_writes; /* those of them that write */
+  double cpu_seconds;    /* processor time in mp_feed and mp_take */
+  uint64_t config;       /* unused */
 } Node;
 
-typedef struct Run {
-  unsigned nodes, centres, workers;
-  double rate;
-  uint32_t tokens;
+/* The state of one run. */
+typedef struct Simulation {
+  unsigned nodes, data_centres, workers; /* how many there are */
+  double rate;                           /* requests per second, in total */
+  uint32_t answer_tokens;                /* length of each answer */
   mp_Time now;
-  uint64_t serial, call;
-  GPtrArray *heap; /* Due, as a binary heap */
-  Node *node;
-  GHashTable *gone; /* xcalls that were aborted: node << 48 ^ xcall */
-  char *list, *manifest;
-  char *section[2]; /* accounts, and what changes */
-  char digest[2][MP_DIGEST + 1];
-  uint64_t manifestversion;
-  GPtrArray *watches; /* Due, answered by the next change */
-  uint64_t answered, refused;
-  uint64_t kindmsgs[MP_MSG_LAST], kindbytes[MP_MSG_LAST];
-  uint64_t errors[MP_ERR_COUNT];
-} Run;
+  uint64_t last_sequence; /* last number given to an event */
+  uint64_t last_call;     /* last number given to a request */
+  GPtrArray *queue; /* ScheduledEvent; a binary heap, the next one first */
+  Node *node;       /* 'nodes' elements */
+  GHashTable *aborted_calls; /* set of keys: node << 48 ^ endpoint call */
+  char *instance_list;       /* text of the object "instances" */
+  char *manifest;            /* text of the manifest of the configuration */
+  char *section[2];          /* accounts, and the section that changes */
+  char digest[2][MP_DIGEST + 1]; /* of the sections */
+  uint64_t manifest_version;
+  GPtrArray *watches; /* ScheduledEvent, answered by the next change */
+  uint64_t answered;  /* requests that got a whole answer */
+  uint64_t refused;   /* requests that got an error */
+  uint64_t sent_messages_by_kind[MP_MSG_LAST];
+  uint64_t sent_bytes_by_kind[MP_MSG_LAST];
+  uint64_t errors_by_kind[MP_ERR_COUNT];
+} Simulation;
 
-/* into the queue */
-void slopes_push(Run *R, Due *d);
-/* where node i hears the others */
-mp_Addr slopes_nodeaddr(unsigned i);
-/* where worker i is */
-mp_Addr slopes_workeraddr(unsigned i);
-/* is worker i a prefill engine? */
-int slopes_prefills(const Run *R, unsigned i);
-/* what node i's core asks for */
-void slopes_perform(Run *R, unsigned i);
-/* the first one out of the queue */
-Due *slopes_pop(Run *R);
-/* something due at a node; it is not in the queue yet */
-Due *slopes_due(Run *R, mp_Time t, What w, unsigned node);
-/* let time pass until then */
-void slopes_runto(Run *R, mp_Time until);
-/* the instance list as a text; free it */
-char *slopes_makelist(const Run *R);
-/* a version of the configuration is in the store */
-void slopes_publish(Run *R, uint64_t version);
-/* watches of the store are answered */
-void slopes_tell(Run *R);
-/* all cores start */
-void slopes_boot(Run *R);
+/* Puts the event into the queue, which owns it from then on. */
+void slopes_schedule(Simulation *R, ScheduledEvent *d);
+/* Returns the address at which node i receives messages. */
+mp_Addr slopes_node_address(unsigned i);
+/* Returns the address of the engine of worker i. */
+mp_Addr slopes_worker_address(unsigned i);
+/* Returns whether worker i is a prefill engine; the others decode. */
+int slopes_is_prefill_worker(const Simulation *R, unsigned i);
+/* Takes the effects of node i's core, performs them and sets its tick. */
+void slopes_perform_effects(Simulation *R, unsigned i);
+/*
+** Removes and returns the next event; the caller frees it, 'msg' and 'text'.
+** The queue must not be empty.
+*/
+ScheduledEvent *slopes_take_event(Simulation *R);
+/* Returns a new event for a node; it is not in the queue yet. */
+ScheduledEvent *slopes_new_event(Simulation *R, mp_Time t, ScheduledKind w,
+                                 unsigned node);
+/* Delivers all events up to and including 'until', which becomes 'now'. */
+void slopes_run_until(Simulation *R, mp_Time until);
+/* Returns the instance list as JSON, which the caller frees. */
+char *slopes_make_instance_list(const Simulation *R);
+/* Stores a version of the configuration; watches are not answered yet. */
+void slopes_publish_config(Simulation *R, uint64_t version);
+/* Answers the watches of the manifest with its present version. */
+void slopes_answer_watches(Simulation *R);
+/* Creates the core of each node, with its first effects performed. */
+void slopes_start_cores(Simulation *R);
 
 #endif
--- a/bench/slopes_world.c
+++ b/bench/slopes_world.c
@@ -1,6 +1,6 @@
 /*
 ** slopes_world.c
-** The configuration and the instance list that the cores begin with
+** The configuration and the instance list that the cores start with
 */
 
 #include <math.h>
@@ -15,22 +15,22 @@
 
 /*
 ** {==================================================================
-** The world
+** Instance list, configuration and start of the cores
 ** ===================================================================
 */
 
-static void dcname(unsigned i, const Run *R, char out[16]) {
-  g_snprintf(out, 16, "dc-%u", i % R->centres);
+static void data_centre_name(unsigned i, const Simulation *R, char out[16]) {
+  g_snprintf(out, 16, "dc-%u", i % R->data_centres);
 }
 
-char *slopes_makelist(const Run *R) {
+char *slopes_make_instance_list(const Simulation *R) {
   GString *g = g_string_new("{\"version\": 1, \"instances\": [");
   char a[24];
   char dc[16];
   unsigned i;
   for (i = 0; i < R->nodes; i++) {
-    mp_addr_text(slopes_nodeaddr(i), a);
-    dcname(i, R, dc);
+    mp_addr_text(slopes_node_address(i), a);
+    data_centre_name(i, R, dc);
     g_string_append_printf(g,
                            "%s{\"kind\":\"entry\",\"name\":\"e%u\","
                            "\"data_centre\":\"%s\",\"address\":\"%s\","
@@ -38,21 +38,22 @@
                            i > 0 ? "," : "", i, dc, a);
   }
   for (i = 0; i < R->workers; i++) {
-    mp_addr_text(slopes_workeraddr(i), a);
-    dcname(i, R, dc);
-    g_string_append_printf(g,
-                           ",{\"kind\":\"endpoint\",\"name\":\"w%u\","
-                           "\"data_centre\":\"%s\",\"address\":\"%s\","
-                           "\"service\":\"llm\",\"role\":\"%s\","
-                           "\"state\":\"live\"}",
-                           i, dc, a,
-                           slopes_prefills(R, i) ? "prefill" : "decode");
+    mp_addr_text(slopes_worker_address(i), a);
+    data_centre_name(i, R, dc);
+    g_string_append_printf(
+        g,
+        ",{\"kind\":\"endpoint\",\"name\":\"w%u\","
+        "\"data_centre\":\"%s\",\"address\":\"%s\","
+        "\"service\":\"llm\",\"role\":\"%s\","
+        "\"state\":\"live\"}",
+        i, dc, a, slopes_is_prefill_worker(R, i) ? "prefill" : "decode");
   }
   g_string_append(g, "]}");
   return g_string_free(g, FALSE);
 }
 
-static void manyaccounts(GString *g) {
+/* Appends the section with 280 accounts, whose keys are "key-0" and so on. */
+static void append_accounts(GString *g) {
   char d[MP_DIGEST + 1];
   char key[32];
   unsigned i;
@@ -67,12 +68,16 @@
   }
 }
 
-static char *makesection(const Run *R, unsigned change) {
+/*
+** Returns the other section, which the caller frees. 'change' is a number
+** that makes its text differ from other versions and has no other effect.
+*/
+static char *make_section(const Simulation *R, unsigned change) {
   static const char *const classes[] = {"flag", "question", "summary"};
   GString *g = g_string_new("data_centres:\n");
   GString *all = g_string_new(NULL);
   unsigned i;
-  for (i = 0; i < R->centres; i++) {
+  for (i = 0; i < R->data_centres; i++) {
     g_string_append_printf(g, "  - {name: dc-%u, region: r%u}\n", i, i % 3);
     g_string_append_printf(all, "%sdc-%u", i > 0 ? ", " : "", i);
   }
@@ -110,17 +115,17 @@
   return g_string_free(g, FALSE);
 }
 
-void slopes_publish(Run *R, uint64_t version) {
+void slopes_publish_config(Simulation *R, uint64_t version) {
   static const char *const names[] = {"accounts.yaml", "rest.yaml"};
   GString *accounts = g_string_new(NULL);
   mp_Manifest m = {0};
   unsigned i;
-  manyaccounts(accounts);
+  append_accounts(accounts);
   g_free(R->section[0]);
   g_free(R->section[1]);
   g_free(R->manifest);
   R->section[0] = g_string_free(accounts, FALSE);
-  R->section[1] = makesection(R, (unsigned)version);
+  R->section[1] = make_section(R, (unsigned)version);
   m.version = version;
   g_strlcpy(m.apply_id, "id", sizeof m.apply_id);
   g_strlcpy(m.by, "slopes", sizeof m.by);
@@ -132,38 +137,37 @@
     g_strlcpy(m.section[i].digest, R->digest[i], sizeof m.section[i].digest);
   }
   R->manifest = mp_manifest_write(&m);
-  R->manifestversion = version;
+  R->manifest_version = version;
 }
 
-/* the platform tells those that watch */
-void slopes_tell(Run *R) {
+void slopes_answer_watches(Simulation *R) {
   guint i;
   for (i = 0; i < R->watches->len; i++) {
-    Due *d = R->watches->pdata[i];
-    d->t = R->now + 2 * LINK;
-    d->store.status = MP_STORE_OK;
-    d->store.version = R->manifestversion;
+    ScheduledEvent *d = R->watches->pdata[i];
+    d->due_at = R->now + 2 * LINK_DELAY;
+    d->store_event.status = MP_STORE_OK;
+    d->store_event.version = R->manifest_version;
     d->text = g_strdup(R->manifest);
-    slopes_push(R, d);
+    slopes_schedule(R, d);
   }
   g_ptr_array_set_size(R->watches, 0);
 }
 
-void slopes_boot(Run *R) {
+void slopes_start_cores(Simulation *R) {
   unsigned i;
   for (i = 0; i < R->nodes; i++) {
     mp_Options o = {0};
     char dc[16];
-    dcname(i, R, dc);
-    o.self = slopes_nodeaddr(i);
+    data_centre_name(i, R, dc);
+    o.self = slopes_node_address(i);
     o.dc = dc;
     o.start = 1;
     o.seed = i + 1;
     o.net = 0x0a000000;
     o.mask = 0xff000000;
     o.codec = mp_codec();
-    R->node[i].M = mp_new(&o, R->now);
-    slopes_perform(R, i);
+    R->node[i].core = mp_new(&o, R->now);
+    slopes_perform_effects(R, i);
   }
 }
 
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -2,9 +2,9 @@
 ** embed.c
 ** Two cores in one process, driven by hand through the public header
 **
-** No sockets, no clock: time is a number, messages are handed over. The two
-** find each other and agree that both are alive. A foreign harness does the
-** same with several hundred.
+** There are no sockets and no clock: time is a number, and the messages of a
+** core are passed to the other one. The two cores find each other and agree
+** that both are alive. A test harness can do the same with several hundred.
 */
 
 #include <stdio.h>
@@ -15,12 +15,16 @@
 
 #define CORES 2
 
-static mp_Addr addr(int i) {
+/* Returns the address of core 'i': 10.0.0.1 or 10.0.0.2, port 7000. */
+static mp_Addr core_address(int i) {
   return ((mp_Addr)(0x0a000001 + i) << 16) | 7000;
 }
 
-/* take what core 'i' wants, and hand messages to their receiver */
-static void perform(mp_State *core[CORES], int i, mp_Time now) {
+/*
+** Takes the effects of core 'i', prints its log lines and passes its messages
+** to their receivers, whose effects follow at once. 'now' is in us.
+*/
+static void perform_effects(mp_State *core[CORES], int i, mp_Time now) {
   mp_Effect fx;
   while (mp_take(core[i], &fx)) {
     mp_Event e = {0};
@@ -31,26 +35,26 @@
              fx.u.log.fields);
     if (fx.kind != MP_FX_SEND)
       continue; /* this example has no platform and no endpoints */
-    to = fx.u.send.to == addr(0) ? 0 : 1;
+    to = fx.u.send.to == core_address(0) ? 0 : 1;
     m = fx.u.send.msg;
     e.kind = MP_EV_MSG;
-    e.u.msg.from = addr(i);
+    e.u.msg.from = core_address(i);
     e.u.msg.msg = &m;
     mp_feed(core[to], now, &e);
-    perform(core, to, now);
+    perform_effects(core, to, now);
   }
 }
 
 int main(void) {
   mp_State *core[CORES];
-  mp_Addr seed = addr(0);
+  mp_Addr seed = core_address(0);
   mp_Event tick = {0};
   mp_Time now;
   mp_Status s;
   int i;
   for (i = 0; i < CORES; i++) {
     mp_Options o = {0};
-    o.self = addr(i);
+    o.self = core_address(i);
     o.dc = "here";
     o.start = 1;
     o.seed = (uint64_t)i + 1;
@@ -64,7 +68,7 @@
   for (now = 0; now < 2 * MP_SEC; now += 10 * MP_MS) {
     for (i = 0; i < CORES; i++) {
       mp_feed(core[i], now, &tick);
-      perform(core, i, now);
+      perform_effects(core, i, now);
     }
   }
   for (i = 0; i < CORES; i++) {
