--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -140,14 +140,14 @@
 }
 
 /* Runs a fleet through all phases, prints the costs and frees it. */
-static void measure_fleet(unsigned nodes, unsigned centres, unsigned workers,
-                          double rate, uint32_t tokens) {
+static void measure_fleet(unsigned nodes, unsigned data_centres,
+                          unsigned workers, double rate, uint32_t tokens) {
   Simulation R = {0};
   Totals s;
   size_t bytes_before;
   unsigned i;
   R.nodes = nodes;
-  R.data_centres = centres;
+  R.data_centres = data_centres;
   R.workers = workers;
   R.rate = rate;
   R.answer_tokens = tokens;
@@ -163,7 +163,7 @@
   slopes_start_cores(&R);
   slopes_run_until(&R, R.now + SETTLE_TIME);
   printf("%u nodes, %u data centres, %u workers: list %zu bytes\n", nodes,
-         centres, workers, strlen(R.instance_list));
+         data_centres, workers, strlen(R.instance_list));
   printf("  memory   of a core, idle: %.0f KB\n",
          (double)(mallinfo2().uordblks - bytes_before) / nodes / 1024);
   reset_counters(&R);
