--- a/standin/engine.c
+++ b/standin/engine.c
@@ -1,16 +1,19 @@
 /*
 ** engine.c
-** Stand-in for model engines and plain services; one process hosts many
+** Stand-in for model engines and plain services, many in one process
 **
 **   engine LIST.json [DATA-CENTRE...]
 **
-** Hosts every endpoint of the instance list (of the data centres named,
-** or all). The model: a prefill engine computes prompts in chunks by
-** priority, less the prefix it has cached; its KV results expire; a
-** transfer takes its bytes at the link's rate, shared; a decode engine has
-** slots and a pace that slows as they fill. Every piece of work stands in
-** the ledger (GET /ledger). Faults by POST /fault, see fault() below.
-** Text is a function of prompt and token number, so anyone can verify it.
+** Hosts every endpoint of the instance list that is in one of the data
+** centres named, or all of them when none is named. A prefill engine computes
+** prompts in chunks, by priority, without the prefix that it has cached, and
+** the KV caches that it leaves expire. A transfer takes the time that its
+** bytes need on the link between two data centres, which transfers share. A
+** decode engine has slots, and its tokens take longer as the slots fill.
+** All work is recorded in the ledger (GET /ledger). POST /fault sets faults,
+** see handle_fault() below.
+** The text of an answer is a function of the prompt and the token's number,
+** so every reader can verify it.
 */
 
 #include <signal.h>
@@ -20,36 +23,42 @@
 
 #include "standin/engine_work.h"
 
-#define LOAD_LAG_US 200000L /* age of the load that is reported */
+/* The reported load is refreshed at this interval, so it is up to so old. */
+#define LOAD_INTERVAL_US 200000L
 
 /*
 ** {==================================================================
-** Load, cancel, orders
+** Load, cancellation, orders
 ** ===================================================================
 */
 
-static json_t *load(const Engine *e) {
+/*
+** Returns the present load; the caller frees it. The rate of a prefill engine
+** is in tokens per second; that of the others is microseconds per token.
+*/
+static json_t *make_load(const Engine *e) {
   json_t *holds = json_array();
   uint64_t queued = 0;
   guint i;
   for (i = 0; i < e->work->len; i++) {
     const Work *w = e->work->pdata[i];
-    if (w->kind != W_PLAIN)
+    if (w->kind != WORK_PLAIN)
       json_array_append_new(holds, json_string(w->id));
-    if (w->kind == W_PREFILL)
-      queued += w->left;
+    if (w->kind == WORK_PREFILL)
+      queued += w->tokens_left;
   }
   return json_pack(
       "{s:s, s:i, s:i, s:I, s:I, s:I, s:b, s:o}", "role",
       mp_role_name(e->role), "slots", (int)engine_site.rates.slots, "used",
-      (int)engine_count(e, W_IMPORT, W_DECODE), "queued_tokens",
+      (int)engine_count_work(e, WORK_IMPORT, WORK_DECODE), "queued_tokens",
       (json_int_t)queued, "rate",
       (json_int_t)(e->role == MP_ROLE_PREFILL ? engine_site.rates.prefill_rate
-                                              : engine_pace(e)),
-      "fence", (json_int_t)e->fence, "leaving", e->leaving, "holds", holds);
+                                              : engine_token_interval(e)),
+      "fence", (json_int_t)e->fence, "leaving", e->is_leaving, "holds", holds);
 }
 
-static void takeload(evutil_socket_t fd, short what, void *arg) {
+/* Refreshes the reported load of all engines. */
+static void on_load_timer(evutil_socket_t fd, short what, void *arg) {
   GHashTableIter it;
   gpointer v;
   (void)fd;
@@ -58,16 +67,18 @@
   g_hash_table_iter_init(&it, engine_site.engines);
   while (g_hash_table_iter_next(&it, NULL, &v)) {
     Engine *e = v;
-    json_decref(e->loadnow);
-    e->loadnow = load(e);
+    json_decref(e->reported_load);
+    e->reported_load = make_load(e);
   }
 }
 
-static void cancel(Engine *e, struct evhttp_request *r, const char *id) {
+/* Ends all work with the id, and refuses work with it from now on. */
+static void handle_cancel(Engine *e, struct evhttp_request *r,
+                          const char *id) {
   guint i = 0;
   int n = 0;
-  if (e->losecancel > 0) {
-    e->losecancel--;
+  if (e->cancels_to_lose > 0) {
+    e->cancels_to_lose--;
     serve_cut(r);
     return;
   }
@@ -75,39 +86,45 @@
     engine_refuse(r, 400, "request_id is missing");
     return;
   }
-  g_hash_table_add(e->dead, g_strdup(id));
+  g_hash_table_add(e->cancelled, g_strdup(id));
   while (i < e->work->len) {
     Work *w = e->work->pdata[i];
     if (strcmp(w->id, id) != 0) {
       i++;
       continue;
     }
-    if (w->kind == W_PREFILL || w->kind == W_DECODE || w->kind == W_PLAIN)
-      engine_ledger(e, id, engine_op_name(w->kind), "cancelled",
-                    w->kind == W_DECODE ? w->made : w->tokens - w->left,
-                    w->cached);
+    if (w->kind == WORK_PREFILL || w->kind == WORK_DECODE ||
+        w->kind == WORK_PLAIN)
+      engine_add_to_ledger(e, id, engine_op_name(w->kind), "cancelled",
+                           w->kind == WORK_DECODE ? w->generated
+                                                  : w->tokens - w->tokens_left,
+                           w->cached);
     engine_break_reader(w);
     engine_free_work(w);
     n++;
   }
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
   serve_json(r, 200, json_pack("{s:i}", "freed", n));
 }
 
-static void order(Engine *e, struct evhttp_request *r, json_t *j) {
+/*
+** Changes the role of an idle engine. Refuses an order whose fence is lower
+** than that of the last order, unless the stand-in is set to ignore fences.
+*/
+static void handle_order(Engine *e, struct evhttp_request *r, json_t *j) {
   uint64_t fence = (uint64_t)json_integer_value(json_object_get(j, "fence"));
   const char *role = json_string_value(json_object_get(j, "role"));
   if (engine_site.rates.checks_fence && fence < e->fence) {
-    engine_refuse(r, 409, "old fence");
+    engine_refuse(r, 409, "fence is lower than that of the last order");
     return;
   }
   if (role == NULL || e->work->len > 0) {
-    engine_refuse(r, role == NULL ? 400 : 409, "busy, or no role");
+    engine_refuse(r, role == NULL ? 400 : 409, "busy, or role is missing");
     return;
   }
   e->fence = MAX(e->fence, fence);
   e->role = strcmp(role, "prefill") == 0 ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
-  engine_ledger(e, "order", role, "done", 0, 0);
+  engine_add_to_ledger(e, "order", role, "done", 0, 0);
   serve_json(r, 200, json_pack("{s:s}", "role", role));
 }
 
@@ -119,20 +136,22 @@
 ** ===================================================================
 */
 
-static void handle(Engine *e, struct evhttp_request *r);
+static void handle_request(Engine *e, struct evhttp_request *r);
 
+/* Ends the freeze and handles the requests that were held. */
 static void thaw(Engine *e) {
   GPtrArray *held = e->held;
   guint i;
-  e->frozen = 0;
+  e->is_frozen = 0;
   e->held = g_ptr_array_new();
   for (i = 0; i < held->len; i++)
-    handle(e, held->pdata[i]);
+    handle_request(e, held->pdata[i]);
   g_ptr_array_unref(held);
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
 }
 
-static void heldgone(struct evhttp_connection *c, void *arg) {
+/* The caller of a held request closed the connection. */
+static void on_held_closed(struct evhttp_connection *c, void *arg) {
   Engine *e = arg;
   guint i = 0;
   while (i < e->held->len) {
@@ -144,18 +163,18 @@
   }
 }
 
-static int number(const json_t *j, const char *k, int other) {
+static int number_or(const json_t *j, const char *k, int other) {
   const json_t *v = json_object_get(j, k);
   return v != NULL ? (int)json_integer_value(v) : other;
 }
 
-/* all work and memory is gone, and nobody answers for a while */
-static void killfor(Engine *e, int ms) {
-  e->deaduntil = engine_now() + (mp_Time)ms * MP_MS;
+/* Drops all work and memory, and cuts every connection for 'ms'. */
+static void kill_engine(Engine *e, int ms) {
+  e->dead_until = engine_now() + (mp_Time)ms * MP_MS;
   while (e->work->len > 0) {
     Work *w = e->work->pdata[0];
-    engine_ledger(e, w->id, engine_op_name(w->kind), "killed",
-                  w->tokens - w->left, w->cached);
+    engine_add_to_ledger(e, w->id, engine_op_name(w->kind), "killed",
+                         w->tokens - w->tokens_left, w->cached);
     engine_break_reader(w);
     engine_free_work(w);
   }
@@ -163,27 +182,28 @@
 }
 
 /*
-** {"kill": MILLISECONDS, "freeze": 1 | 0, "leaving": 1 | 0, "lose_reply": N,
-** "lose_cancel": N,
-**  "break_after": N, "refuse": N, "slow": PERCENT}
+** Sets the faults that the body names; the others stay as they are:
+**   {"kill": MILLISECONDS, "freeze": 1 | 0, "leaving": 1 | 0,
+**    "lose_reply": N, "lose_cancel": N, "break_after": TOKENS, "refuse": N,
+**    "slow": PERCENT}
 */
-static void fault(Engine *e, struct evhttp_request *r) {
+static void handle_fault(Engine *e, struct evhttp_request *r) {
   json_t *j = serve_body(r);
-  int frozen = number(j, "freeze", e->frozen);
-  e->leaving = number(j, "leaving", e->leaving);
-  e->losereply = number(j, "lose_reply", e->losereply);
-  e->losecancel = number(j, "lose_cancel", e->losecancel);
-  e->breakafter = number(j, "break_after", e->breakafter);
-  e->refuse = number(j, "refuse", e->refuse);
-  e->slow = number(j, "slow", e->slow);
+  int frozen = number_or(j, "freeze", e->is_frozen);
+  e->is_leaving = number_or(j, "leaving", e->is_leaving);
+  e->replies_to_lose = number_or(j, "lose_reply", e->replies_to_lose);
+  e->cancels_to_lose = number_or(j, "lose_cancel", e->cancels_to_lose);
+  e->break_after_tokens = number_or(j, "break_after", e->break_after_tokens);
+  e->work_to_refuse = number_or(j, "refuse", e->work_to_refuse);
+  e->slow_percent = number_or(j, "slow", e->slow_percent);
   if (json_object_get(j, "kill") != NULL)
-    killfor(e, number(j, "kill", 0));
+    kill_engine(e, number_or(j, "kill", 0));
   json_decref(j);
   if (frozen)
-    e->frozen = 1;
-  else if (e->frozen)
+    e->is_frozen = 1;
+  else if (e->is_frozen)
     thaw(e);
-  serve_json(r, 200, json_pack("{s:s}", "engine", e->in.name));
+  serve_json(r, 200, json_pack("{s:s}", "engine", e->instance.name));
 }
 
 /* }================================================================== */
@@ -194,8 +214,9 @@
 ** ===================================================================
 */
 
-static void completion(Engine *e, struct evhttp_request *r, json_t *j,
-                       const char *id) {
+/* Handles a prefill or a decode, as the parameters of the transfer say. */
+static void handle_completion(Engine *e, struct evhttp_request *r, json_t *j,
+                              const char *id) {
   const json_t *kv = json_object_get(j, "kv_transfer_params");
   if (json_is_true(json_object_get(kv, "do_remote_decode")))
     engine_prefill(e, r, j, id);
@@ -205,11 +226,12 @@
     engine_refuse(r, 400, "kv_transfer_params are missing");
 }
 
-static void handle(Engine *e, struct evhttp_request *r) {
+static void handle_request(Engine *e, struct evhttp_request *r) {
   const char *path = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(r));
   json_t *j;
   const char *id;
-  if (e->in.role == MP_ROLE_PLAIN && !g_str_has_prefix(path, "/v1/load")) {
+  if (e->instance.role == MP_ROLE_PLAIN &&
+      !g_str_has_prefix(path, "/v1/load")) {
     engine_plain(e, r);
     return;
   }
@@ -217,15 +239,15 @@
   id = json_string_value(json_object_get(j, "request_id"));
   if (strcmp(path, "/v1/completions") == 0 ||
       strcmp(path, "/v1/chat/completions") == 0)
-    completion(e, r, j, id);
+    handle_completion(e, r, j, id);
   else if (strcmp(path, "/v1/kv/import") == 0)
     engine_import(e, r, j, id);
   else if (strcmp(path, "/v1/cancel") == 0)
-    cancel(e, r, id);
+    handle_cancel(e, r, id);
   else if (strcmp(path, "/v1/order") == 0)
-    order(e, r, j);
+    handle_order(e, r, j);
   else if (strcmp(path, "/v1/load") == 0)
-    serve_json(r, 200, json_incref(e->loadnow));
+    serve_json(r, 200, json_incref(e->reported_load));
   else if (g_str_has_prefix(path, "/v1/streams/"))
     engine_resume(e, r, path + 12);
   else
@@ -233,45 +255,47 @@
   json_decref(j);
 }
 
-static void request(struct evhttp_request *r, void *arg) {
+static void on_request(struct evhttp_request *r, void *arg) {
   Engine *e = arg;
   const char *path = evhttp_uri_get_path(evhttp_request_get_evhttp_uri(r));
   if (strcmp(path, "/fault") == 0)
-    fault(e, r);
+    handle_fault(e, r);
   else if (strcmp(path, "/ledger") == 0)
     engine_send_ledger(e, r);
   else if (strcmp(path, "/holds") == 0)
-    serve_json(r, 200, load(e)); /* without lag, for tests */
-  else if (engine_now() < e->deaduntil)
+    serve_json(r, 200, make_load(e)); /* the present load, for tests */
+  else if (engine_now() < e->dead_until)
     serve_cut(r);
-  else if (e->frozen) {
+  else if (e->is_frozen) {
     g_ptr_array_add(e->held, r);
-    evhttp_connection_set_closecb(evhttp_request_get_connection(r), heldgone,
-                                  e);
+    evhttp_connection_set_closecb(evhttp_request_get_connection(r),
+                                  on_held_closed, e);
   } else
-    handle(e, r);
+    handle_request(e, r);
 }
 
 /* }================================================================== */
 
-static void host(const mp_Instance *in) {
+/* Starts the engine of an endpoint; it lives as long as the process. */
+static void host_engine(const mp_Instance *in) {
   Engine *e = g_new0(Engine, 1);
-  e->in = *in;
+  e->instance = *in;
   e->role = in->role;
-  e->leaving = in->leaving;
+  e->is_leaving = in->leaving;
   e->work = g_ptr_array_new_with_free_func(engine_destroy_work);
   e->held = g_ptr_array_new();
   e->ledger = g_ptr_array_new_with_free_func(free);
   e->cache =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
-  e->dead = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  e->chunk = evtimer_new(engine_site.base, engine_chunk_done, e);
-  e->loadnow = load(e);
-  g_hash_table_insert(engine_site.engines, &e->in.addr, e);
-  serve_new(engine_site.base, in->addr, request, e);
+  e->cancelled = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+  e->chunk_timer = evtimer_new(engine_site.base, engine_on_chunk_done, e);
+  e->reported_load = make_load(e);
+  g_hash_table_insert(engine_site.engines, &e->instance.addr, e);
+  serve_new(engine_site.base, in->addr, on_request, e);
 }
 
-static int wanted(const mp_Instance *in, int argc, char **argv) {
+/* Returns whether this process hosts the instance. */
+static int is_hosted_here(const mp_Instance *in, int argc, char **argv) {
   int i;
   if (in->kind != MP_INST_ENDPOINT)
     return 0;
@@ -288,7 +312,7 @@
   char *s;
   mp_List *l;
   unsigned i;
-  struct timeval lag = {0, LOAD_LAG_US};
+  struct timeval lag = {0, LOAD_INTERVAL_US};
   if (argc < 2) {
     fprintf(stderr, "usage: engine LIST.json [DATA-CENTRE...]\n");
     return 2;
@@ -305,11 +329,12 @@
     return 2;
   }
   for (i = 0; i < l->n; i++) {
-    if (wanted(&l->inst[i], argc, argv))
-      host(&l->inst[i]);
+    if (is_hosted_here(&l->inst[i], argc, argv))
+      host_engine(&l->inst[i]);
   }
   mp_list_free(l);
-  event_add(event_new(engine_site.base, -1, EV_PERSIST, takeload, NULL), &lag);
+  event_add(event_new(engine_site.base, -1, EV_PERSIST, on_load_timer, NULL),
+            &lag);
   event_base_dispatch(engine_site.base);
   return 0;
 }
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -1,6 +1,6 @@
 /*
 ** engine_prefill.c
-** Stand-in engines: prompts, and the transfer of what was read
+** Stand-in engines: prefills, and the transfer of their KV caches
 */
 
 #include <string.h>
@@ -10,12 +10,16 @@
 
 #include "standin/engine_work.h"
 
-#define CHUNK 512         /* prompt tokens computed between two looks */
-#define BLOCK 256         /* bytes of prompt in one cached block */
-#define CACHE_BLOCKS 4096 /* blocks one engine's prefix cache keeps */
+/* Prompt tokens computed before the next prefill is chosen, by priority. */
+#define CHUNK_TOKENS 512
+/* Bytes of the prompt in one block of the prefix cache. */
+#define BLOCK_BYTES 256
+/* Blocks that the prefix cache of one engine keeps. */
+#define CACHE_BLOCKS_MAX 4096
 
-static mp_Time linkfree[MP_MAXDCS][MP_MAXDCS]; /* link busy until */
-static GPtrArray *dcnames;                     /* places in that table */
+/* When the link from one data centre to another becomes free, by index. */
+static mp_Time link_free_at[MP_MAXDCS][MP_MAXDCS];
+static GPtrArray *data_centre_names; /* char *; the position is the index */
 
 /*
 ** {==================================================================
@@ -23,43 +27,47 @@
 ** ===================================================================
 */
 
-/* tokens of the prompt's beginning that the cache has; and remember all */
-static uint32_t usecache(Engine *e, const char *s, size_t n) {
+/*
+** Returns how many tokens at the beginning of the prompt are in the cache, and
+** adds all of its blocks to the cache.
+*/
+static uint32_t look_up_prefix(Engine *e, const char *s, size_t n) {
   uint64_t chain = 0;
   size_t hit = 0;
   int still = 1;
   size_t i;
   mp_Time t = engine_now();
-  for (i = 0; i + BLOCK <= n; i += BLOCK) {
-    chain = XXH3_64bits_withSeed(s + i, BLOCK, chain);
+  for (i = 0; i + BLOCK_BYTES <= n; i += BLOCK_BYTES) {
+    chain = XXH3_64bits_withSeed(s + i, BLOCK_BYTES, chain);
     if (still && g_hash_table_contains(e->cache, &chain))
-      hit += BLOCK;
+      hit += BLOCK_BYTES;
     else
       still = 0;
     g_hash_table_replace(e->cache, g_memdup2(&chain, sizeof chain),
                          g_memdup2(&t, sizeof t));
   }
-  if (g_hash_table_size(e->cache) > CACHE_BLOCKS)
-    g_hash_table_remove_all(e->cache); /* evicted as a whole */
+  if (g_hash_table_size(e->cache) > CACHE_BLOCKS_MAX)
+    g_hash_table_remove_all(e->cache); /* evicted all at once */
   return (uint32_t)(hit / MODEL_BYTES_PER_TOKEN);
 }
 
-static void kvexpired(evutil_socket_t fd, short what, void *arg) {
+static void on_kv_expired(evutil_socket_t fd, short what, void *arg) {
   Work *w = arg;
   (void)fd;
   (void)what;
-  engine_ledger(w->e, w->id, "kv", "expired", w->tokens, 0);
+  engine_add_to_ledger(w->engine, w->id, "kv", "expired", w->tokens, 0);
   engine_free_work(w);
 }
 
-static void prefilldone(Work *w) {
-  Engine *e = w->e;
+/* Leaves a KV cache in place of the prefill and replies to its reader. */
+static void finish_prefill(Work *w) {
+  Engine *e = w->engine;
   Work *kv;
-  engine_ledger(e, w->id, "prefill", "done", w->tokens, w->cached);
-  kv = engine_add_work(e, W_KV, w->id, NULL);
+  engine_add_to_ledger(e, w->id, "prefill", "done", w->tokens, w->cached);
+  kv = engine_add_work(e, WORK_KV, w->id, NULL);
   kv->tokens = w->tokens;
-  kv->hash = w->hash;
-  engine_arm(kv, kvexpired, engine_site.rates.kv_life_ms * MP_MS);
+  kv->prompt_hash = w->prompt_hash;
+  engine_set_timer(kv, on_kv_expired, engine_site.rates.kv_life_ms * MP_MS);
   engine_reply(w, json_pack("{s:s, s:{s:s, s:i}, s:{s:i, s:i}}", "id", w->id,
                             "kv_transfer_params", "kv_id", w->id, "expires_ms",
                             (int)engine_site.rates.kv_life_ms, "usage",
@@ -68,43 +76,44 @@
   engine_free_work(w);
 }
 
-void engine_chunk_done(evutil_socket_t fd, short what, void *arg) {
+void engine_on_chunk_done(evutil_socket_t fd, short what, void *arg) {
   Engine *e = arg;
   Work *w = e->running;
   (void)fd;
   (void)what;
   e->running = NULL;
   if (w != NULL) {
-    w->left -= MIN(w->left, CHUNK);
-    if (w->left == 0)
-      prefilldone(w);
+    w->tokens_left -= MIN(w->tokens_left, CHUNK_TOKENS);
+    if (w->tokens_left == 0)
+      finish_prefill(w);
   }
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
 }
 
-void engine_next_prefill(Engine *e) {
-  Work *win = NULL;
+void engine_start_next_chunk(Engine *e) {
+  Work *next = NULL;
   struct timeval t;
   mp_Time us;
   guint i;
-  if (e->running != NULL || e->frozen ||
-      event_pending(e->chunk, EV_TIMEOUT, NULL))
+  if (e->running != NULL || e->is_frozen ||
+      event_pending(e->chunk_timer, EV_TIMEOUT, NULL))
     return;
   for (i = 0; i < e->work->len; i++) {
     Work *w = e->work->pdata[i];
-    if (w->kind == W_PREFILL && (win == NULL || w->priority < win->priority))
-      win = w;
+    if (w->kind == WORK_PREFILL &&
+        (next == NULL || w->priority < next->priority))
+      next = w;
   }
-  if (win == NULL)
+  if (next == NULL)
     return;
-  e->running = win;
-  us =
-      (mp_Time)MIN(win->left, CHUNK) * MP_SEC / engine_site.rates.prefill_rate;
-  if (e->slow > 0)
-    us = us * e->slow / 100;
+  e->running = next;
+  us = (mp_Time)MIN(next->tokens_left, CHUNK_TOKENS) * MP_SEC /
+       engine_site.rates.prefill_rate;
+  if (e->slow_percent > 0)
+    us = us * e->slow_percent / 100;
   t.tv_sec = us / MP_SEC;
   t.tv_usec = us % MP_SEC;
-  event_add(e->chunk, &t);
+  event_add(e->chunk_timer, &t);
 }
 
 void engine_prefill(Engine *e, struct evhttp_request *r, json_t *j,
@@ -114,52 +123,54 @@
   if (!engine_admit(e, r, id, MP_ROLE_PREFILL))
     return;
   p = model_prompt(j);
-  w = engine_add_work(e, W_PREFILL, id, r);
-  w->hash = model_hash(p);
+  w = engine_add_work(e, WORK_PREFILL, id, r);
+  w->prompt_hash = model_hash(p);
   w->tokens = model_tokens(p);
-  w->cached = usecache(e, p->str, p->len);
+  w->cached = look_up_prefix(e, p->str, p->len);
   w->cached = MIN(w->cached, w->tokens - 1);
-  w->left = w->tokens - w->cached;
+  w->tokens_left = w->tokens - w->cached;
   w->priority = (int)json_integer_value(json_object_get(j, "priority"));
   g_string_free(p, TRUE);
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
 }
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** Transfer
+** Transfer of a KV cache
 ** ===================================================================
 */
 
-static unsigned dcno(const char *dc) {
+/* Returns the index of a data centre, which is added when it is new. */
+static unsigned data_centre_index(const char *dc) {
   guint i;
-  if (dcnames == NULL)
-    dcnames = g_ptr_array_new_with_free_func(g_free);
-  for (i = 0; i < dcnames->len; i++) {
-    if (strcmp(dcnames->pdata[i], dc) == 0)
+  if (data_centre_names == NULL)
+    data_centre_names = g_ptr_array_new_with_free_func(g_free);
+  for (i = 0; i < data_centre_names->len; i++) {
+    if (strcmp(data_centre_names->pdata[i], dc) == 0)
       return i;
   }
-  g_ptr_array_add(dcnames, g_strdup(dc));
-  return dcnames->len - 1;
+  g_ptr_array_add(data_centre_names, g_strdup(dc));
+  return data_centre_names->len - 1;
 }
 
-static void imported(evutil_socket_t fd, short what, void *arg) {
+/* Replies at the end of a transfer; the work then holds the KV cache. */
+static void on_transfer_done(evutil_socket_t fd, short what, void *arg) {
   Work *w = arg;
-  const Engine *src = g_hash_table_lookup(engine_site.engines, &w->from);
+  const Engine *src = g_hash_table_lookup(engine_site.engines, &w->kv_source);
   const Work *kv;
   (void)fd;
   (void)what;
-  kv = src != NULL ? engine_find((Engine *)src, w->kv, W_KV) : NULL;
-  if (kv == NULL) { /* it expired on the way */
-    struct evhttp_request *r = engine_let_go(w);
+  kv = src != NULL ? engine_find_work((Engine *)src, w->kv_id, WORK_KV) : NULL;
+  if (kv == NULL) { /* it expired during the transfer */
+    struct evhttp_request *r = engine_detach_reader(w);
     if (r != NULL)
       engine_refuse(r, 404, "unknown KV");
     engine_free_work(w);
     return;
   }
-  engine_ledger(w->e, w->id, "import", "done", w->tokens, 0);
+  engine_add_to_ledger(w->engine, w->id, "import", "done", w->tokens, 0);
   engine_reply(w, json_pack("{s:s}", "id", w->id));
 }
 
@@ -170,31 +181,34 @@
   Engine *src = g_hash_table_lookup(engine_site.engines, &from);
   const Work *k;
   Work *w;
-  mp_Time *free_;
+  mp_Time *free_at;
   mp_Time start;
   if (!engine_admit(e, r, id, MP_ROLE_DECODE))
     return;
-  k = src != NULL && kv != NULL ? engine_find(src, kv, W_KV) : NULL;
+  k = src != NULL && kv != NULL ? engine_find_work(src, kv, WORK_KV) : NULL;
   if (k == NULL) {
     engine_refuse(r, 404, "unknown KV");
     return;
   }
-  if (engine_count(e, W_IMPORT, W_DECODE) >= engine_site.rates.slots) {
-    engine_refuse(r, 429, "no slot");
+  if (engine_count_work(e, WORK_IMPORT, WORK_DECODE) >=
+      engine_site.rates.slots) {
+    engine_refuse(r, 429, "no free decode slot");
     return;
   }
-  w = engine_add_work(e, W_IMPORT, id, r);
-  w->kv = g_strdup(kv);
-  w->from = from;
+  w = engine_add_work(e, WORK_IMPORT, id, r);
+  w->kv_id = g_strdup(kv);
+  w->kv_source = from;
   w->tokens = k->tokens;
-  w->hash = k->hash;
-  free_ = &linkfree[dcno(src->in.dc)][dcno(e->in.dc)];
-  start = MAX(engine_now(), *free_);
-  *free_ = start + (mp_Time)k->tokens * engine_site.rates.kv_bytes /
-                       (strcmp(src->in.dc, e->in.dc) == 0
-                            ? engine_site.rates.local_mbytes
-                            : engine_site.rates.link_mbytes);
-  engine_arm(w, imported, *free_ - engine_now());
+  w->prompt_hash = k->prompt_hash;
+  free_at = &link_free_at[data_centre_index(src->instance.dc)]
+                         [data_centre_index(e->instance.dc)];
+  /* Transfers over a link follow each other. Bytes divided by MB/s are us. */
+  start = MAX(engine_now(), *free_at);
+  *free_at = start + (mp_Time)k->tokens * engine_site.rates.kv_bytes /
+                         (strcmp(src->instance.dc, e->instance.dc) == 0
+                              ? engine_site.rates.local_mbytes
+                              : engine_site.rates.link_mbytes);
+  engine_set_timer(w, on_transfer_done, *free_at - engine_now());
 }
 
 /* }================================================================== */
--- a/standin/engine_work.c
+++ b/standin/engine_work.c
@@ -1,6 +1,6 @@
 /*
 ** engine_work.c
-** Stand-in engines: their work and memory, their ledger, their answers
+** Stand-in engines: their work and memory, ledger and replies
 */
 
 #include <string.h>
@@ -19,12 +19,13 @@
 ** ===================================================================
 */
 
-void engine_ledger(Engine *e, const char *id, const char *op,
-                   const char *outcome, uint32_t tokens, uint32_t cached) {
-  json_t *j =
-      json_pack("{s:s, s:s, s:s, s:s, s:s, s:i, s:i}", "engine", e->in.name,
-                "data_centre", e->in.dc, "id", id, "op", op, "outcome",
-                outcome, "tokens", (int)tokens, "cached", (int)cached);
+void engine_add_to_ledger(Engine *e, const char *id, const char *op,
+                          const char *outcome, uint32_t tokens,
+                          uint32_t cached) {
+  json_t *j = json_pack("{s:s, s:s, s:s, s:s, s:s, s:i, s:i}", "engine",
+                        e->instance.name, "data_centre", e->instance.dc, "id",
+                        id, "op", op, "outcome", outcome, "tokens",
+                        (int)tokens, "cached", (int)cached);
   g_ptr_array_add(e->ledger, json_dumps(j, JSON_COMPACT));
   json_decref(j);
 }
@@ -46,56 +47,54 @@
 ** ===================================================================
 */
 
-void engine_reader_gone(struct evhttp_connection *c, void *arg) {
+void engine_on_reader_closed(struct evhttp_connection *c, void *arg) {
   Work *w = arg;
   (void)c;
-  w->req = NULL;
+  w->request = NULL;
 }
 
 Work *engine_add_work(Engine *e, WorkKind k, const char *id,
                       struct evhttp_request *r) {
   Work *w = g_new0(Work, 1);
-  w->e = e;
+  w->engine = e;
   w->kind = k;
-  w->req = r;
+  w->request = r;
   g_strlcpy(w->id, id, sizeof w->id);
   g_ptr_array_add(e->work, w);
   if (r != NULL)
     evhttp_connection_set_closecb(evhttp_request_get_connection(r),
-                                  engine_reader_gone, w);
+                                  engine_on_reader_closed, w);
   return w;
 }
 
-/* the reader has its whole answer, or another one takes over */
-struct evhttp_request *engine_let_go(Work *w) {
-  struct evhttp_request *r = w->req;
-  w->req = NULL;
+struct evhttp_request *engine_detach_reader(Work *w) {
+  struct evhttp_request *r = w->request;
+  w->request = NULL;
   if (r != NULL)
     evhttp_connection_set_closecb(evhttp_request_get_connection(r), NULL,
                                   NULL);
   return r;
 }
 
-/* break the reader's connection; evhttp frees it when it sees the end */
 void engine_break_reader(Work *w) {
-  struct evhttp_request *r = engine_let_go(w);
+  struct evhttp_request *r = engine_detach_reader(w);
   if (r != NULL)
     serve_cut(r);
 }
 
 void engine_destroy_work(void *p) {
   Work *w = p;
-  engine_let_go(w);
+  engine_detach_reader(w);
   if (w->timer != NULL)
     event_free(w->timer);
-  if (w->e->running == w)
-    w->e->running = NULL;
-  g_free(w->kv);
+  if (w->engine->running == w)
+    w->engine->running = NULL;
+  g_free(w->kv_id);
   g_free(w);
 }
 
 void engine_free_work(Work *w) {
-  g_ptr_array_remove_fast(w->e->work, w);
+  g_ptr_array_remove_fast(w->engine->work, w);
 }
 
 const char *engine_op_name(WorkKind kind) {
@@ -104,7 +103,7 @@
   return names[kind];
 }
 
-Work *engine_find(Engine *e, const char *id, WorkKind k) {
+Work *engine_find_work(Engine *e, const char *id, WorkKind k) {
   guint i;
   for (i = 0; i < e->work->len; i++) {
     Work *w = e->work->pdata[i];
@@ -114,10 +113,10 @@
   return NULL;
 }
 
-void engine_arm(Work *w, event_callback_fn fn, mp_Time wait) {
+void engine_set_timer(Work *w, event_callback_fn fn, mp_Time wait) {
   struct timeval t;
-  if (w->e->slow > 0)
-    wait = wait * w->e->slow / 100;
+  if (w->engine->slow_percent > 0)
+    wait = wait * w->engine->slow_percent / 100;
   t.tv_sec = wait / MP_SEC;
   t.tv_usec = wait % MP_SEC;
   if (w->timer == NULL)
@@ -125,7 +124,7 @@
   event_add(w->timer, &t);
 }
 
-unsigned engine_count(const Engine *e, WorkKind a, WorkKind b) {
+unsigned engine_count_work(const Engine *e, WorkKind a, WorkKind b) {
   unsigned n = 0;
   guint i;
   for (i = 0; i < e->work->len; i++) {
@@ -139,7 +138,7 @@
 
 /*
 ** {==================================================================
-** Answers, and refusals
+** Replies
 ** ===================================================================
 */
 
@@ -147,37 +146,35 @@
   serve_json(r, status, json_pack("{s:s}", "error", why));
 }
 
-/* reply to a piece of work, unless its reader is gone or it is lost */
 void engine_reply(Work *w, json_t *j) {
-  struct evhttp_request *r = w->req;
+  struct evhttp_request *r = w->request;
   if (r == NULL) {
     json_decref(j);
     return;
   }
-  if (w->e->losereply > 0) {
-    w->e->losereply--;
+  if (w->engine->replies_to_lose > 0) {
+    w->engine->replies_to_lose--;
     json_decref(j);
     engine_break_reader(w);
     return;
   }
-  engine_let_go(w);
+  engine_detach_reader(w);
   serve_json(r, 200, j);
 }
 
-/* may work with this id begin? Refuses it when not */
 int engine_admit(Engine *e, struct evhttp_request *r, const char *id,
                  mp_Role role) {
   const char *why = NULL;
   if (id == NULL)
     why = "request_id is missing";
-  else if (g_hash_table_contains(e->dead, id))
+  else if (g_hash_table_contains(e->cancelled, id))
     why = "cancelled";
-  else if (e->leaving)
+  else if (e->is_leaving)
     why = "leaving";
   else if (e->role != role)
-    why = "other role";
-  else if (e->refuse > 0) {
-    e->refuse--;
+    why = "the engine has the other role";
+  else if (e->work_to_refuse > 0) {
+    e->work_to_refuse--;
     why = "refused";
   }
   if (why != NULL)
--- a/standin/engine_work.h
+++ b/standin/engine_work.h
@@ -1,6 +1,13 @@
 /*
 ** engine_work.h
-** Stand-in engines: their work and memory, their ledger, their answers
+** Stand-in engines: types and functions that their files share
+**
+** engine.c is the program; it hosts many engines in one process and routes
+** their HTTP requests. engine_work.c keeps what an engine works on and holds
+** in memory (Work), and its ledger; engine_prefill.c computes prompts and
+** transfers KV caches; engine_decode.c generates streams and answers for
+** plain services. All of it runs in one thread. Times are microseconds of the
+** monotonic clock unless a name says otherwise.
 */
 
 #ifndef STANDIN_ENGINE_WORK_H
@@ -15,56 +22,56 @@
 typedef struct Engine Engine;
 
 typedef enum WorkKind {
-  W_PREFILL,
-  W_KV,
-  W_IMPORT,
-  W_DECODE,
-  W_PLAIN
+  WORK_PREFILL, /* a prompt that waits or is computed */
+  WORK_KV,      /* a KV cache that a prefill left, until it expires */
+  WORK_IMPORT,  /* a KV cache in transfer or received; takes a decode slot */
+  WORK_DECODE,  /* a stream; takes a decode slot */
+  WORK_PLAIN    /* a request at a plain service */
 } WorkKind;
 
-/* one piece of work or memory; freed when it ends */
+/* Work of an engine, or memory that it holds. The engine owns it. */
 typedef struct Work {
-  Engine *e;
+  Engine *engine;
   WorkKind kind;
-  char id[64];
-  struct evhttp_request *req; /* who waits for the answer, or NULL */
-  struct event *timer;
-  uint32_t tokens; /* prompt tokens */
-  uint32_t left;   /* prefill: tokens to compute */
-  uint32_t cached;
-  int priority;
-  uint64_t hash;  /* of the prompt: decides the text */
-  uint32_t made;  /* decode: tokens made */
-  uint32_t total; /* decode: tokens to make */
-  uint32_t sent;  /* decode: tokens sent to the reader */
-  char *kv;       /* import: name of the KV, and where it is */
-  mp_Addr from;
+  char id[64];                    /* request id */
+  struct evhttp_request *request; /* of the reader of the answer, or NULL */
+  struct event *timer;            /* NULL until it is first set */
+  uint32_t tokens;                /* prompt tokens */
+  uint32_t tokens_left;           /* prefill: tokens to compute */
+  uint32_t cached;                /* prefill: tokens found in the cache */
+  int priority;                   /* prefill: the lowest number goes first */
+  uint64_t prompt_hash;           /* determines the text of the answer */
+  uint32_t generated;             /* decode: tokens generated */
+  uint32_t total;                 /* decode: tokens to generate */
+  uint32_t sent;                  /* decode: tokens sent to the reader */
+  char *kv_id;                    /* import: name of the KV cache */
+  mp_Addr kv_source;              /* import: engine that holds it */
 } Work;
 
 struct Engine {
-  mp_Instance in;
-  mp_Role role;
-  GPtrArray *work; /* Work */
-  Work *running;   /* the prefill whose chunk is computed */
-  struct event *chunk;
-  GHashTable *cache; /* hash of block chain -> time used */
-  GHashTable *dead;  /* ids that were cancelled */
-  GPtrArray *ledger; /* char*, one line of JSON each */
-  uint64_t fence;
-  int leaving;
-  json_t *loadnow; /* as it will be reported after the lag */
-  /* faults */
-  int frozen;
-  int losereply;     /* next replies that are lost */
-  int losecancel;    /* next cancels that are not heard */
-  int breakafter;    /* the next stream breaks after so many tokens; 0: no */
-  int refuse;        /* next works that are refused */
-  int slow;          /* percent of the normal time */
-  mp_Time deaduntil; /* killed: every connection is cut until then */
-  GPtrArray *held;   /* requests that came while frozen */
+  mp_Instance instance; /* as the instance list has it */
+  mp_Role role;         /* at first as listed; orders change it */
+  GPtrArray *work;      /* Work */
+  Work *running;        /* the prefill whose chunk is computed, or NULL */
+  struct event *chunk_timer;
+  GHashTable *cache;     /* hash of a chain of blocks -> time of last use */
+  GHashTable *cancelled; /* request ids; work with them is refused */
+  GPtrArray *ledger;     /* char *, a line of JSON each */
+  uint64_t fence;        /* highest one of an order that was carried out */
+  int is_leaving;        /* refuses new work, and reports it */
+  json_t *reported_load; /* refreshed at intervals, so it lags behind */
+  /* Faults, set by POST /fault; see engine.c. */
+  int is_frozen;
+  int replies_to_lose;    /* how many of the next replies */
+  int cancels_to_lose;    /* how many of the next cancels */
+  int break_after_tokens; /* breaks the next stream there; 0: does not */
+  int work_to_refuse;     /* how many of the next requests for work */
+  int slow_percent;       /* of the normal durations; 0: normal */
+  mp_Time dead_until;     /* every connection is cut until then */
+  GPtrArray *held;        /* requests that arrived while frozen */
 };
 
-/* what all engines of this process share */
+/* What all engines of this process share. */
 typedef struct EngineSite {
   struct event_base *base;
   GHashTable *engines; /* address -> Engine */
@@ -73,55 +80,75 @@
 
 extern EngineSite engine_site;
 
-/* steady clock, microseconds */
+/* Returns the monotonic clock in microseconds. */
 mp_Time engine_now(void);
 
-/* the fields of the ledger's lines */
-void engine_ledger(Engine *e, const char *id, const char *op,
-                   const char *outcome, uint32_t tokens, uint32_t cached);
+/* Appends a line to the ledger; the parameters are its fields. */
+void engine_add_to_ledger(Engine *e, const char *id, const char *op,
+                          const char *outcome, uint32_t tokens,
+                          uint32_t cached);
+/* Replies with the lines of the ledger. */
 void engine_send_ledger(Engine *e, struct evhttp_request *r);
 
-/* work begins; 'r': who waits for its answer, or NULL */
+/* Returns new work of the engine; 'r' is the reader's request, or NULL. */
 Work *engine_add_work(Engine *e, WorkKind k, const char *id,
                       struct evhttp_request *r);
-/* the reader has its whole answer, or another one takes over */
-struct evhttp_request *engine_let_go(Work *w);
-/* break the reader's connection; evhttp frees it when it sees the end */
+/* Separates the reader from the work and returns its request, or NULL. */
+struct evhttp_request *engine_detach_reader(Work *w);
+/* Breaks the reader's connection; evhttp frees it when it sees the end. */
 void engine_break_reader(Work *w);
-/* as evhttp calls it */
-void engine_reader_gone(struct evhttp_connection *c, void *arg);
+/* Close callback of evhttp; 'arg' is the Work, which goes on unread. */
+void engine_on_reader_closed(struct evhttp_connection *c, void *arg);
+/* Removes the work from its engine and frees it. */
 void engine_free_work(Work *w);
-/* what a GPtrArray of work frees its elements with */
+/* Frees an element of Engine.work, as a GDestroyNotify. */
 void engine_destroy_work(void *p);
+/* Returns the name of the kind in the ledger. */
 const char *engine_op_name(WorkKind kind);
-Work *engine_find(Engine *e, const char *id, WorkKind k);
-/* call 'fn' after so many microseconds, as slow as the engine is */
-void engine_arm(Work *w, event_callback_fn fn, mp_Time wait);
-/* work of either kind */
-unsigned engine_count(const Engine *e, WorkKind a, WorkKind b);
-
+/* Returns the work with this id and kind, or NULL. */
+Work *engine_find_work(Engine *e, const char *id, WorkKind k);
+/* Calls 'fn' with the work after 'wait' us, longer when the engine is slow.
+** A work's timer keeps the function that was given first. */
+void engine_set_timer(Work *w, event_callback_fn fn, mp_Time wait);
+/* Returns how much work of either kind there is. */
+unsigned engine_count_work(const Engine *e, WorkKind a, WorkKind b);
+
+/* Replies with an error that 'why' explains. */
 void engine_refuse(struct evhttp_request *r, int status, const char *why);
-/* reply to a piece of work, unless its reader is gone or it is lost */
+/* Replies 200 with 'j', which it takes over, and detaches the reader. Drops
+** the reply when the reader is gone, and breaks the connection when the reply
+** is one to lose. */
 void engine_reply(Work *w, json_t *j);
-/* may work with this id begin? Refuses it when not */
+/* Returns whether the engine accepts work with this id in this role. When it
+** does not, the request was refused. */
 int engine_admit(Engine *e, struct evhttp_request *r, const char *id,
                  mp_Role role);
 
-/* engine_prefill.c: prompts, and the transfer of what was read */
+/* engine_prefill.c: prefills, and the transfer of their KV caches */
+
+/* Handles a request for a prefill; 'j' is its body, as in all below. */
 void engine_prefill(Engine *e, struct evhttp_request *r, json_t *j,
                     const char *id);
+/* Handles a request to import a KV cache from another engine. */
 void engine_import(Engine *e, struct evhttp_request *r, json_t *j,
                    const char *id);
-/* compute the next chunk, if there is one and nothing hinders it */
-void engine_next_prefill(Engine *e);
-void engine_chunk_done(evutil_socket_t fd, short what, void *arg);
+/* Starts the next chunk of a prefill, unless one is running, the engine is
+** frozen or no prefill waits. */
+void engine_start_next_chunk(Engine *e);
+/* Timer callback at the end of a chunk; 'arg' is the Engine. */
+void engine_on_chunk_done(evutil_socket_t fd, short what, void *arg);
 
 /* engine_decode.c: streams, and answers of plain services */
+
+/* Handles a request to decode with the KV cache that was imported for it. */
 void engine_decode(Engine *e, struct evhttp_request *r, json_t *j,
                    const char *id);
+/* Handles a reader that takes over a stream, from a token of its choice. */
 void engine_resume(Engine *e, struct evhttp_request *r, const char *id);
+/* Handles a request at a plain service. */
 void engine_plain(Engine *e, struct evhttp_request *r);
-/* time between two tokens, by how full it is */
-mp_Time engine_pace(const Engine *e);
+/* Returns the present time between two tokens of a stream, in us; it grows
+** with the number of decode slots in use. */
+mp_Time engine_token_interval(const Engine *e);
 
 #endif
