--- a/standin/engine.c
+++ b/standin/engine.c
@@ -52,8 +52,9 @@
       mp_role_name(e->role), "slots", (int)engine_site.rates.slots, "used",
       (int)engine_count_work(e, WORK_IMPORT, WORK_DECODE), "queued_tokens",
       (json_int_t)queued, "rate",
-      (json_int_t)(e->role == MP_ROLE_PREFILL ? engine_site.rates.prefill_rate
-                                              : engine_token_interval(e)),
+      (json_int_t)(e->role == MP_ROLE_PREFILL
+                       ? engine_site.rates.prefill_tokens_per_s
+                       : engine_token_interval(e)),
       "fence", (json_int_t)e->fence, "leaving", e->is_leaving, "holds", holds);
 }
 
@@ -321,7 +322,7 @@
   engine_site.base = event_base_new();
   engine_site.engines = g_hash_table_new(g_int64_hash, g_int64_equal);
   engine_site.rates = model_rates();
-  s = serve_file(argv[1], &n);
+  s = serve_read_file(argv[1], &n);
   l = mp_list_read(s, n, &err);
   g_free(s);
   if (l == NULL) {
--- a/standin/engine_decode.c
+++ b/standin/engine_decode.c
@@ -135,7 +135,7 @@
 
 void engine_resume(Engine *e, struct evhttp_request *r, const char *id) {
   Work *w = engine_find_work(e, id, WORK_DECODE);
-  int64_t from = serve_query(r, "from", 0);
+  int64_t from = serve_query_number(r, "from", 0);
   if (w == NULL || from < 0 || from > w->generated) {
     engine_refuse(r, 409, "unknown stream or position");
     return;
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -67,10 +67,11 @@
   kv = engine_add_work(e, WORK_KV, w->id, NULL);
   kv->tokens = w->tokens;
   kv->prompt_hash = w->prompt_hash;
-  engine_set_timer(kv, on_kv_expired, engine_site.rates.kv_life_ms * MP_MS);
+  engine_set_timer(kv, on_kv_expired,
+                   engine_site.rates.kv_lifetime_ms * MP_MS);
   engine_reply(w, json_pack("{s:s, s:{s:s, s:i}, s:{s:i, s:i}}", "id", w->id,
                             "kv_transfer_params", "kv_id", w->id, "expires_ms",
-                            (int)engine_site.rates.kv_life_ms, "usage",
+                            (int)engine_site.rates.kv_lifetime_ms, "usage",
                             "prompt_tokens", (int)w->tokens, "cached_tokens",
                             (int)w->cached));
   engine_free_work(w);
@@ -108,7 +109,7 @@
     return;
   e->running = next;
   us = (mp_Time)MIN(next->tokens_left, CHUNK_TOKENS) * MP_SEC /
-       engine_site.rates.prefill_rate;
+       engine_site.rates.prefill_tokens_per_s;
   if (e->slow_percent > 0)
     us = us * e->slow_percent / 100;
   t.tv_sec = us / MP_SEC;
@@ -204,10 +205,11 @@
                          [data_centre_index(e->instance.dc)];
   /* Transfers over a link follow each other. Bytes divided by MB/s are us. */
   start = MAX(engine_now(), *free_at);
-  *free_at = start + (mp_Time)k->tokens * engine_site.rates.kv_bytes /
+  *free_at = start + (mp_Time)k->tokens *
+                         engine_site.rates.kv_bytes_per_token /
                          (strcmp(src->instance.dc, e->instance.dc) == 0
-                              ? engine_site.rates.local_mbytes
-                              : engine_site.rates.link_mbytes);
+                              ? engine_site.rates.local_mbytes_per_s
+                              : engine_site.rates.link_mbytes_per_s);
   engine_set_timer(w, on_transfer_done, *free_at - engine_now());
 }
 
--- a/standin/engine_work.h
+++ b/standin/engine_work.h
@@ -107,8 +107,8 @@
 const char *engine_op_name(WorkKind kind);
 /* Returns the work with this id and kind, or NULL. */
 Work *engine_find_work(Engine *e, const char *id, WorkKind k);
-/* Calls 'fn' with the work after 'wait' us, longer when the engine is slow.
-** A work's timer keeps the function that was given first. */
+/* Calls 'fn' with the work after 'wait' us, scaled by 'slow_percent'. A work's
+** timer keeps the function that it was first set with. */
 void engine_set_timer(Work *w, event_callback_fn fn, mp_Time wait);
 /* Returns how much work of either kind there is. */
 unsigned engine_count_work(const Engine *e, WorkKind a, WorkKind b);
--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -7,19 +7,19 @@
 **
 ** FLEET.json: {"store": ADDR, "admin": ADDR, "configuration": {...},
 **   "workers": [{"id", "service", "zone", "stage", "listen", "addr"}]}
-** ("addr" is what the list says, "listen" where the worker is: a proxy may
-** stand between). The admin port:
-**   GET  /ledger   what each worker took: id, worker, what, method, path
+** "listen" is where the worker listens and "addr" what its entry in the store
+** says; they differ when a proxy is between. The admin port answers:
+**   GET  /ledger   what each worker took: id, worker, what, method, path, ...
 **   POST /store    {"mode": M}, see store.h; {"mode": "restore", "ms": AGE}
-**   POST /worker   {"id", "mode"}: ok, error, shed, cut, mute, slow;
-**                  draining, gone, back (in the list); prefill, decode
-**                  (its stage from now on); crash; rate=R, rest=S, leaving
-**                  (what its answers say of it: worker.c)
+**   POST /worker   {"id", "mode": M}, see worker.h
 **   POST /configuration   the next version of the configuration
-**   POST /entry    {"kind", "name", "spec"}: another writer's entry
-** A request whose target ends in CRASHES ends each worker that begins to run
-** it, with all that runs there; its entry leaves the list some time later, and
-** the worker comes back under its id, with another time of birth.
+**   POST /entry    {"kind", "name", "spec"}: writes an entry in the store, in
+**                  the place of some other writer
+** They answer 400 when the worker, the mode or the path is unknown.
+**
+** A request whose target ends in "crashes" crashes each worker that begins to
+** run it, with all that runs there. The worker's entry is removed some time
+** later, and after that it restarts under the same id with another start time.
 */
 
 #include <signal.h>
@@ -29,8 +29,9 @@
 #include "standin/worker.h"
 
 static struct event_base *base;
-static GPtrArray *workers;  /* Worker */
-static json_int_t store_up; /* steady clock, ms: the store listened then */
+static GPtrArray *workers; /* Worker */
+/* Monotonic clock, ms: when the store began to listen. */
+static json_int_t store_start_ms;
 
 /*
 ** {==================================================================
@@ -38,7 +39,8 @@
 ** ===================================================================
 */
 
-static Worker *worker_of(const char *id) {
+/* Returns the worker, or NULL when there is none or 'id' is NULL. */
+static Worker *find_worker(const char *id) {
   guint i;
   for (i = 0; id != NULL && i < workers->len; i++) {
     Worker *worker = workers->pdata[i];
@@ -48,30 +50,31 @@
   return NULL;
 }
 
-static int on_worker(const json_t *body) {
-  Worker *worker = worker_of(json_string_value(json_object_get(body, "id")));
+/* The handlers of the admin port return 0 when the body is invalid. */
+
+static int handle_worker_mode(const json_t *body) {
+  Worker *worker = find_worker(json_string_value(json_object_get(body, "id")));
   const char *mode = json_string_value(json_object_get(body, "mode"));
   return worker != NULL && mode != NULL && worker_set_mode(worker, mode);
 }
 
-/* another writer's entry */
-static int on_entry(const json_t *body) {
+static int handle_entry(const json_t *body) {
   const char *kind = json_string_value(json_object_get(body, "kind"));
   const char *name = json_string_value(json_object_get(body, "name"));
   json_t *spec = json_object_get(body, "spec");
   if (kind == NULL || name == NULL || spec == NULL)
     return 0;
-  store_put(kind, name, json_incref(spec));
+  store_put_object(kind, name, json_incref(spec));
   return 1;
 }
 
-static int on_store(const json_t *body) {
+static int handle_store_fault(const json_t *body) {
   const char *mode = json_string_value(json_object_get(body, "mode"));
   if (g_strcmp0(mode, "restore") == 0) {
     store_restore(json_integer_value(json_object_get(body, "ms")));
     return 1;
   }
-  return mode != NULL && store_fault(mode);
+  return mode != NULL && store_set_fault(mode);
 }
 
 static void on_admin(struct evhttp_request *request, void *data) {
@@ -82,19 +85,19 @@
   if (strcmp(uri, "/ledger") == 0) {
     serve_json(request, 200,
                json_pack("{s:O, s:i, s:I}", "rows", workers_ledger(),
-                         "store_calls", (int)store_calls(), "store_up_ms",
-                         store_up));
+                         "store_calls", (int)store_count_calls(),
+                         "store_up_ms", store_start_ms));
     json_decref(body);
     return;
   }
   if (strcmp(uri, "/configuration") == 0)
-    store_put("config", "main", json_incref(body));
+    store_put_object("config", "main", json_incref(body));
   else if (strcmp(uri, "/store") == 0)
-    done = on_store(body);
+    done = handle_store_fault(body);
   else if (strcmp(uri, "/worker") == 0)
-    done = on_worker(body);
+    done = handle_worker_mode(body);
   else if (strcmp(uri, "/entry") == 0)
-    done = on_entry(body);
+    done = handle_entry(body);
   else
     done = 0;
   serve_json(request, done ? 200 : 400, json_object());
@@ -114,18 +117,18 @@
     return 2;
   }
   signal(SIGPIPE, SIG_IGN);
-  text = serve_file(argv[1], &size);
+  text = serve_read_file(argv[1], &size);
   fleet = json_loadb(text, size, 0, NULL);
   base = event_base_new();
   workers = g_ptr_array_new();
-  workers_start(base);
+  workers_init(base);
   store_start(base, serve_address(fleet, "store"));
-  store_up = (json_int_t)(g_get_monotonic_time() / MS);
+  store_start_ms = (json_int_t)(g_get_monotonic_time() / MS);
   serve_new(base, serve_address(fleet, "admin"), on_admin, NULL);
-  store_put("config", "main",
-            json_incref(json_object_get(fleet, "configuration")));
+  store_put_object("config", "main",
+                   json_incref(json_object_get(fleet, "configuration")));
   json_array_foreach(json_object_get(fleet, "workers"), i, row)
-      g_ptr_array_add(workers, worker_open(row));
+      g_ptr_array_add(workers, worker_start(row));
   event_base_dispatch(base);
   return 0;
 }
--- a/standin/model.c
+++ b/standin/model.c
@@ -1,6 +1,6 @@
 /*
 ** model.c
-** What the stand-in engine computes, and at which rates
+** What the stand-in engines compute, and how fast
 */
 
 #include <stdio.h>
@@ -12,24 +12,30 @@
 
 #include "standin/model.h"
 
-/* a rate from the environment, as MP_STANDIN_SLOTS=32 */
-static uint32_t rate(const char *name, uint32_t other) {
+/*
+** Returns a rate that the environment sets, as in MP_STANDIN_SLOTS=32; the
+** default when it is missing, 0 or no 32-bit number.
+*/
+static uint32_t rate_from_environment(const char *name,
+                                      uint32_t default_rate) {
   const char *s = getenv(name);
   uint64_t v = s != NULL ? g_ascii_strtoull(s, NULL, 10) : 0;
-  return v > 0 && v <= UINT32_MAX ? (uint32_t)v : other;
+  return v > 0 && v <= UINT32_MAX ? (uint32_t)v : default_rate;
 }
 
 ModelRates model_rates(void) {
   ModelRates r;
-  r.prefill_rate = rate("MP_STANDIN_PREFILL_RATE", 20000);
-  r.token_us = rate("MP_STANDIN_TOKEN_US", 18000);
-  r.slots = rate("MP_STANDIN_SLOTS", 16);
-  r.kv_life_ms = rate("MP_STANDIN_KV_LIFE_MS", 4000);
-  r.kv_bytes = rate("MP_STANDIN_KV_BYTES", 131072);
-  r.link_mbytes = rate("MP_STANDIN_LINK_MBYTES", 2000);
-  r.local_mbytes = rate("MP_STANDIN_LOCAL_MBYTES", 10000);
-  r.plain_ms = rate("MP_STANDIN_PLAIN_MS", 5);
-  r.checks_fence = rate("MP_STANDIN_NO_FENCE", 0) == 0;
+  r.prefill_tokens_per_s =
+      rate_from_environment("MP_STANDIN_PREFILL_RATE", 20000);
+  r.token_us = rate_from_environment("MP_STANDIN_TOKEN_US", 18000);
+  r.slots = rate_from_environment("MP_STANDIN_SLOTS", 16);
+  r.kv_lifetime_ms = rate_from_environment("MP_STANDIN_KV_LIFE_MS", 4000);
+  r.kv_bytes_per_token = rate_from_environment("MP_STANDIN_KV_BYTES", 131072);
+  r.link_mbytes_per_s = rate_from_environment("MP_STANDIN_LINK_MBYTES", 2000);
+  r.local_mbytes_per_s =
+      rate_from_environment("MP_STANDIN_LOCAL_MBYTES", 10000);
+  r.plain_ms = rate_from_environment("MP_STANDIN_PLAIN_MS", 5);
+  r.checks_fence = rate_from_environment("MP_STANDIN_NO_FENCE", 0) == 0;
   return r;
 }
 
--- a/standin/proxy.c
+++ b/standin/proxy.c
@@ -1,17 +1,20 @@
 /*
 ** proxy.c
-** A loopback proxy that spoils connections, for scenarios and the soak
+** A loopback TCP proxy that injects network faults, for scenarios and the soak
 **
 **   standin-proxy PROXY.json
 **
 ** PROXY.json: {"admin": ADDR, "links": [{"name", "listen", "to"}]}
-** POST /link {"name": NAME, "mode": MODE, "ms": N} on the admin port:
-**   pass    bytes go through
-**   delay   bytes go through N ms later
-**   silent  nothing goes through, nothing is closed; held bytes follow once
-**           the link passes again
-**   oneway  only towards the server
-**   reset   every connection is reset, and new ones at once
+** Connections to "listen" are forwarded to "to". POST /link {"name": NAME,
+** "mode": MODE, "ms": N} on the admin port sets the mode of a link, or of all
+** links when the name is "*"; it answers 400 when the link or the mode is
+** unknown. The modes are:
+**   pass    forwards bytes
+**   delay   forwards bytes N ms later
+**   silent  forwards nothing and closes nothing; held bytes follow once the
+**           link passes again
+**   oneway  forwards only what goes to the server
+**   reset   resets all connections, and new ones at once
 */
 
 #include <netinet/in.h>
@@ -35,6 +38,7 @@
   MODE_RESET
 } Mode;
 
+/* A listening port and where its connections lead. */
 typedef struct Link {
   char *name;
   mp_Addr to;
@@ -43,14 +47,15 @@
   GPtrArray *pairs; /* Pair */
 } Link;
 
-/* one direction of a connection */
+/* One of the two connections of a pair. */
 typedef struct Side {
   struct Pair *pair;
   struct bufferevent *events;
-  struct event *timer; /* delayed bytes */
-  int ended;
+  struct event *timer; /* forwards delayed bytes */
+  int has_ended;       /* the peer has closed it */
 } Side;
 
+/* A client's connection and the one to the server that goes with it. */
 typedef struct Pair {
   Link *link;
   Side client, server;
@@ -74,7 +79,7 @@
   g_free(pair);
 }
 
-/* both peers see a reset */
+/* Resets both connections and frees the pair. */
 static void pair_reset(Pair *pair) {
   struct linger hard = {1, 0};
   setsockopt(bufferevent_getfd(pair->client.events), SOL_SOCKET, SO_LINGER,
@@ -84,33 +89,37 @@
   pair_free(pair);
 }
 
-static Side *other(Side *side) {
+static Side *other_side(Side *side) {
   Pair *pair = side->pair;
   return side == &pair->client ? &pair->server : &pair->client;
 }
 
-static int passes(const Side *side) {
+/* Returns whether bytes that come from this side are forwarded. */
+static int is_passing(const Side *side) {
   Mode mode = side->pair->link->mode;
   if (mode == MODE_ONEWAY)
     return side == &side->pair->client;
   return mode == MODE_PASS || mode == MODE_DELAY;
 }
 
-/* hand on what has come in on this side */
-static void hand_on(Side *side) {
-  Side *to = other(side);
-  if (!passes(side))
+/*
+** Forwards what has arrived on this side. Frees the pair when the side has
+** ended and all of it is written already.
+*/
+static void forward(Side *side) {
+  Side *to = other_side(side);
+  if (!is_passing(side))
     return;
   bufferevent_write_buffer(to->events, bufferevent_get_input(side->events));
-  if (side->ended &&
+  if (side->has_ended &&
       evbuffer_get_length(bufferevent_get_output(to->events)) == 0)
     pair_free(side->pair);
 }
 
-static void on_delay_over(evutil_socket_t fd, short what, void *data) {
+static void on_delay_timer(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  hand_on(data);
+  forward(data);
 }
 
 static void on_read(struct bufferevent *events, void *data) {
@@ -119,18 +128,19 @@
   struct timeval time = {ms / 1000, ms % 1000 * 1000L};
   (void)events;
   if (side->pair->link->mode != MODE_DELAY)
-    hand_on(side);
+    forward(side);
   else if (!event_pending(side->timer, EV_TIMEOUT, NULL))
     event_add(side->timer, &time);
 }
 
-/* all was written: an end that came before it takes effect now */
+/* All was written: if the other side has ended before, frees the pair. */
 static void on_write(struct bufferevent *events, void *data) {
   Side *side = data;
   (void)events;
-  if (other(side)->ended &&
+  if (other_side(side)->has_ended &&
       evbuffer_get_length(bufferevent_get_output(side->events)) == 0 &&
-      evbuffer_get_length(bufferevent_get_input(other(side)->events)) == 0)
+      evbuffer_get_length(bufferevent_get_input(other_side(side)->events)) ==
+          0)
     pair_free(side->pair);
 }
 
@@ -143,14 +153,15 @@
     pair_reset(side->pair);
     return;
   }
-  side->ended = 1;
-  hand_on(side);
+  side->has_ended = 1;
+  forward(side);
 }
 
+/* Sets one side up; 'fd' is its socket, or -1 to connect later. */
 static void open_side(Pair *pair, Side *side, evutil_socket_t fd) {
   side->pair = pair;
   side->events = bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE);
-  side->timer = evtimer_new(base, on_delay_over, side);
+  side->timer = evtimer_new(base, on_delay_timer, side);
   bufferevent_setcb(side->events, on_read, on_write, on_event, side);
   bufferevent_enable(side->events, EV_READ | EV_WRITE);
 }
@@ -184,6 +195,7 @@
 ** ===================================================================
 */
 
+/* Reads a mode; returns 0 when there is no such mode. */
 static int read_mode(const char *text, Mode *out) {
   static const char *const names[] = {"pass", "delay", "silent", "oneway",
                                       "reset"};
@@ -197,13 +209,14 @@
   return 0;
 }
 
-/* hand on what was held back; the row may go, and another take its place */
-static void release_pair(Link *link, Pair *pair) {
-  hand_on(&pair->client);
+/* Forwards what a pair holds back. The pair may be freed by it. */
+static void forward_held(Link *link, Pair *pair) {
+  forward(&pair->client);
   if (g_ptr_array_find(link->pairs, pair, NULL))
-    hand_on(&pair->server);
+    forward(&pair->server);
 }
 
+/* Sets the mode; goes backwards because pairs may be freed meanwhile. */
 static void set_mode(Link *link, Mode mode, int ms) {
   guint i;
   link->mode = mode;
@@ -213,7 +226,7 @@
     if (mode == MODE_RESET)
       pair_reset(pair);
     else
-      release_pair(link, pair);
+      forward_held(link, pair);
   }
 }
 
@@ -241,6 +254,7 @@
 
 /* }================================================================== */
 
+/* Opens a link of PROXY.json; exits with 2 when it cannot listen. */
 static void open_link(const json_t *json) {
   Link *link = g_new0(Link, 1);
   mp_Addr listen = serve_address(json, "listen");
@@ -256,7 +270,7 @@
   if (evconnlistener_new_bind(base, on_accept, link,
                               LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, 128,
                               (struct sockaddr *)&at, sizeof at) == NULL) {
-    fprintf(stderr, "standin-proxy: cannot bind for %s\n", link->name);
+    fprintf(stderr, "standin-proxy: cannot listen for link %s\n", link->name);
     exit(2);
   }
 }
@@ -272,7 +286,7 @@
     return 2;
   }
   signal(SIGPIPE, SIG_IGN);
-  text = serve_file(argv[1], &size);
+  text = serve_read_file(argv[1], &size);
   settings = json_loadb(text, size, 0, NULL);
   base = event_base_new();
   links = g_ptr_array_new();
--- a/standin/store.c
+++ b/standin/store.c
@@ -13,53 +13,55 @@
 
 #include "standin/store.h"
 
-/* the revision of a store that nothing was written to */
+/* The revision of a store to which nothing was written. */
 #define FIRST_REVISION 100
-/* a restored store: what the operator and the workers wrote comes again after
-** this */
-#define AGAIN_MS 300L
-/* objects in one page of a list: few, so that pages are met */
-#define PAGE 5
+/* After a restore, the operator and the workers write again after this. */
+#define REWRITE_DELAY_MS 300L
+/* Objects in one page of a list: few, so that lists need several pages. */
+#define PAGE_OBJECTS_MAX 5
 
 typedef struct Object {
   char *kind;
   char *name;
   json_t *spec;
-  int64_t revision;
-  int gone;
+  int64_t revision; /* of the last write */
+  int is_removed;   /* kept for the history that watches read */
 } Object;
 
-/* a write, as a restored store needs it */
+/* A write, from which the store can be restored. */
 typedef struct Change {
-  gint64 at; /* us */
+  gint64 at; /* monotonic clock, us */
   char *kind;
   char *name;
-  json_t *spec; /* NULL: it was removed */
+  json_t *spec; /* NULL: the object was removed */
   int64_t revision;
 } Change;
 
+/* A watch that waits; it is answered once, by a change or its timeout. */
 typedef struct Watch {
   struct evhttp_request *request;
   char *kind;
-  int64_t since;
+  int64_t since; /* revision that the caller has */
   struct event *timer;
 } Watch;
 
 static struct event_base *base;
-static GPtrArray *objects; /* Object; those gone stay as history */
+static GPtrArray *objects; /* Object, removed ones as well */
 static GPtrArray *watches; /* Watch */
 static int64_t revision = FIRST_REVISION;
-static int64_t oldest = FIRST_REVISION; /* no history before this */
+/* The oldest revision from which a watch may start. */
+static int64_t oldest_revision = FIRST_REVISION;
 static unsigned calls;
-static int down, silent, lose;
-static GPtrArray *changes; /* Change, the oldest one first */
-static int64_t era = 1;    /* rises when the store is restored */
-static GPtrArray *again;   /* Change: lost, and to be written again */
-static struct event *again_timer;
-static int64_t copied; /* the revision of the copy */
-
-/* every answer names the era in which it was given */
-static void answer(struct evhttp_request *request, int status, json_t *body) {
+static int is_down, is_silent, loses_replies;
+static GPtrArray *changes;    /* Change, the oldest first */
+static int64_t era = 1;       /* rises when the store is restored */
+static GPtrArray *to_rewrite; /* Change: lost by the restore */
+static struct event *rewrite_timer;
+static int64_t copy_revision; /* of the copy at its restore */
+
+/* Replies with 'body', which it takes over, and the present era. */
+static void reply_in_era(struct evhttp_request *request, int status,
+                         json_t *body) {
   char text[24];
   g_snprintf(text, sizeof text, "%" G_GINT64_FORMAT, era);
   evhttp_add_header(evhttp_request_get_output_headers(request), "Store-Era",
@@ -67,17 +69,19 @@
   serve_json(request, status, body);
 }
 
-static json_t *write_object(const Object *object) {
+/* Returns the object as JSON; the caller frees it. */
+static json_t *object_json(const Object *object) {
   return json_pack("{s:{s:s, s:I}, s:O, s:n}", "Metadata", "Name",
                    object->name, "Rev", (json_int_t)object->revision, "Spec",
                    object->spec, "Status");
 }
 
-static Object *find(const char *kind, const char *name) {
+/* Returns the object, or NULL when there is none or it was removed. */
+static Object *find_object(const char *kind, const char *name) {
   guint i;
   for (i = 0; i < objects->len; i++) {
     Object *object = objects->pdata[i];
-    if (!object->gone && strcmp(object->kind, kind) == 0 &&
+    if (!object->is_removed && strcmp(object->kind, kind) == 0 &&
         strcmp(object->name, name) == 0)
       return object;
   }
@@ -90,6 +94,7 @@
 ** ===================================================================
 */
 
+/* Returns the last change of each object of the kind, later than 'since'. */
 static json_t *events_since(const char *kind, int64_t since) {
   json_t *events = json_array();
   guint i;
@@ -97,22 +102,26 @@
     const Object *object = objects->pdata[i];
     if (object->revision > since && strcmp(object->kind, kind) == 0)
       json_array_append_new(events,
-                            json_pack("{s:b, s:o}", "gone", object->gone,
-                                      "object", write_object(object)));
+                            json_pack("{s:b, s:o}", "gone", object->is_removed,
+                                      "object", object_json(object)));
   }
   return events;
 }
 
-static void watch_end(Watch *watch, int cut) {
+/*
+** Answers the watch with its events and frees it. The answer is 410 when its
+** history was deleted, or 'cut' is set.
+*/
+static void watch_answer(Watch *watch, int cut) {
   struct evhttp_request *request = watch->request;
   json_t *events = events_since(watch->kind, watch->since);
   g_ptr_array_remove(watches, watch);
   evhttp_request_set_on_complete_cb(request, NULL, NULL);
-  if (cut || watch->since < oldest) {
+  if (cut || watch->since < oldest_revision) {
     json_decref(events);
-    answer(request, 410, json_object());
+    reply_in_era(request, 410, json_object());
   } else
-    answer(
+    reply_in_era(
         request, 200,
         json_pack("{s:o, s:I}", "events", events, "at", (json_int_t)revision));
   event_free(watch->timer);
@@ -120,7 +129,7 @@
   g_free(watch);
 }
 
-/* the store ended under it */
+/* Cuts the connection of the watch and frees it. */
 static void watch_cut(Watch *watch) {
   struct evhttp_request *request = watch->request;
   evhttp_connection_set_closecb(evhttp_request_get_connection(request), NULL,
@@ -132,14 +141,14 @@
   serve_cut(request);
 }
 
-static void on_wait_over(evutil_socket_t fd, short what, void *data) {
+static void on_watch_timeout(evutil_socket_t fd, short what, void *data) {
   (void)fd;
   (void)what;
-  watch_end(data, 0);
+  watch_answer(data, 0);
 }
 
-/* the caller closed its connection while its watch waited */
-static void on_closed(struct evhttp_connection *connection, void *data) {
+/* The caller closed its connection while its watch waited. */
+static void on_watch_closed(struct evhttp_connection *connection, void *data) {
   guint i;
   (void)data;
   for (i = 0; i < watches->len; i++) {
@@ -154,30 +163,31 @@
   }
 }
 
-static void changed(const char *kind) {
+/* Answers the watches of the kind, after a change. */
+static void answer_watches(const char *kind) {
   guint i = 0;
   while (i < watches->len) {
     Watch *watch = watches->pdata[i];
-    if (!silent && strcmp(watch->kind, kind) == 0)
-      watch_end(watch, 0);
+    if (!is_silent && strcmp(watch->kind, kind) == 0)
+      watch_answer(watch, 0);
     else
       i++;
   }
 }
 
 static void on_watch(struct evhttp_request *request, const char *kind) {
-  int64_t since = serve_query(request, "watch", 0);
-  int64_t wait = serve_query(request, "WaitMs", 1000);
+  int64_t since = serve_query_number(request, "watch", 0);
+  int64_t wait = serve_query_number(request, "WaitMs", 1000);
   struct timeval time = {wait / 1000, wait % 1000 * 1000};
   json_t *events = events_since(kind, since);
   Watch *watch;
-  if (since < oldest || since > revision) {
+  if (since < oldest_revision || since > revision) {
     json_decref(events);
-    answer(request, 410, json_object());
+    reply_in_era(request, 410, json_object());
     return;
   }
   if (json_array_size(events) > 0) {
-    answer(
+    reply_in_era(
         request, 200,
         json_pack("{s:o, s:I}", "events", events, "at", (json_int_t)revision));
     return;
@@ -187,11 +197,11 @@
   watch->request = request;
   watch->kind = g_strdup(kind);
   watch->since = since;
-  watch->timer = evtimer_new(base, on_wait_over, watch);
+  watch->timer = evtimer_new(base, on_watch_timeout, watch);
   event_add(watch->timer, &time);
   g_ptr_array_add(watches, watch);
   evhttp_connection_set_closecb(evhttp_request_get_connection(request),
-                                on_closed, NULL);
+                                on_watch_closed, NULL);
 }
 
 /* }================================================================== */
@@ -210,7 +220,8 @@
   return object;
 }
 
-static void note(const char *kind, const char *name, json_t *spec) {
+/* Records a write, at the present revision; NULL 'spec': a removal. */
+static void record_change(const char *kind, const char *name, json_t *spec) {
   Change *change = g_new0(Change, 1);
   change->at = g_get_monotonic_time();
   change->kind = g_strdup(kind);
@@ -220,9 +231,10 @@
   g_ptr_array_add(changes, change);
 }
 
+/* Creates or replaces an object at the revision 'at'; takes over 'spec'. */
 static void set_object(const char *kind, const char *name, json_t *spec,
                        int64_t at) {
-  Object *object = find(kind, name);
+  Object *object = find_object(kind, name);
   if (object == NULL)
     object = object_new(kind, name);
   json_decref(object->spec);
@@ -231,25 +243,25 @@
 }
 
 static void remove_object(const char *kind, const char *name, int64_t at) {
-  Object *object = find(kind, name);
+  Object *object = find_object(kind, name);
   if (object == NULL)
     return;
-  object->gone = 1;
+  object->is_removed = 1;
   object->revision = at;
 }
 
-void store_put(const char *kind, const char *name, json_t *spec) {
+void store_put_object(const char *kind, const char *name, json_t *spec) {
   set_object(kind, name, spec, ++revision);
-  note(kind, name, spec);
-  changed(kind);
+  record_change(kind, name, spec);
+  answer_watches(kind);
 }
 
-void store_remove(const char *kind, const char *name) {
-  if (find(kind, name) == NULL)
+void store_remove_object(const char *kind, const char *name) {
+  if (find_object(kind, name) == NULL)
     return;
   remove_object(kind, name, ++revision);
-  note(kind, name, NULL);
-  changed(kind);
+  record_change(kind, name, NULL);
+  answer_watches(kind);
 }
 
 static gint by_name(gconstpointer a, gconstpointer b) {
@@ -265,24 +277,25 @@
   guint i;
   for (i = 0; i < objects->len; i++) {
     Object *object = objects->pdata[i];
-    if (!object->gone && strcmp(object->kind, kind) == 0 &&
+    if (!object->is_removed && strcmp(object->kind, kind) == 0 &&
         (after == NULL || strcmp(object->name, after) > 0))
       g_ptr_array_add(found, object);
   }
   g_ptr_array_sort(found, by_name);
-  for (i = 0; i < found->len && i < PAGE; i++)
-    json_array_append_new(items, write_object(found->pdata[i]));
-  answer(request, 200,
-         json_pack("{s:o, s:b, s:I}", "items", items, "more",
-                   found->len > PAGE, "at", (json_int_t)revision));
+  for (i = 0; i < found->len && i < PAGE_OBJECTS_MAX; i++)
+    json_array_append_new(items, object_json(found->pdata[i]));
+  reply_in_era(request, 200,
+               json_pack("{s:o, s:b, s:I}", "items", items, "more",
+                         found->len > PAGE_OBJECTS_MAX, "at",
+                         (json_int_t)revision));
   g_ptr_array_free(found, TRUE);
 }
 
 static void on_read(struct evhttp_request *request, const char *kind,
                     const char *name) {
-  const Object *object = find(kind, name);
-  answer(request, object != NULL ? 200 : 404,
-         object != NULL ? write_object(object) : json_object());
+  const Object *object = find_object(kind, name);
+  reply_in_era(request, object != NULL ? 200 : 404,
+               object != NULL ? object_json(object) : json_object());
 }
 
 static void on_create(struct evhttp_request *request, const char *kind) {
@@ -290,15 +303,15 @@
   const char *name = json_string_value(
       json_object_get(json_object_get(body, "Metadata"), "Name"));
   if (name == NULL)
-    answer(request, 400, json_object());
-  else if (find(kind, name) != NULL)
-    answer(request, 409, write_object(find(kind, name)));
+    reply_in_era(request, 400, json_object());
+  else if (find_object(kind, name) != NULL)
+    reply_in_era(request, 409, object_json(find_object(kind, name)));
   else {
-    store_put(kind, name, json_incref(json_object_get(body, "Spec")));
-    if (lose)
+    store_put_object(kind, name, json_incref(json_object_get(body, "Spec")));
+    if (loses_replies)
       serve_cut(request);
     else
-      answer(request, 200, write_object(find(kind, name)));
+      reply_in_era(request, 200, object_json(find_object(kind, name)));
   }
   json_decref(body);
 }
@@ -306,43 +319,43 @@
 static void on_replace(struct evhttp_request *request, const char *kind,
                        const char *name) {
   json_t *body = serve_body(request);
-  Object *object = find(kind, name);
+  Object *object = find_object(kind, name);
   int64_t expected = json_integer_value(
       json_object_get(json_object_get(body, "Metadata"), "Rev"));
   if (object == NULL)
-    answer(request, 404, json_object());
+    reply_in_era(request, 404, json_object());
   else if (expected != 0 && expected != object->revision)
-    answer(request, 409, write_object(object));
+    reply_in_era(request, 409, object_json(object));
   else {
-    store_put(kind, name, json_incref(json_object_get(body, "Spec")));
-    if (lose)
+    store_put_object(kind, name, json_incref(json_object_get(body, "Spec")));
+    if (loses_replies)
       serve_cut(request);
     else
-      answer(request, 200, write_object(object));
+      reply_in_era(request, 200, object_json(object));
   }
   json_decref(body);
 }
 
 static void on_remove(struct evhttp_request *request, const char *kind,
                       const char *name) {
-  const Object *object = find(kind, name);
-  int64_t expected = serve_query(request, "Rev", 0);
+  const Object *object = find_object(kind, name);
+  int64_t expected = serve_query_number(request, "Rev", 0);
   if (object == NULL)
-    answer(request, 404, json_object());
+    reply_in_era(request, 404, json_object());
   else if (expected != 0 && expected != object->revision)
-    answer(request, 409, write_object(object));
+    reply_in_era(request, 409, object_json(object));
   else {
-    store_remove(kind, name);
-    if (lose)
+    store_remove_object(kind, name);
+    if (loses_replies)
       serve_cut(request);
     else
-      answer(request, 200, json_object());
+      reply_in_era(request, 200, json_object());
   }
 }
 
 /* }================================================================== */
 
-/* a parameter of the query as text; the caller frees it */
+/* Returns a parameter of the query as text, or NULL; the caller frees it. */
 static char *query_text(struct evhttp_request *request, const char *key) {
   struct evkeyvalq query;
   const char *uri = evhttp_request_get_uri(request);
@@ -359,10 +372,10 @@
   char *after;
   (void)data;
   calls++;
-  if (silent)
-    return; /* and nothing further on this connection */
-  if (down || !g_str_has_prefix(uri, "/objects/")) {
-    answer(request, down ? 503 : 404, json_object());
+  if (is_silent)
+    return; /* evhttp then reads nothing more from this connection */
+  if (is_down || !g_str_has_prefix(uri, "/objects/")) {
+    reply_in_era(request, is_down ? 503 : 404, json_object());
     return;
   }
   parts = g_strsplit_set(uri + strlen("/objects/"), "/?", 3);
@@ -383,7 +396,7 @@
   g_strfreev(parts);
 }
 
-int store_fault(const char *mode) {
+int store_set_fault(const char *mode) {
   static const char *const modes[] = {"ok", "down", "silent", "lose",
                                       "compact"};
   gsize i;
@@ -393,13 +406,13 @@
   }
   if (i == G_N_ELEMENTS(modes))
     return 0;
-  down = strcmp(mode, "down") == 0;
-  silent = strcmp(mode, "silent") == 0;
-  lose = strcmp(mode, "lose") == 0;
+  is_down = strcmp(mode, "down") == 0;
+  is_silent = strcmp(mode, "silent") == 0;
+  loses_replies = strcmp(mode, "lose") == 0;
   if (strcmp(mode, "compact") == 0) {
-    oldest = revision + 1;
+    oldest_revision = revision + 1;
     while (watches->len > 0)
-      watch_end(watches->pdata[0], 1);
+      watch_answer(watches->pdata[0], 1);
     revision++;
   }
   return 1;
@@ -407,7 +420,7 @@
 
 /*
 ** {==================================================================
-** A store that comes back from an older copy
+** Restoring the store from an older copy
 ** ===================================================================
 */
 
@@ -427,45 +440,54 @@
   g_free(object);
 }
 
-/* the system's own kinds are the system's to write again */
-static int is_others(const Change *change) {
+/*
+** Returns whether the operator or a worker wrote the change. The router writes
+** objects of its own kinds again by itself.
+*/
+static int has_other_writer(const Change *change) {
   return strcmp(change->kind, "config") == 0 ||
          strcmp(change->kind, "servers") == 0;
 }
 
-/* only how it stood at last */
-static void write_again_later(Change *lost) {
+/*
+** Queues a lost change to be written again; 'lost' is taken over. Changes are
+** given from the newest to the oldest, and each replaces the one of the same
+** object that is queued, so the oldest lost change of an object stays.
+*/
+static void queue_rewrite(Change *lost) {
   guint i;
-  for (i = 0; i < again->len; i++) {
-    const Change *other = again->pdata[i];
+  for (i = 0; i < to_rewrite->len; i++) {
+    const Change *other = to_rewrite->pdata[i];
     if (strcmp(other->kind, lost->kind) == 0 &&
         strcmp(other->name, lost->name) == 0)
       break;
   }
-  if (i < again->len)
-    g_ptr_array_remove_index(again, i);
-  g_ptr_array_add(again, lost);
+  if (i < to_rewrite->len)
+    g_ptr_array_remove_index(to_rewrite, i);
+  g_ptr_array_add(to_rewrite, lost);
 }
 
-static void on_again(evutil_socket_t fd, short what, void *data) {
+/* Writes the queued changes, in place of their writers. */
+static void on_rewrite_timer(evutil_socket_t fd, short what, void *data) {
   guint i;
   (void)fd;
   (void)what;
   (void)data;
-  for (i = 0; i < again->len; i++) {
-    const Change *change = again->pdata[i];
-    const Object *stands = find(change->kind, change->name);
-    if (stands != NULL && stands->revision > copied)
-      continue; /* its writer has said something else since */
+  for (i = 0; i < to_rewrite->len; i++) {
+    const Change *change = to_rewrite->pdata[i];
+    const Object *stands = find_object(change->kind, change->name);
+    if (stands != NULL && stands->revision > copy_revision)
+      continue; /* its writer has written it since the restore */
     if (change->spec != NULL)
-      store_put(change->kind, change->name, json_incref(change->spec));
+      store_put_object(change->kind, change->name, json_incref(change->spec));
     else
-      store_remove(change->kind, change->name);
+      store_remove_object(change->kind, change->name);
   }
-  g_ptr_array_set_size(again, 0);
+  g_ptr_array_set_size(to_rewrite, 0);
 }
 
-static void apply(const Change *change) {
+/* Repeats a write on the restored copy, without watches or records. */
+static void apply_change(const Change *change) {
   if (change->spec != NULL)
     set_object(change->kind, change->name, json_incref(change->spec),
                change->revision);
@@ -474,39 +496,39 @@
   revision = change->revision;
 }
 
-/* what changed after 'then' is lost */
+/* Drops the changes that are later than 'then' (monotonic clock, us). */
 static void lose_after(gint64 then) {
   while (changes->len > 0) {
     Change *last = changes->pdata[changes->len - 1];
     if (last->at <= then)
       return;
     g_ptr_array_steal_index(changes, changes->len - 1);
-    if (is_others(last))
-      write_again_later(last);
+    if (has_other_writer(last))
+      queue_rewrite(last);
     else
       change_free(last);
   }
 }
 
 void store_restore(int64_t age_ms) {
-  struct timeval soon = {0, AGAIN_MS * 1000};
+  struct timeval soon = {0, REWRITE_DELAY_MS * 1000};
   guint i;
   lose_after(g_get_monotonic_time() - age_ms * 1000);
   g_ptr_array_set_size(objects, 0);
   revision = FIRST_REVISION;
   for (i = 0; i < changes->len; i++)
-    apply(changes->pdata[i]);
-  copied = revision;
-  oldest = MIN(oldest, revision);
+    apply_change(changes->pdata[i]);
+  copy_revision = revision;
+  oldest_revision = MIN(oldest_revision, revision);
   era++;
   while (watches->len > 0)
     watch_cut(watches->pdata[0]);
-  event_add(again_timer, &soon);
+  event_add(rewrite_timer, &soon);
 }
 
 /* }================================================================== */
 
-unsigned store_calls(void) {
+unsigned store_count_calls(void) {
   return calls;
 }
 
@@ -514,8 +536,8 @@
   base = event_base;
   objects = g_ptr_array_new_with_free_func(object_free);
   changes = g_ptr_array_new_with_free_func(change_free);
-  again = g_ptr_array_new_with_free_func(change_free);
-  again_timer = evtimer_new(base, on_again, NULL);
+  to_rewrite = g_ptr_array_new_with_free_func(change_free);
+  rewrite_timer = evtimer_new(base, on_rewrite_timer, NULL);
   watches = g_ptr_array_new();
   serve_new(base, at, on_call, NULL);
 }
--- a/standin/store.h
+++ b/standin/store.h
@@ -1,7 +1,12 @@
 /*
 ** store.h
-** Stand-in for the platform's metadata store: objects by kind and name,
-** conditional writes, lists with pages, watches, and its faults
+** Stand-in for the platform's metadata store
+**
+** It keeps objects by kind and name, in memory, and answers conditional
+** writes, lists in pages and watches over HTTP (see store.c for the calls).
+** Each write raises the revision by one. Every answer names the era, which
+** rises when the store is restored from an older copy. There is one store in a
+** process, and fleet.c sets its faults.
 */
 
 #ifndef STANDIN_STORE_H
@@ -9,29 +14,33 @@
 
 #include "standin/serve.h"
 
-/* open the store on an address */
+/* Opens the empty store at an address; called once, before all others. */
 void store_start(struct event_base *base, mp_Addr at);
 
-/* create or replace an object; takes over 'spec' */
-void store_put(const char *kind, const char *name, json_t *spec);
-void store_remove(const char *kind, const char *name);
+/* Creates or replaces an object whatever its revision; takes over 'spec'. */
+void store_put_object(const char *kind, const char *name, json_t *spec);
+/* Removes an object; does nothing when there is none. */
+void store_remove_object(const char *kind, const char *name);
 
 /*
-** "ok", "down" (503 to all), "silent" (no answers), "lose" (writes take
-** effect and are not answered), "compact" (the history is gone: watches
-** are told so). 0: no such mode
+** Sets the fault mode, which replaces the previous one: "ok", "down" (answers
+** 503 to all calls), "silent" (answers nothing), "lose" (writes take effect
+** and their connection is cut), "compact" (as "ok", and the history is
+** deleted: watches are answered with 410). Returns 0 when there is no such
+** mode.
 */
-int store_fault(const char *mode);
+int store_set_fault(const char *mode);
 
 /*
-** The store was away and is back from a copy that is so old: what was written
-** since is gone, revisions are given out again, the era rises, and watches are
-** cut. Objects of the operator and the workers are written again a moment
-** later, as they stood at last.
+** Restores the store from a copy that is 'age_ms' old: later writes are lost,
+** their revisions are given out again, the era rises, and the connections of
+** watches are cut. Objects of the operator and the workers are written again
+** 300 ms later, in the place of their writers: of an object's lost writes the
+** oldest one, unless the object was written since the restore.
 */
 void store_restore(int64_t age_ms);
 
-/* calls since the start */
-unsigned store_calls(void);
+/* Returns how many calls the store has received since its start. */
+unsigned store_count_calls(void);
 
 #endif
--- a/standin/worker.h
+++ b/standin/worker.h
@@ -1,6 +1,11 @@
 /*
 ** worker.h
-** Stand-in workers: how they take requests and orders, end, and come back
+** Stand-in workers: how they answer requests and orders, crash and restart
+**
+** A worker imitates a server of the users' platform: it listens, has an entry
+** of kind "servers" in the stand-in store, and answers at once or in pieces,
+** as its mode says. All workers run in the process of fleet.c, in one thread,
+** and record in one ledger what they take.
 */
 
 #ifndef STANDIN_WORKER_H
@@ -8,35 +13,59 @@
 
 #include "standin/serve.h"
 
-#define MS 1000 /* microseconds */
+/* A millisecond in microseconds. */
+#define MS 1000
 
+/* A worker; it lives as long as the process of the stand-in. */
 typedef struct Worker {
-  char *id, *service, *zone, *stage, *addr;
-  char mode[16];
-  char rate[16]; /* that its answers name, as text; empty: none */
-  char rest[16]; /* it turns all away and asks for so many seconds, as text;
-                 ** empty: it takes requests */
-  int leaving;   /* its answers say so */
+  char *id, *service, *zone; /* as its entry names them */
+  char *stage;               /* "prefill" or "decode"; "": a plain service */
+  char *addr;                /* address in its entry; may be that of a proxy */
+  char mode[16];             /* how it answers: see worker_set_mode */
+  char advertised_rate[16];  /* rate limit that its answers carry; "": none */
+  char rest_seconds[16];     /* Retry-After of its refusals; "": it accepts */
+  int is_leaving;            /* its answers say that it is leaving */
   mp_Addr listen;
-  struct evhttp *http; /* NULL: the process has ended */
-  struct event *lapse, *comeback;
-  json_int_t born; /* Unix time of its start, milliseconds */
-  int draining, gone;
-  json_int_t fence;    /* highest that an order bore */
-  json_int_t sequence; /* orders taken */
-  char *next_stage;    /* NULL: no order is being carried out */
-  struct event *switching;
+  struct evhttp *http;         /* NULL: it has crashed and not restarted yet */
+  struct event *removal_timer; /* removes the entry after a crash */
+  struct event *restart_timer; /* restarts the worker after a crash */
+  json_int_t start_unix_ms;    /* of its last start */
+  int is_draining, is_gone; /* its entry says draining; its entry is removed */
+  json_int_t highest_fence; /* of all orders since the start */
+  json_int_t orders_taken;  /* orders that were begun since the start */
+  char *next_stage;         /* that an order is switching to, or NULL */
+  struct event *switch_timer; /* ends the switch to 'next_stage' */
 } Worker;
 
-/* before the first worker is opened */
-void workers_start(struct event_base *base);
-/* a worker that listens, and stands in the list; 'json' as in FLEET.json */
-Worker *worker_open(const json_t *json);
-/* its entry in the list, as it is now */
-void worker_list(const Worker *worker);
-/* as POST /worker of fleet.c; 0: no such mode */
+/* Prepares the module; called once, before the first worker is started. */
+void workers_init(struct event_base *base);
+/*
+** Starts a worker, which listens and writes its entry. 'json' is its row in
+** FLEET.json (see fleet.c).
+*/
+Worker *worker_start(const json_t *json);
+/* Writes the entry of the worker into the store, in its present state. */
+void worker_write_entry(const Worker *worker);
+/*
+** Sets the mode of a worker. Returns 0 when there is no such mode.
+**   ok        answers
+**   error     answers 500
+**   shed      refuses requests without running them
+**   cut       cuts the connection, that of a stream in the middle
+**   mute      never answers; streams are answered all the same
+**   slow      delays a plain answer, or each piece of a stream, by 400 ms
+**   draining  its entry says so
+**   gone      its entry is removed, and it refuses requests
+**   back      its entry is written again, neither draining nor gone
+**   prefill, decode   its stage from now on
+**   crash     ends all its work; it restarts later
+**   rate=R    its answers carry this rate limit, as "rate=3.5"; empty: none
+**   rest=S    refuses all requests and asks for a rest of S seconds; empty:
+**             takes them again
+**   leaving   its answers say so, and its entry does not
+*/
 int worker_set_mode(Worker *worker, const char *mode);
-/* what the workers took: an array of rows, which it owns */
+/* Returns the rows of the ledger, an array that this module owns. */
 json_t *workers_ledger(void);
 
 #endif
