--- a/makefile
+++ b/makefile
@@ -1,7 +1,7 @@
 # makefile of madderpier
-#   make        everything
-#   make demo   the main job, shown on stand-ins
-#   make check  every test
+#   make        builds the library, the daemon and the command line client
+#   make demo   runs a demonstration with stand-ins on loopback
+#   make check  runs every test
 
 CC = gcc
 CXX = g++
@@ -48,7 +48,8 @@
 	rm -f $@
 	ar rcs $@ $^
 
-# core/ sees the public header, account/, GLib and xxhash alone: no wire/, no io/
+# core/ may include only the public headers, account/, GLib and xxhash. The
+# other folders, as wire/ and io/, are not in its include path.
 $(BUILD)/core/%.o: core/%.c
 	@mkdir -p $(dir $@)
 	$(CC) $(CFLAGS) -Iinclude -Iaccount -Icore $(CORECF) -MMD -c -o $@ $<
@@ -80,7 +81,7 @@
 $(BUILD)/compare: $(BUILD)/bench/compare.o $(LIB)
 	$(CC) $(LDFLAGS) -o $@ $^ $(LIBS)
 
-# the comparison of policies; see docs/MEASURES.md for longer ones
+# Compares routing policies under load; see docs/MEASURES.md for longer runs.
 bench: all $(STANDINS) $(BUILD)/load $(BUILD)/compare
 	scripts/compare.sh funkbuch-ost 70 12 "1 2 3" none madderpier random \
 	  round_robin least_loaded two_choices
@@ -89,18 +90,18 @@
   $(BUILD)/bench/slopes_world.o $(WIRELIB) $(LIB)
 	$(CC) $(LDFLAGS) -o $@ $^ $(LIBS) -lm
 
-# what one changed route costs, for docs/CAPACITY.md
+# Measures what one changed route costs, for docs/CAPACITY.md.
 $(BUILD)/news_cost: $(BUILD)/bench/news_cost.o $(DIALECT) $(LIB)
 	$(CC) $(LDFLAGS) -o $@ $^ $(LIBS)
 
 news-cost: $(BUILD)/news_cost
 	$(BUILD)/news_cost 10 1400 6000 10000
 
-# the core embedded in a foreign program
+# An example of a program that embeds the core.
 $(BUILD)/embed: $(BUILD)/examples/embed.o $(LIB)
 	$(CC) $(LDFLAGS) -o $@ $^ $(LIBS)
 
-# what a node spends, for docs/CAPACITY.md
+# Measures what a node costs, for docs/CAPACITY.md.
 slopes: $(BUILD)/slopes
 	$(BUILD)/slopes
 
@@ -121,7 +122,7 @@
 demo: all $(STANDINS)
 	scripts/demo.sh
 
-# tests: C++ over the C headers
+# Unit tests: C++ that includes the C headers.
 TESTS = $(patsubst %.cc,$(BUILD)/%.o,$(wildcard test/*.cc))
 
 $(BUILD)/test/%.o: test/%.cc
@@ -148,7 +149,7 @@
 	  'clang-tidy --quiet "$$@" -- -std=gnu11 -D_GNU_SOURCE -Iinclude \
 	  -Iaccount -Icore -I. $(ALLCF) 2>/dev/null' lint
 
-# the whole fault matrix as a table, for docs/PROOF.md
+# Prints the whole fault matrix as a table, for docs/PROOF.md.
 $(BUILD)/test/tools/%.o: test/tools/%.cc
 	@mkdir -p $(dir $@)
 	$(CXX) $(CXXFLAGS) -Iinclude -Iaccount -Icore -I. $(ALLCF) -MMD -c -o $@ $<
@@ -160,7 +161,7 @@
 matrix: $(BUILD)/matrix
 	$(BUILD)/matrix
 
-# what is read from outside, with libFuzzer: see scripts/fuzz.sh
+# Fuzz targets (libFuzzer) for what reads external input; see scripts/fuzz.sh.
 FUZZCF = -fsanitize=fuzzer-no-link,address,undefined,float-cast-overflow \
   -fno-sanitize-recover=undefined,float-cast-overflow
 FUZZ = $(patsubst test/fuzz/%.c,$(BUILD)/fuzz_%,$(wildcard test/fuzz/*.c))
@@ -174,10 +175,11 @@
 
 fuzzers: $(FUZZ)
 
-# what scenarios run
+# The programs that scenarios run.
 processes: all $(STANDINS) $(BUILD)/scenario
 
-# every test, then the same ones under the sanitizers
+# Every unit test without and with sanitizers, then the scenarios, the soak and
+# the fuzz targets with sanitizers.
 check: processes $(BUILD)/embed
 	+scripts/check.sh
 
--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,21 +1,21 @@
 #!/bin/bash
 # Runs every test and ends with one line: "N passed, N failed".
-# Tests listed in KNOWN-RED.txt (test, cause, issue) are printed, and do
-# not fail the run.
+# Failures of tests that KNOWN-RED.txt lists (test, cause, issue) are printed
+# and do not fail the run.
 set -u
 cd "$(dirname "$0")/.."
 passed=0
 failed=0
 known=0
 
-red() { # test name: is it listed?
+is_known_red() { # test name
   [ -f KNOWN-RED.txt ] && grep -q "^$1[ ,]" KNOWN-RED.txt
 }
 
-result() { # name, exit code
+record_result() { # test name, exit code
   if [ "$2" = 0 ]; then
     passed=$((passed + 1))
-  elif red "$1"; then
+  elif is_known_red "$1"; then
     known=$((known + 1))
     echo "KNOWN RED: $(grep "^$1[ ,]" KNOWN-RED.txt)"
   else
@@ -24,10 +24,10 @@
   fi
 }
 
-units() { # build folder, label
+run_unit_tests() { # build folder, label, sanitizer flags
   local out name
   make -s -j8 BUILD="$1" SAN="$3" "$1/unit" 2>&1 || {
-    result "build-$2" 1
+    record_result "build-$2" 1
     return
   }
   out=$(mktemp -d)
@@ -41,17 +41,17 @@
     wait "${pids[i]}" || code=1
   done
   cat "$out"/*.log >"$out/log"
-  # a crash or a leak fails the run even when every test said it passed
+  # A crash or a leak fails the run even when every test reports a pass.
   local bad all n=0
   bad=$(sed -n 's/^\[  FAILED  \] \([A-Za-z0-9_./]*\).*/\1/p' "$out/log" |
     sort -u)
   all=$(cat "$out"/*.xml | grep -c '<testcase .*status="run"')
   for name in $bad; do
-    result "$name" 1
+    record_result "$name" 1
     n=$((n + 1))
   done
   if [ $code != 0 ] && [ $n = 0 ]; then
-    result "unit-$2" 1
+    record_result "unit-$2" 1
   fi
   if [ $code != 0 ]; then
     grep -v '^\[  FAILED' "$out/log" | tail -60
@@ -60,48 +60,49 @@
   rm -rf "$out"
 }
 
-# a double past what an integer holds is undefined as well, and is no part of
-# "undefined"
+# Converting a double that the integer type cannot hold is undefined behaviour
+# too, but -fsanitize=undefined does not include its check.
 san="-fsanitize=address,undefined,float-cast-overflow"
 san="$san -fno-sanitize-recover=undefined,float-cast-overflow"
-units build plain ""
-units build-san sanitized "$san"
+run_unit_tests build plain ""
+run_unit_tests build-san sanitized "$san"
 
-# scenarios run the sanitized processes: a fault of memory ends them
+# Scenarios run the processes with sanitizers, so a memory error ends them.
 make -s -j8 BUILD=build-san SAN="$san" processes 2>&1 ||
-  result build-processes 1
+  record_result build-processes 1
 for s in test/scenario/*.lua; do
   log=$(mktemp)
   build-san/scenario build-san "$s" >"$log" 2>&1
   code=$?
   [ $code = 0 ] || tail -40 "$log"
-  result "$(basename "$s" .lua)" $code
+  record_result "$(basename "$s" .lua)" $code
   rm -f "$log"
 done
 
-# the soak, shortly: the seeds that ever failed, and two fixed ones
-soak() { # arguments of scripts/soak.sh
+# A short soak: the seeds that have failed before, and fixed ones.
+run_soak() { # arguments of scripts/soak.sh
   local log
   log=$(mktemp)
   BUILD=build-san scripts/soak.sh "$@" >"$log" 2>&1
   local code=$?
   [ $code = 0 ] || tail -20 "$log"
-  result "soak-$1" $code
+  record_result "soak-$1" $code
   rm -f "$log"
 }
-soak regress
-soak 1 2 6
-soak 5001 5002 8 6
-soak 10001 10002 10 8
+run_soak regress
+run_soak 1 2 6
+run_soak 5001 5002 8 6
+run_soak 10001 10002 10 8
 
-# what is read from outside, fuzzed shortly: two minutes of processor time over
-# all targets. Seed and count of inputs are fixed, so the run depends on the
-# tree alone; new inputs are looked for by hand (docs/design/foreign-input.md)
+# A short fuzz run of what reads external input: two minutes of processor time
+# over all targets. Seed and number of inputs are fixed, so the result depends
+# on the sources alone. Longer runs that search for new inputs are started by
+# hand (docs/design/foreign-input.md).
 fuzz_log=$(mktemp)
 scripts/fuzz.sh fixed >"$fuzz_log" 2>&1
 code=$?
 [ $code = 0 ] || tail -40 "$fuzz_log"
-result fuzz $code
+record_result fuzz $code
 rm -f "$fuzz_log"
 
 [ $known = 0 ] || echo "$known known red, see KNOWN-RED.txt"
--- a/scripts/compare.sh
+++ b/scripts/compare.sh
@@ -1,10 +1,13 @@
 #!/bin/bash
-# Compares policies under load: all arms in one run, interleaved over seeds.
+# Compares routing policies under load. All of them run with a seed, one after
+# the other, before the next seed.
 #   scripts/compare.sh EXAMPLE RATE SECONDS "SEEDS" FAULT ARM...
-# FAULT: none, engines (one killed, one frozen), entry (one killed),
-# platform (out for half the run). ARM: madderpier, a baseline (random,
-# round_robin, least_loaded, two_choices) or a switch to turn off, as
-# no:decode_first. Writes build/compare-EXAMPLE-RATE-FAULT.jsonl and .svg.
+# FAULT: none, engines (one is killed, one frozen), entry (an instance is
+# killed) or platform (fails all calls for half of the run); faults begin after
+# a third of the run. ARM: madderpier, a baseline (random, round_robin,
+# least_loaded, two_choices) or no:OPTION, which turns one option of the policy
+# off, as no:decode_first. Writes build/compare-EXAMPLE-RATE-FAULT.jsonl, .svg
+# and .txt.
 set -u
 cd "$(dirname "$0")/.."
 . scripts/stack.sh
@@ -16,27 +19,27 @@
 case $example in
 funkbuch-ost)
   base=7000 mix=bench/mixes/funkbuch.yaml dcs=(wien-a wien-b linz-c)
-  # a prefill engine and a decode engine of wien-b
-  victim=7301 sleeper=7307
+  # ports of a prefill engine and a decode engine of wien-b
+  killed_port=7301 frozen_port=7307
   ;;
 coldlink-suva)
   base=8000 mix=bench/mixes/coldlink.yaml
   dcs=(walu-hall lami-hall nasese-room)
-  victim=8301 sleeper=8310
+  killed_port=8301 frozen_port=8310
   ;;
 *)
   echo "unknown example $example" >&2
   exit 2
   ;;
 esac
-# orphans of a killed instance are freed when its leases are over
+# Work of a killed instance is freed only when its leases expire.
 settle=3
 [ "$fault" = none ] || settle=11
 out=build/compare-$example-$rate-$fault
 rm -f "$out.jsonl"
 
-# the sample's configuration with the policy of an arm
-policy() { # arm, folder
+# Writes the policy of an arm into a copy of the example's configuration.
+set_policy() { # arm, folder
   local f=$2/policy.yaml
   case $1 in
   madderpier) ;;
@@ -45,42 +48,42 @@
   esac
 }
 
-post() { # port, json
+post_fault() { # port, json
   curl -s -m 2 -X POST -d "$2" "http://127.0.0.1:$1/fault" >/dev/null
 }
 
-strike() {
+inject_fault() {
   sleep "$(awk "BEGIN { print $seconds / 3 }")"
   case $fault in
   engines)
-    post $victim '{"kill": 4000}'
-    post $sleeper '{"freeze": 1}'
+    post_fault $killed_port '{"kill": 4000}'
+    post_fault $frozen_port '{"freeze": 1}'
     sleep 4
-    post $sleeper '{"freeze": 0}'
+    post_fault $frozen_port '{"freeze": 0}'
     ;;
   entry) kill -9 "$(cat "$STACK_DIR/entry-4.pid")" ;;
   platform)
-    post $((base + 399)) '{"mode": "down"}'
+    post_fault $((base + 399)) '{"mode": "down"}'
     sleep "$(awk "BEGIN { print $seconds / 2 }")"
-    post $((base + 399)) '{"mode": "ok"}'
+    post_fault $((base + 399)) '{"mode": "ok"}'
     ;;
   esac
 }
 
-once() { # arm, seed
+run_once() { # arm, seed
   local conf i
   stack_up $example 9 $base "${dcs[@]}"
   export MADDERPIER_PLATFORM=$STACK_PLATFORM
   conf=$STACK_DIR/conf
   cp -r "examples/$example/config" "$conf"
-  policy "$1" "$conf"
+  set_policy "$1" "$conf"
   sleep 0.3
   "$BUILD/madderpier" --by compare apply "$conf" >/dev/null || exit 1
   for ((i = 0; i < 9; i++)); do
     stack_ready 127.0.0.1:$((base + 200 + i)) || exit 1
   done
   sleep 1.2
-  strike &
+  inject_fault &
   "$BUILD/load" --mix "$mix" --list "examples/$example/instances.json" \
     --settle $settle --rate "$rate" --seconds "$seconds" --seed "$2" --label "$1" \
     --json "$out.jsonl" >>"$out.txt"
@@ -90,7 +93,7 @@
 : >"$out.txt"
 for seed in $seeds; do
   for arm in "${arms[@]}"; do
-    once "$arm" "$seed"
+    run_once "$arm" "$seed"
   done
 done
 echo "# $example, $rate requests/s, $seconds s, seeds $seeds, fault $fault"
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,8 +1,10 @@
 #!/bin/bash
-# Plays the days of test/days with many seeds and counts those with a broken
-# rule. By hand: it needs the users' bench and their site files.
+# Runs a day of test/days on the users' bench with many seeds and counts the
+# runs that broke a rule. Started by hand, since it needs the users' bench and
+# their site files.
 #   KIT=FOLDER BENCH=PROGRAM scripts/days.sh DAY SITE SEEDS [JOBS]
-# DAY is a name in test/days, SITE a path below KIT without .toml.
+# DAY is the name of a file in test/days, SITE a path below KIT; both without
+# .toml. Seeds are 1 to SEEDS; JOBS runs (6) go at the same time.
 # Ends with "N days, N broken, mean worth N"; exits 1 when a rule broke.
 set -u
 cd "$(dirname "$0")/.."
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,12 +1,13 @@
 #!/bin/bash
-# The main job, shown on stand-ins: funkbuch-ost on loopback, nine entry
-# instances, twelve engines, a few requests, and where each of them ran.
+# A demonstration with stand-ins on loopback: the example funkbuch-ost with nine
+# entry instances and twelve engines, a few requests, and where each of them
+# ran.
 set -u
 cd "$(dirname "$0")/.."
 . scripts/stack.sh
 trap stack_down EXIT
 
-ask() { # what, account's key, class, extra curl arguments...
+send_request() { # heading, account's key, class, curl arguments...
   local what=$1 key=$2 class=$3
   shift 3
   printf '\n== %s\n' "$what"
@@ -14,13 +15,13 @@
     -H "X-Request-Class: $class" "$@"
 }
 
-say() { printf '\n== %s\n' "$*"; }
+print_heading() { printf '\n== %s\n' "$*"; }
 
 stack_up funkbuch-ost 9 7000 wien-a wien-b linz-c
 export MADDERPIER_PLATFORM=$STACK_PLATFORM
 M="$BUILD/madderpier"
 
-say "Apply the sample configuration"
+print_heading "Apply the sample configuration"
 for _ in 1 2 3 4 5; do
   "$M" --by demo apply examples/funkbuch-ost/config && break
   sleep 0.2
@@ -29,28 +30,28 @@
 sleep 1.5
 "$M" status
 
-say "Where may a lookup run? And one of the merged rival's members?"
+print_heading "Where may a lookup run? And one of the merged rival's members?"
 "$M" explain -c lookup
 "$M" explain -c lookup -a merged
 
 llm=http://127.0.0.1:7100/v1/completions
-ask "A member's lookup, streamed" funkbuch-members-sample lookup "$llm" \
+send_request "A member's lookup, streamed" funkbuch-members-sample lookup "$llm" \
   -d '{"model":"logbuch-7b","prompt":"Who is OE1ABC?","max_tokens":6,
        "stream":true}'
-ask "The merged rival's lookup stays in linz-c (engines 7302, 7305, 7308, \
+send_request "The merged rival's lookup stays in linz-c (engines 7302, 7305, 7308, \
 7311)" funkbuch-merged-sample lookup "$llm" \
   -d '{"model":"logbuch-7b","prompt":"Who is DL9XYZ?","max_tokens":6}'
-ask "An award check, not to be repeated" funkbuch-clubs-sample award-check \
+send_request "An award check, not to be repeated" funkbuch-clubs-sample award-check \
   "$llm" -H 'Idempotency-Key: award-2026-17' \
   -d '{"model":"logbuch-7b","prompt":"Check the award.","max_tokens":4}'
-ask "The same award check sent again, to another instance" \
+send_request "The same award check sent again, to another instance" \
   funkbuch-clubs-sample award-check http://127.0.0.1:7104/v1/completions \
   -H 'Idempotency-Key: award-2026-17' \
   -d '{"model":"logbuch-7b","prompt":"Check the award.","max_tokens":4}'
-ask "A card export, to a plain service" funkbuch-members-sample card-export \
+send_request "A card export, to a plain service" funkbuch-members-sample card-export \
   http://127.0.0.1:7101/app/cards?format=pdf -d 'cards'
 
-say "Follow the first request by its ID through the logs"
+print_heading "Follow the first request by its ID through the logs"
 id=$(grep -ho 'request=[0-9a-f]*-[0-9a-f]*-00000001' "$STACK_DIR"/entry-0.log |
   head -1 | cut -d= -f2)
 echo "request $id"
@@ -62,8 +63,8 @@
   http://127.0.0.1:7310/ledger http://127.0.0.1:7311/ledger |
   grep "$id"
 
-say "Drain wien-b, and what the audit trail says"
+print_heading "Drain wien-b, and what the audit trail says"
 "$M" --by demo drain wien-b
 "$M" audit
 
-say "Done; everything is stopped"
+print_heading "Done; everything is stopped"
--- a/scripts/events.sh
+++ b/scripts/events.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Checks docs/EVENTS.md against the catalogue in include/mplog.h:
-# every event has its row, with its level and text, and none is left over.
-# With --write, rows that are missing are added (their advice is to be
-# written by hand).
+# Checks docs/EVENTS.md against the list of events in include/mplog.h: every
+# event has a row with its level and text, and every row has an event. Prints
+# the differences; exits 1 when there are any.
+# With --write, missing rows are added; their advice has to be written by hand.
 set -u
 cd "$(dirname "$0")/.."
 page=docs/EVENTS.md
@@ -22,7 +22,7 @@
 done <<<"$rows"
 for number in $(sed -nE 's/^\| E([0-9]+) .*/\1/p' $page); do
   grep -q "^$number|" <<<"$rows" || {
-    echo "$page has a row too many: E$number"
+    echo "$page has a row without an event: E$number"
     wrong=1
   }
 done
--- a/scripts/fields.sh
+++ b/scripts/fields.sh
@@ -1,9 +1,9 @@
 #!/bin/bash
-# The table of fields (platform/fields.h) against what the code reads: a field
-# that is read stands there as READ, in its place, and no other does.
+# Checks the table of fields (platform/fields.h) against the code: the table
+# marks exactly the fields that the code reads as READ, in their places.
 #   scripts/fields.sh [PAGES...]
-# With the platform's pages, names of fields on them that the table lacks are
-# listed too. Prints what is wrong; exits 1 then.
+# With pages of the platform's documentation, it also lists the fields that they
+# name and the table lacks. Prints the differences; exits 1 when there are any.
 set -u
 cd "$(dirname "$0")/.."
 wrong=0
@@ -11,25 +11,25 @@
 get+='|json_span_member|read_member|http_head_get|http_head_count'
 get+='|g_ascii_strcasecmp'
 
-# names that these files read
-read_by() {
+# Prints the names that these files read.
+names_read_by() {
   cat "$@" | tr '\n' ' ' |
     grep -oE "\b($get)\([^\"()]*(\([^()]*\))?[^\"()]*, *\"[A-Za-z-]+\"" |
     sed -E 's/.*"([^"]+)"$/\1/' | sort -u
 }
 
-# names of the table with one of these places and uses
-listed() { # places, uses
+# Prints the names in the table that have one of these places and uses.
+names_in_table() { # places, uses
   sed -nE 's/^  X\("([^"]+)", ('"$1"'), ('"$2"'),.*/\1/p' platform/fields.h |
     sort -u
 }
 
-compare() { # places, files...
+compare_with_table() { # places, files...
   local places=$1
   shift
   local code table
-  code=$(read_by "$@")
-  table=$(listed "$places" READ)
+  code=$(names_read_by "$@")
+  table=$(names_in_table "$places" READ)
   local name
   for name in $(comm -23 <(echo "$code") <(echo "$table")); do
     echo "$* read '$name': add it to platform/fields.h as READ"
@@ -41,16 +41,16 @@
   done
 }
 
-compare 'RESPONSE|BODY' platform/endpoints.c
-compare CALLER platform/callers.c
-compare 'STORE|OPERATOR' platform/records.c platform/store.c \
+compare_with_table 'RESPONSE|BODY' platform/endpoints.c
+compare_with_table CALLER platform/callers.c
+compare_with_table 'STORE|OPERATOR' platform/records.c platform/store.c \
   platform/broken_list.c
 
-# names on the pages, and what a field of theirs looks like
-on_pages() {
+# Prints the names on the pages that look like fields.
+names_on_pages() {
   grep -ohE '`[A-Z][A-Za-z]*(-[A-Za-z]+)*`' "$@" | tr -d '`' | sort -u
 }
-# what the pages name beside fields: calls' own words, settings, statuses
+# Names on the pages that are no fields: words of calls, settings, statuses.
 others='GET|FenceRequired|Op|Holder|Fence|ExpectRev|Last|ToVersion|Wait-Ms|WaitMs|Hold'
 others+='|Front|Ready|Platform|HistoryS|HeartbeatMs|DrainMs|GraceS|ReuseAfterS'
 for page in "$@"; do
@@ -58,11 +58,11 @@
     echo "no page $page: not compared"
     continue
   }
-  for name in $(comm -23 <(on_pages "$page" | grep -vxE "$others") \
-    <(listed '[A-Z]+' '[A-Z]+')); do
+  for name in $(comm -23 <(names_on_pages "$page" | grep -vxE "$others") \
+    <(names_in_table '[A-Z]+' '[A-Z]+')); do
     echo "$page names '$name', and platform/fields.h does not"
     wrong=1
   done
 done
-[ $# -gt 0 ] || echo "without the platform's pages: the table is held against the code alone"
+[ $# -gt 0 ] || echo "no pages of the platform given: the table was compared with the code only"
 exit $wrong
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Coverage-guided fuzzing of what is read from outside, under the sanitizers
+# Coverage-guided fuzzing of what reads external input, with sanitizers
 # (libFuzzer of clang). Each target starts from its corpus in test/fuzz/corpus.
-#   scripts/fuzz.sh SECONDS [TARGET...]   by hand; SEED=N for another one
-#   scripts/fuzz.sh fixed                 a fixed seed and count of inputs
+#   scripts/fuzz.sh SECONDS [TARGET...]   so long each; SEED=N sets the seed
+#   scripts/fuzz.sh fixed                 a fixed number of inputs, for CI
 # Ends with "N passed, N failed"; an input that fails stays in build-fuzz.
 set -u
 cd "$(dirname "$0")/.."
@@ -12,7 +12,7 @@
 targets=("$@")
 [ ${#targets[@]} -gt 0 ] || targets=(store_reply configuration report http
   events datagram news settings)
-# inputs of a fixed run: what each target reads in 15 s on one core of eight
+# Inputs of a fixed run: as many as a target reads in 15 s on one of eight cores.
 declare -A fixed=([store_reply]=150000 [configuration]=95000 [report]=540000
   [http]=170000 [events]=260000 [datagram]=820000 [news]=170000
   [settings]=220000)
@@ -21,7 +21,7 @@
 
 make -s -j8 BUILD=build-fuzz fuzz || exit 2
 
-one() { # target
+fuzz_target() { # target
   local corpus
   local bound=-max_total_time=$how
   [ "$how" != fixed ] || bound=-runs=${fixed[$1]}
@@ -34,7 +34,7 @@
 }
 
 for target in "${targets[@]}"; do
-  one "$target" &
+  fuzz_target "$target" &
 done
 wait
 for target in "${targets[@]}"; do
--- a/scripts/install-packages.sh
+++ b/scripts/install-packages.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs the Debian packages that scripts/packages.txt declares.
-# Does nothing when all of them are there already.
+# Installs the Debian packages that scripts/packages.txt lists. Does nothing
+# when all of them are installed already.
 set -eu
 here=$(dirname "$0")
 missing=
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# Does each test see the fault it is there for? Takes one mechanism out of a
-# copy of the sources at a time, and runs the unit tests: they must fail.
+# Checks that the unit tests detect the faults they guard against: takes one
+# mechanism at a time out of a copy of the sources and runs the unit tests,
+# which must fail.
 # Ends with "N mutants caught, N missed".
 #   scripts/mutants.sh [NAME...]
-#   scripts/mutants.sh --stale   builds nothing: fails when the text that a row
-#                                replaces is not in its file
+#   scripts/mutants.sh --stale   builds nothing; fails when a row is stale: the
+#                                text that it replaces is not in its file
 set -u
 cd "$(dirname "$0")/.."
 dir=$(mktemp -d)
@@ -17,8 +18,8 @@
   shift
 fi
 
-# one mutant: name, what is taken out, file, python replacement old -> new
-mutant() {
+# Builds and tests one mutant.
+mutant() { # name, what is taken out, file, old text, new text
   local name=$1 what=$2 file=$3 old=$4 new=$5
   if [ -n "$stale_only" ]; then
     printf '%s\0' "$name" "$file" "$old" "$new" >>"$dir/rows"
@@ -62,7 +63,7 @@
   fi
 }
 
-want() {
+is_wanted() { # name
   [ ${#only[@]} = 0 ] && return 0
   local o
   for o in "${only[@]}"; do [ "$o" = "$1" ] && return 0; done
@@ -70,7 +71,7 @@
 }
 
 only=("$@")
-m() { want "$1" && mutant "$@"; }
+m() { is_wanted "$1" && mutant "$@"; }
 
 m place "0: the place gate" core/place.c \
   'if (strcmp(r->run_in[i], dc) == 0)' 'if (1)'
--- a/scripts/panel.py
+++ b/scripts/panel.py
@@ -1,16 +1,17 @@
 #!/usr/bin/env python3
-"""Plays a panel of days on the users' bench and prints their mean worth.
+"""Runs several days on the users' bench and prints their mean worth.
 
     scripts/panel.py WHY [--sites GROUP,GROUP] [--days A,B] [--seeds 1,2]
                      [--jobs N] [--cpu] [--brief]
                      [--save FILE] [--against FILE]
 
---save writes each run's worth, --against prints the mean difference to such
-a file with its standard error, over the runs that both have.
+--save writes the worth of each run to a file; --against prints the mean
+difference to such a file and its standard error, over the runs in both.
 
-For paired trials: the same days and seeds, without processor time unless
---cpu is given, in several processes. Every run leaves its journal entry.
-Needs the users' kit beside the checkout; see docs/MEASURES.md.
+Meant for paired trials, which use the same days and seeds. The runs go in
+several processes and leave processor time out unless --cpu is given. Every run
+writes a journal entry. Needs the users' kit beside the checkout; see
+docs/MEASURES.md.
 """
 import argparse
 import concurrent.futures
@@ -29,11 +30,11 @@
     "further-grown": ["further-grown/sufra-amman-grown"],
     "grown": ["grown/coldlink-suva-grown", "grown/funkbuch-ost-grown"],
 }
-TROUBLE = "trouble-1,scale-1,trouble-2,scale-2,trouble-3"
+TROUBLE_DAYS = "trouble-1,scale-1,trouble-2,scale-2,trouble-3"
 PRICES_SHOWN = 3
 
 
-def play(job):
+def run_day(job):
     site, day, seed, why, cpu = job
     command = [BENCH, "run", f"{KIT}/{site}.toml", day,
                "--why", why]
@@ -46,10 +47,10 @@
     found = re.search(r"^snapshot ([0-9a-f]+)", done.stdout, re.M)
     if not found:
         return job, None, done.stdout[-400:] + done.stderr[-400:]
-    return job, day_of(found.group(1)), ""
+    return job, first_day_of_entry(found.group(1)), ""
 
 
-def day_of(snapshot):
+def first_day_of_entry(snapshot):
     for name in sorted(os.listdir("journal"), reverse=True):
         if name.endswith(f"-{snapshot}.json"):
             with open(f"journal/{name}", encoding="utf-8") as entry:
@@ -58,7 +59,7 @@
     return None
 
 
-def row(job, day):
+def format_row(job, day):
     site, name, seed, _, _ = job
     prices = sorted(day["prices"], key=lambda price: -abs(price[-1]))
     shown = ", ".join(f"{price[0]} {abs(price[-1]):.3f}"
@@ -76,8 +77,8 @@
         print(f"{site.split('/')[1]:20} {day:10} mean "
               f"{sum(worths) / len(worths):.4f} spread {spread:.3f}")
     for site in sorted({site for site, _ in totals}):
-        worths = [worth for (other, _), some in totals.items()
-                  if other == site for worth in some]
+        worths = [worth for (other, _), day_worths in totals.items()
+                  if other == site for worth in day_worths]
         print(f"{site.split('/')[1]:20} mean {sum(worths)/len(worths):.4f} "
               f"of {len(worths)}")
 
@@ -86,20 +87,20 @@
     with open(path, encoding="utf-8") as file:
         before = json.load(file)
     for site in sorted({key.split(" ")[0] for key in worths}):
-        steps = [worths[key] - before[key] for key in worths
-                 if key in before and key.startswith(site + " ")]
-        if len(steps) < 2:
+        differences = [worths[key] - before[key] for key in worths
+                       if key in before and key.startswith(site + " ")]
+        if len(differences) < 2:
             continue
-        print(f"{site:20} difference {statistics.mean(steps):+.4f} "
-              f"+- {statistics.stdev(steps) / len(steps) ** 0.5:.4f} "
-              f"over {len(steps)}")
+        error = statistics.stdev(differences) / len(differences) ** 0.5
+        print(f"{site:20} difference {statistics.mean(differences):+.4f} "
+              f"+- {error:.4f} over {len(differences)}")
 
 
 def main():
     reader = argparse.ArgumentParser()
     reader.add_argument("why")
     reader.add_argument("--sites", default="further")
-    reader.add_argument("--days", default=TROUBLE)
+    reader.add_argument("--days", default=TROUBLE_DAYS)
     reader.add_argument("--seeds", default="")
     reader.add_argument("--jobs", type=int, default=6)
     reader.add_argument("--cpu", action="store_true")
@@ -114,12 +115,12 @@
             for seed in options.seeds.split(",")]
     totals, worths = {}, {}
     with concurrent.futures.ThreadPoolExecutor(options.jobs) as pool:
-        for job, day, trouble in pool.map(play, jobs):
+        for job, day, error in pool.map(run_day, jobs):
             if day is None:
-                print(f"{job[0]} {job[1]}: not played: {trouble}")
+                print(f"{job[0]} {job[1]}: not run: {error}")
                 continue
             if not options.brief or day.get("rules"):
-                print(row(job, day))
+                print(format_row(job, day))
             totals.setdefault((job[0], job[1]), []).append(day["G"])
             worths[f"{job[0]} {job[1]} {job[2]}"] = day["G"]
     print_means(totals)
--- a/scripts/positions.sh
+++ b/scripts/positions.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# Revisions of the store mean something within their era alone: outside of the
-# files that write and read them, no code compares a bare one or adds to it.
-# Prints each place that does; exits 1 then.
+# Checks that no code compares a bare revision of the store or calculates with
+# it, because revisions are ordered only within their era. Allowed is the file
+# that compares positions. Prints each place that does; exits 1 when there are
+# any.
 set -u
 cd "$(dirname "$0")/.."
-# what compares positions
+# The file that compares positions, each an era and a revision.
 allowed='router/store_position.c'
 bare='([.>]revision) *(<|>|==|!=|\+|-)[^>]|(MAX|MIN)\([^)]*[.>]revision'
 found=0
--- a/scripts/seam.sh
+++ b/scripts/seam.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# The seam: nothing outside platform/ knows the platform's names, and
-# platform/ only translates: it opens no socket, keeps no state, waits for
-# nothing and decides nothing. Prints what is wrong; exits 1 then.
+# Checks the boundary of platform/: no code outside uses the platform's names,
+# and platform/ only translates: it opens no socket, keeps no state, reads no
+# clock, waits for nothing and decides nothing. Prints each violation; exits 1 when there are any.
 set -u
 cd "$(dirname "$0")/.."
 wrong=0
 
-# names of header fields, record fields and kinds that only platform/ knows
+# Names of header fields, record fields and kinds that only platform/ may use.
 names='Request-Id|Server-Stamp|Prompt-Prefix|Token-Count|Expect-Instance'
 names+='|Kv-From|Kv-Backup|Kv-Fetch|Kv-Hold|Not-Run|KvHandle|Deadline-Ms'
 names+='|PathPrefix|TimeoutMs|SloMs|GapTargetMs|KvTokens|KvHoldS|ColdLeftMs'
@@ -19,7 +19,7 @@
   wrong=1
 fi
 
-# what a dialect must not do
+# Calls that a dialect must not make.
 acts='socket\(|connect\(|bufferevent|evbuffer|event_(new|add|base)'
 acts+='|evhttp|evtimer|gettimeofday|clock_gettime|g_get_monotonic_time'
 acts+='|g_timeout|g_rand|sleep\('
@@ -28,7 +28,7 @@
   wrong=1
 fi
 
-# state: every static that is no function must be constant
+# It keeps no state: every static that is not a function must be constant.
 if grep -nE '^ *static ' platform/*.c | grep -vE 'const|\('; then
   echo "platform/ keeps state (above)"
   wrong=1
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,17 +1,22 @@
 #!/bin/bash
-# The fault soak: real processes under random faults, one run a seed.
+# The fault soak: runs real processes under random faults, one run per seed.
 #   scripts/soak.sh FIRST LAST [SECONDS [INSTANCES [JOBS]]]
-#   scripts/soak.sh regress        the seeds that ever failed
-# Seeds from 1000 have orders to engines, from 4000 all instances in one data
-# centre, of which a few follow the store for the others (six or more), from
-# 5000 a store that comes back from copies some seconds old, from
-# 6000 client accounts, whose keys are taken away and whose limits change, from
-# 7000 workers that end and come back, requests that end them, spoilt entries,
-# from 8000 workers that name the rate they take, from 9000 workers that say
-# that they leave, or ask for rest, from 10000 some 1,400 routes, one more each
-# 0.5 s, and a store that turns single instances away (six or more), from 11000
-# the copies again.
-# Ends with "N passed, N failed"; logs of failed seeds stay in their folder.
+#   scripts/soak.sh regress        the seeds that have failed before
+# The seed selects the kind of run; from each of these numbers on it has
+#   1000   orders to engines
+#   4000   all instances in one data centre, where a few of them follow the
+#          store for the others (needs six instances or more)
+#   5000   a store that is restored from copies some seconds old
+#   6000   client accounts whose keys are revoked and whose limits change
+#   7000   workers that crash and restart, requests that crash them, and invalid
+#          entries in the store
+#   8000   workers that advertise a rate limit
+#   9000   workers that announce that they leave, or ask for a pause
+#   10000  some 1,400 routes, one more every 0.5 s, and a store that refuses
+#          single instances (needs six instances or more)
+#   11000  the restored copies again
+# Ends with "N passed, N failed". For a failed seed it prints the end
+# of the log, which names the folder where the logs of its processes stay.
 set -u
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
@@ -21,10 +26,11 @@
 passed=0
 failed=0
 
-# what a run needs; without it nothing was tested, and no seed failed
+# The programs of a run. When they cannot be built, nothing was tested, and the
+# exit code is 2 instead of a failed seed.
 make -s -j8 BUILD="$build" processes || exit 2
 
-one() { # seed
+run_seed() { # seed
   SOAK_SEED=$1 SOAK_SECONDS=$seconds SOAK_INSTANCES=$instances \
     "$build/scenario" "$build" test/soak/soak.lua >"$out/$1.log" 2>&1
   echo $? >"$out/$1.code"
@@ -38,7 +44,7 @@
 out=$(mktemp -d)
 for seed in $seeds; do
   while [ "$(jobs -rp | wc -l)" -ge "$jobs" ]; do wait -n; done
-  one "$seed" &
+  run_seed "$seed" &
 done
 wait
 for seed in $seeds; do
--- a/scripts/stack.sh
+++ b/scripts/stack.sh
@@ -1,8 +1,12 @@
 # stack.sh
-# Starts and stops a whole deployment on loopback: sourced by demo and bench.
-#   stack_up EXAMPLE [ENTRIES]   stand-ins and daemons of examples/EXAMPLE
-#   stack_down                   ends what stack_up started
-# Sets STACK_DIR (settings, logs) and STACK_PLATFORM.
+# Starts and stops a whole deployment on loopback; demo.sh and compare.sh
+# source this file.
+#   stack_up EXAMPLE ENTRIES BASE_PORT DATA_CENTRE...
+#       starts the stand-ins and daemons of examples/EXAMPLE
+#   stack_ready ADDRESS   waits up to 10 s until an instance is ready
+#   stack_down            stops what stack_up started, deletes STACK_DIR
+# Sets STACK_DIR (the folder of settings and logs) and STACK_PLATFORM (the
+# platform's address).
 
 BUILD=${BUILD:-build}
 STACK_PIDS=
@@ -21,9 +25,8 @@
 Y
 }
 
-# entry number: starts that instance and leaves its process number in
-# STACK_DIR/entry-N.pid
-stack_entry() {
+# Starts an instance and writes its process id to STACK_DIR/entry-N.pid.
+stack_entry() { # entry number
   "$BUILD/madderpierd" "$STACK_DIR/entry-$1.yaml" &
   echo $! >"$STACK_DIR/entry-$1.pid"
   STACK_PIDS="$STACK_PIDS $!"
