--- a/bench/caller.c
+++ b/bench/caller.c
@@ -16,7 +16,7 @@
 #include "io/http.h"
 #include "standin/model.h"
 
-/* A request without a complete answer is aborted after this time. */
+/* A request that has not ended so long after its start is aborted. */
 #define CALL_TIMEOUT_S 75
 
 /* A request under way; freed once its result was passed on. */
@@ -170,7 +170,7 @@
     handle_lines(c);
   if (c->hangs_up && c->result.tokens >= c->expected_tokens / 2 &&
       c->result.tokens > 0) {
-    /* The call must not be aborted from within its own callback. */
+    /* Hangs up from the event loop, after this callback. */
     struct timeval t = {0, 0};
     event_add(c->timer, &t);
   }
--- a/standin/model.h
+++ b/standin/model.h
@@ -20,10 +20,9 @@
 /* Speeds and sizes; the environment can set each of them, see model.c. */
 typedef struct ModelRates {
   uint32_t prefill_tokens_per_s; /* of an engine */
-  uint32_t token_us; /* time of an output token at an idle engine */
-  uint32_t slots;    /* decode slots of an engine */
-  uint32_t
-      kv_lifetime_ms; /* from the end of a prefill to the expiry of its KV */
+  uint32_t token_us;           /* time of an output token at an idle engine */
+  uint32_t slots;              /* decode slots of an engine */
+  uint32_t kv_lifetime_ms;     /* of a KV cache, from the end of the prefill */
   uint32_t kv_bytes_per_token; /* of a KV cache */
   uint32_t link_mbytes_per_s;  /* between two data centres */
   uint32_t local_mbytes_per_s; /* within a data centre */
--- a/standin/store.c
+++ b/standin/store.c
@@ -2,11 +2,19 @@
 ** store.c
 ** Stand-in for the platform's metadata store
 **
-**   GET  /objects/KIND[?after=NAME]         items, more, at
-**   GET  /objects/KIND/NAME                 one object; 404
-**   GET  /objects/KIND?watch=REV&WaitMs=N   events, at; 410
-**   POST /objects/KIND                      creates; 409
-**   PUT  /objects/KIND/NAME                 replaces; 409 with the object
+**   GET    /objects/KIND[?after=NAME]         items, more, at
+**   GET    /objects/KIND/NAME                 one object; 404
+**   GET    /objects/KIND?watch=REV&WaitMs=N   events, at; 410 when the history
+**                                             does not reach back to REV
+**   POST   /objects/KIND                      creates; 409 with the object
+**   PUT    /objects/KIND/NAME                 replaces; 404, 409 with the
+*object
+**   DELETE /objects/KIND/NAME[?Rev=REV]       removes; 404, 409 with the
+*object
+**
+** PUT and DELETE are unconditional when their revision is missing or 0. A
+*watch
+** waits at most WaitMs, 1000 by default, and is then answered without events.
 */
 
 #include <string.h>
@@ -20,6 +28,7 @@
 /* Objects in one page of a list: few, so that lists need several pages. */
 #define PAGE_OBJECTS_MAX 5
 
+/* An object. Its revision is that of the store at the last write. */
 typedef struct Object {
   char *kind;
   char *name;
