--- a/standin/store.c
+++ b/standin/store.c
@@ -4,17 +4,15 @@
 **
 **   GET    /objects/KIND[?after=NAME]         items, more, at
 **   GET    /objects/KIND/NAME                 one object; 404
-**   GET    /objects/KIND?watch=REV&WaitMs=N   events, at; 410 when the history
+**   GET    /objects/KIND?watch=REV&WaitMs=N   events, at; 410 if the history
 **                                             does not reach back to REV
-**   POST   /objects/KIND                      creates; 409 with the object
-**   PUT    /objects/KIND/NAME                 replaces; 404, 409 with the
-*object
-**   DELETE /objects/KIND/NAME[?Rev=REV]       removes; 404, 409 with the
-*object
+**   POST   /objects/KIND                      creates; 409
+**   PUT    /objects/KIND/NAME                 replaces; 404, 409
+**   DELETE /objects/KIND/NAME[?Rev=REV]       removes; 404, 409
 **
-** PUT and DELETE are unconditional when their revision is missing or 0. A
-*watch
-** waits at most WaitMs, 1000 by default, and is then answered without events.
+** A 409 carries the object as it is. PUT and DELETE are unconditional when
+** their revision is missing or 0. A watch waits at most WaitMs, 1000 by
+** default, and is then answered without events.
 */
 
 #include <string.h>
