--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -10,7 +10,8 @@
 ** answer after fixed delays: first idle, then through one change of the
 ** configuration, then with RATE requests per second.
 ** Bytes are those of the encoded datagrams with their UDP and IP headers, in
-** and out; processor time is that of mp_feed and mp_take alone; memory is
+** and out; processor time is that of mp_feed and mp_next_effect alone; memory
+*is
 ** what the allocator handed out for the cores. HTTP and the kernel are not
 ** included (docs/CAPACITY.md adds them, measured separately).
 */
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -50,7 +50,7 @@
   uint64_t messages;     /* sent */
   uint64_t store_calls;  /* all calls of the store */
   uint64_t store_writes; /* those of them that write */
-  double cpu_seconds;    /* processor time in mp_feed and mp_take */
+  double cpu_seconds;    /* processor time in mp_feed and mp_next_effect */
   uint64_t config;       /* unused */
 } Node;
 
@@ -68,7 +68,7 @@
   char *instance_list;       /* text of the object "instances" */
   char *manifest;            /* text of the manifest of the configuration */
   char *section[2];          /* accounts, and the section that changes */
-  char digest[2][MP_DIGEST + 1]; /* of the sections */
+  char digest[2][MP_SHA256_HEX + 1]; /* of the sections */
   uint64_t manifest_version;
   GPtrArray *watches; /* ScheduledEvent, answered by the next change */
   uint64_t answered;  /* requests that got a whole answer */
--- a/bench/slopes_run.c
+++ b/bench/slopes_run.c
@@ -117,7 +117,8 @@
 ** Plays the engines: a prefill takes 60 ms and keeps its KV cache for 4 s, a
 ** token takes 25 ms, and all other calls take a round trip.
 */
-static void on_endpoint_call(Simulation *R, unsigned node, const mp_Xcall *x) {
+static void on_endpoint_call(Simulation *R, unsigned node,
+                             const mp_EndpointCall *x) {
   mp_EndpointEvent e = {0};
   char kv[64];
   e.xcall = x->xcall;
@@ -129,7 +130,7 @@
     schedule_answer(R, node, 60 * MP_MS, &e, kv, 0);
     break;
   case MP_X_DECODE:
-    e.what = MP_EP_PIECE;
+    e.what = MP_EP_CHUNK;
     e.tokens = 1;
     schedule_answer(R, node, 25 * MP_MS, &e, "token ", R->answer_tokens);
     break;
@@ -150,7 +151,7 @@
 }
 
 /* Fills in the load that an engine reports; rates are tokens per second. */
-static void fill_load(const Simulation *R, mp_Addr engine, mp_LoadAnswer *l) {
+static void fill_load(const Simulation *R, mp_Addr engine, mp_LoadReport *l) {
   unsigned i = (unsigned)(engine >> 16) - 0x0a400000;
   l->role = slopes_is_prefill_worker(R, i) ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
   l->slots = ENGINE_SLOTS;
@@ -197,7 +198,7 @@
 /* Schedules the arrival of a message after the delay of the link. */
 static void on_send(Simulation *R, unsigned node, mp_Addr to,
                     const mp_Msg *m) {
-  char buf[MP_MAXDGRAM];
+  char buf[MP_DATAGRAM_MAX];
   ScheduledEvent *d = slopes_new_event(R, R->now + LINK_DELAY, SCHEDULED_MSG,
                                        node_of_address(to));
   size_t n = rpc_encode(m, buf, sizeof buf) + UDP_IP_BYTES;
@@ -232,15 +233,15 @@
   mp_Time w;
   for (;;) {
     double c = cpu_seconds();
-    int more = mp_take(N->core, &fx);
+    int more = mp_next_effect(N->core, &fx);
     N->cpu_seconds += cpu_seconds() - c;
     if (!more)
       break;
     if (fx.kind == MP_FX_SEND)
       on_send(R, i, fx.u.send.to, &fx.u.send.msg);
-    else if (fx.kind == MP_FX_XCALL)
+    else if (fx.kind == MP_FX_ENDPOINT_CALL)
       on_endpoint_call(R, i, &fx.u.xcall);
-    else if (fx.kind == MP_FX_XABORT) {
+    else if (fx.kind == MP_FX_ENDPOINT_ABORT) {
       uint64_t k = aborted_call_key(i, fx.u.xabort);
       g_hash_table_add(R->aborted_calls, g_memdup2(&k, sizeof k));
     } else if (fx.kind == MP_FX_STORE)
@@ -251,7 +252,7 @@
       R->errors_by_kind[fx.u.reply.error] += fx.u.reply.what == MP_REPLY_ERROR;
     }
   }
-  w = mp_wake(N->core);
+  w = mp_next_tick(N->core);
   if (N->tick_at > R->now && N->tick_at <= w)
     return;
   N->tick_at = MAX(w, R->now);
@@ -298,10 +299,10 @@
 */
 static void deliver_answer(Simulation *R, ScheduledEvent *d, mp_Event *e) {
   uint64_t k = aborted_call_key(d->node, d->endpoint_event.xcall);
-  mp_LoadAnswer l = {0};
+  mp_LoadReport l = {0};
   if (g_hash_table_contains(R->aborted_calls, &k))
     return;
-  if (d->endpoint_event.what == MP_EP_PIECE && d->tokens > 0) {
+  if (d->endpoint_event.what == MP_EP_CHUNK && d->tokens > 0) {
     mp_EndpointEvent x = d->endpoint_event;
     x.index++;
     if (d->tokens == 1) {
--- a/bench/slopes_world.c
+++ b/bench/slopes_world.c
@@ -54,7 +54,7 @@
 
 /* Appends the section with 280 accounts, whose keys are "key-0" and so on. */
 static void append_accounts(GString *g) {
-  char d[MP_DIGEST + 1];
+  char d[MP_SHA256_HEX + 1];
   char key[32];
   unsigned i;
   g_string_append(g, "accounts:\n");
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -26,7 +26,7 @@
 */
 static void perform_effects(mp_State *core[CORES], int i, mp_Time now) {
   mp_Effect fx;
-  while (mp_take(core[i], &fx)) {
+  while (mp_next_effect(core[i], &fx)) {
     mp_Event e = {0};
     mp_Msg m;
     int to;
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -90,7 +90,7 @@
 m whole "3: the end of an answer is checked against the count of tokens" core/answer.c \
   'if (e->tokens != r->got) {' 'if (0) {'
 m silent "3: a stalled stream is ended" core/answer.c \
-  'timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME,
+  'timer_arm(&state->timers, &r->timer, state->now + MP_STREAM_TIMEOUT,
             on_stall_timeout, r);' ';'
 m ran "4: work that was dispatched is reported as possibly run" core/work.c \
   'r->ran = MP_RAN_UNKNOWN;
@@ -114,7 +114,7 @@
   core/ending.c '  flow_end_attempt(state, r, &r->prefill);
   if (!flow_policy(state)->decode_first' '  if (!flow_policy(state)->decode_first'
 m longs "long prompts are recognised, so short work does not wait behind them" core/keep.c \
-  'return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT;' \
+  'return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT_MIN;' \
   'return 0;'
 m pause "a home that was paused does not trust its older knowledge" core/state.c \
   'member_on_pause(state);' ''
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -311,7 +311,7 @@
   GError *err = NULL;
   size_t n;
   char *s;
-  mp_List *l;
+  mp_InstanceList *l;
   unsigned i;
   struct timeval lag = {0, LOAD_INTERVAL_US};
   if (argc < 2) {
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -18,7 +18,7 @@
 #define CACHE_BLOCKS_MAX 4096
 
 /* When the link from one data centre to another becomes free, by index. */
-static mp_Time link_free_at[MP_MAXDCS][MP_MAXDCS];
+static mp_Time link_free_at[MP_DCS_MAX][MP_DCS_MAX];
 static GPtrArray *data_centre_names; /* char *; the position is the index */
 
 /*
--- a/test/crash_fleet.cc
+++ b/test/crash_fleet.cc
@@ -268,7 +268,7 @@
 void Fleet::exchange() {
   for (unsigned i = 0; i < all.size(); i++) {
     Instance &from = all[i];
-    mp_CrashNews news;
+    mp_CrashUpdate news;
     if (router_crash_version(from.world->router) == from.told &&
         now - from.told_at < refresh)
       continue;
--- a/test/matrix.cc
+++ b/test/matrix.cc
@@ -301,7 +301,7 @@
       reach(it->second);
   }
 
-  void onxcall(size_t n, const mp_Xcall &x) {
+  void onxcall(size_t n, const mp_EndpointCall &x) {
     if (n != entry || x.token.seq != 1 || x.token.start != 1)
       return;
     if (x.op == MP_X_PREFILL)
@@ -313,15 +313,15 @@
     xcalls[x.xcall] = x.op;
   }
 
-  std::map<uint64_t, mp_XcallOp> xcalls;
+  std::map<uint64_t, mp_EndpointOp> xcalls;
 
   void onx(size_t n, const mp_EndpointEvent &e) {
     if (n != entry || !xcalls.count(e.xcall))
       return;
-    mp_XcallOp op = xcalls[e.xcall];
+    mp_EndpointOp op = xcalls[e.xcall];
     if (op == MP_X_PREFILL && e.what == MP_EP_DONE)
       reach(STEP_KV);
-    if (op == MP_X_DECODE && e.what == MP_EP_PIECE && e.index == 2)
+    if (op == MP_X_DECODE && e.what == MP_EP_CHUNK && e.index == 2)
       reach(STEP_STREAM);
     if (op == MP_X_DECODE && e.what == MP_EP_DONE)
       reach(STEP_LAST);
@@ -330,7 +330,7 @@
   Outcome run() {
     const char *cls = c.kind == KIND_ASK ? "ask" : "once";
     s.onlog = [this](size_t n, const mp_Log &l) { onlog(n, l); };
-    s.onxcall = [this](size_t n, const mp_Xcall &x) { onxcall(n, x); };
+    s.onxcall = [this](size_t n, const mp_EndpointCall &x) { onxcall(n, x); };
     s.onx = [this](size_t n, uint64_t, const mp_EndpointEvent &e) {
       onx(n, e);
     };
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -310,7 +310,7 @@
   return count;
 }
 
-void Fleet::send_news(unsigned from, unsigned to, const mp_RateNews &news) {
+void Fleet::send_news(unsigned from, unsigned to, const mp_RateUpdate &news) {
   messages++;
   if (has_rate_news && hears(from, to))
     letters.push_back({now + options.news_delay, to,
@@ -329,7 +329,7 @@
 /* soon when there is something new, and again with each refresh */
 void Fleet::tell_rates(unsigned i) {
   Instance &one = all[i];
-  mp_RateNews news = {};
+  mp_RateUpdate news = {};
   guint64 version = router_rates_version(one.world->router);
   gint64 interval = interval_per_peer * peers_of(i);
   if (now - one.rates_at < (version == one.rates_told ? refresh : interval))
@@ -346,7 +346,7 @@
 
 void Fleet::tell_rate_sums(unsigned i) {
   Instance &one = all[i];
-  mp_RateNews news = {};
+  mp_RateUpdate news = {};
   if (now - one.rate_sums_at < least_between_rate_sums)
     return;
   one.rate_sums_at = now;
@@ -396,7 +396,8 @@
   one.summed_at = now;
   for (unsigned k = 0; k < all.size(); k++) {
     if (all[k].zone != one.zone && hears(i, k))
-      router_zone_load(all[k].world->router, one.sequence, &summary, now);
+      router_receive_summary(all[k].world->router, one.sequence, &summary,
+                             now);
   }
 }
 
--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -211,7 +211,7 @@
 void World::send_beat(Instance &from, mp_Addr to, gint64 asked) {
   if (from.cut_from_all)
     return;
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   mp_Addr address = from.address;
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
     told.changed[kind] = from.source[kind].follower.changed;
--- a/test/sim.h
+++ b/test/sim.h
@@ -121,7 +121,7 @@
   std::function<void(size_t, const mp_Log &)> onlog;
   /* called before an engine's event reaches a node */
   std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)> onx;
-  std::function<void(size_t, const mp_Xcall &)> onxcall;
+  std::function<void(size_t, const mp_EndpointCall &)> onxcall;
   bool trace = false;
 
   explicit Sim(uint64_t seed = 1);
@@ -191,13 +191,13 @@
   void reply(size_t n, const mp_Reply &r);
   void storecall(size_t n, const mp_StoreCall &s);
   void storereply(size_t n, uint64_t op, mp_StoreStatus st, const Object *o);
-  void xcall(size_t n, const mp_Xcall &x);
+  void xcall(size_t n, const mp_EndpointCall &x);
   void onengine(Engine &e, std::function<void()> f);
-  void begin(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
+  void begin(Engine &e, size_t n, const mp_EndpointCall &x, const Caller *c,
              const std::string &kv, const std::string &partial);
   void event(size_t n, mp_EndpointEvent ev, const std::string &text,
              mp_Time wait);
-  void fail(size_t n, uint64_t xcall, mp_EndpointFail f, mp_Time wait);
+  void fail(size_t n, uint64_t xcall, mp_EndpointFailure f, mp_Time wait);
   void tokens(mp_Addr engine, uint64_t serial);
   void prefilled(mp_Addr engine, uint64_t serial);
   void arrived(const Engine &e);
--- a/test/test_large_configuration.cc
+++ b/test/test_large_configuration.cc
@@ -171,7 +171,7 @@
 TEST(Relays, OneThatLacksWhatItHearsOfIsNotFreshByIt) {
   RelayTiming times = {watch_wait, bound};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   gint64 now = 10 * second;
   relay_group_advance_held(group, STORE_CONFIGURATION, at_revision(100), now);
   relay_group_advance_held(group, STORE_ENDPOINTS, at_revision(100), now);
--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -163,7 +163,7 @@
   mp_Time begun = s.now;
   bool struck = false;
   s.onx = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
-    if (e.what != MP_EP_PIECE || e.index != 2 || struck)
+    if (e.what != MP_EP_CHUNK || e.index != 2 || struck)
       return;
     struck = true;
     for (size_t i = 0; i < s.engines.size(); i++) {
@@ -422,18 +422,18 @@
   e.u.msg.from = 0xc0a80001ULL << 16 | 7000; /* 192.168.0.1 */
   e.u.msg.msg = &m;
   mp_Effect fx;
-  while (mp_take(s.nodes[0].M, &fx))
+  while (mp_next_effect(s.nodes[0].M, &fx))
     ;
   mp_feed(s.nodes[0].M, s.now, &e);
   EXPECT_EQ(mp_counter(s.nodes[0].M, MP_C_STRANGERS), 1u);
-  while (mp_take(s.nodes[0].M, &fx))
+  while (mp_next_effect(s.nodes[0].M, &fx))
     EXPECT_NE(fx.kind, MP_FX_SEND);
 }
 
 /* a long upload has the prefill engine; a lookup is sent there at once */
 TEST_F(World, ShortPromptDoesNotWaitBehindALongOne) {
   std::map<uint32_t, mp_Time> begun;
-  s.onxcall = [&](size_t, const mp_Xcall &x) {
+  s.onxcall = [&](size_t, const mp_EndpointCall &x) {
     if (x.op == MP_X_PREFILL)
       begun[x.token.seq] = s.now;
   };
--- a/test/test_relays.cc
+++ b/test/test_relays.cc
@@ -374,7 +374,7 @@
     g_array_append_val(near, one);
   }
   relay_group_set_members(group, near, far, now);
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   told.age_ms = 50;
   told.changed[STORE_CONFIGURATION] = store_position(1, 900);
   for (mp_Addr i = 1; i < 10; i++)
