--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -140,7 +140,7 @@
 
 TEST_F(World, LostLastPieceIsNoCleanEnd) {
   for (auto &e : s.engines)
-    e.losepiece = length("hello", 8);
+    e.lost_piece = length("hello", 8);
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 30 * sec);
   EXPECT_FALSE(at(a).ended);
@@ -150,11 +150,11 @@
 
 TEST_F(World, LostPieceIsResumed) {
   for (auto &e : s.engines)
-    e.losepiece = 3;
+    e.lost_piece = 3;
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 100 * ms);
   for (auto &e : s.engines)
-    e.losepiece = 0;
+    e.lost_piece = 0;
   s.run(s.now + 10 * sec);
   EXPECT_TRUE(at(a).ended);
 }
@@ -162,7 +162,7 @@
 TEST_F(World, FrozenStreamMovesToAnotherEngine) {
   mp_Time begun = s.now;
   bool struck = false;
-  s.onx = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
+  s.on_endpoint_event = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
     if (e.what != MP_EP_CHUNK || e.index != 2 || struck)
       return;
     struck = true;
@@ -226,14 +226,14 @@
 
 TEST_F(World, RefusedClaimCanComeBackWithTheSameId) {
   for (size_t i = 0; i < s.engines.size(); i++)
-    s.killengine(i);
+    s.kill_engine(i);
   s.run(s.now + 2 * sec);
   auto a = s.request(0, "plainonce", "k", "claim");
   s.run(s.now + 10 * sec);
   EXPECT_TRUE(at(a).failed);
   EXPECT_EQ(at(a).ran, MP_RAN_NO);
   for (size_t i = 0; i < s.engines.size(); i++)
-    s.reviveengine(i);
+    s.revive_engine(i);
   s.run(s.now + 35 * sec);
   auto b = s.request(2, "plainonce", "k", "claim");
   s.run(s.now + 5 * sec);
