--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -115,7 +115,7 @@
     if (all[i].is_frozen)
       continue;
     asked++;
-    all[i].asked[all[i].world->next_number()] = now;
+    all[i].asked[all[i].world->next_request_number()] = now;
     all[i].world->request(options.path, 1500);
     meet(i);
   }
@@ -125,7 +125,7 @@
 void Fleet::meet(unsigned i) {
   Instance &one = all[i];
   for (; one.seen < one.world->dispatches.size(); one.seen++) {
-    const Sent &sent = one.world->dispatches[one.seen];
+    const SentDispatch &sent = one.world->dispatches[one.seen];
     for (unsigned k = 0; k < endpoints.size(); k++) {
       if (endpoints[k].id != sent.endpoint)
         continue;
--- a/test/rate_fleet.h
+++ b/test/rate_fleet.h
@@ -25,7 +25,7 @@
 
 using routing::ms;
 using routing::second;
-using routing::Sent;
+using routing::SentDispatch;
 using routing::World;
 
 struct FleetOptions {
--- a/test/router_world.cc
+++ b/test/router_world.cc
@@ -1,6 +1,6 @@
 /*
 ** router_world.cc
-** A router with a host that writes down what it asks for
+** World: one real Router with a fake host, in virtual time, for tests
 */
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 void World::on_dispatch(void *data, const Dispatch *dispatch) {
   auto *world = static_cast<World *>(data);
-  Sent sent;
+  SentDispatch sent;
   sent.number = dispatch->number;
   sent.kind = dispatch->kind;
   sent.request = dispatch->request;
@@ -45,7 +45,7 @@
 
 void World::on_answer(void *data, guint64 request, const Outcome *outcome) {
   auto *world = static_cast<World *>(data);
-  Ended &ended = world->ended[request];
+  CallerResult &ended = world->ended[request];
   ended.at = world->now;
   switch (outcome->kind) {
   case OUTCOME_STREAM_HEAD:
@@ -62,7 +62,7 @@
 
 void World::on_refuse(void *data, guint64 request, const Refusal *refusal) {
   auto *world = static_cast<World *>(data);
-  Ended &ended = world->ended[request];
+  CallerResult &ended = world->ended[request];
   ended.refusals++;
   ended.refusal = refusal->kind;
   ended.retry_after_ms = refusal->retry_after_ms;
@@ -86,14 +86,14 @@
 
 void World::on_lease_call(void *data, const StoreCall *call) {
   auto *world = static_cast<World *>(data);
-  LeaseAsked asked;
-  asked.operation = call->operation;
-  asked.revision = call->position.revision;
+  LeaseCallRecord record;
+  record.operation = call->operation;
+  record.revision = call->position.revision;
   if (call->lease != nullptr) {
-    asked.holder = call->lease->holder;
-    asked.term = call->lease->term;
+    record.holder = call->lease->holder;
+    record.term = call->lease->term;
   }
-  world->lease_calls.push_back(asked);
+  world->lease_calls.push_back(record);
 }
 
 World::World(guint32 slack, double ratio, gint64 lease_length,
@@ -165,8 +165,8 @@
     account->plain_tokens = 200;
     account->rate = client.rate;
     account->burst = client.burst;
-    for (const char *one : client.keys)
-      route_table_add_key(table, one);
+    for (const char *client_key : client.keys)
+      route_table_add_key(table, client_key);
   }
   for (guint i = 0; i < table->routes->len; i++)
     static_cast<Route *>(table->routes->pdata[i])->objective = objective;
@@ -187,7 +187,7 @@
   router_set_endpoint(router, &record, gone, now);
 }
 
-void World::populate() {
+void World::add_default_endpoints() {
   configure();
   endpoint({"app-1", "app", "a", STAGE_NONE});
   endpoint({"app-2", "app", "b", STAGE_NONE});
@@ -218,7 +218,7 @@
   return send(path, call);
 }
 
-guint64 World::resumption(const std::string &path, guint64 session) {
+guint64 World::request_resumption(const std::string &path, guint64 session) {
   CallerRequest call = {};
   call.deadline_ms = 8000;
   call.prompt_tokens = 1000;
@@ -228,7 +228,7 @@
   return send(path, call);
 }
 
-guint64 World::next_number() const {
+guint64 World::next_request_number() const {
   return last_number + 1;
 }
 
@@ -272,12 +272,12 @@
 }
 
 void World::signal(guint64 dispatch, const EndpointSignals &signals) {
-  const Sent &one = sent(dispatch);
-  router_endpoint_signals(router, one.endpoint.c_str(), one.life, &signals,
-                          now);
+  const SentDispatch &target = sent(dispatch);
+  router_endpoint_signals(router, target.endpoint.c_str(), target.life,
+                          &signals, now);
 }
 
-static bool is_last(OutcomeKind kind) {
+static bool is_final_outcome(OutcomeKind kind) {
   return kind != OUTCOME_STREAM_HEAD && kind != OUTCOME_STREAM_PIECE;
 }
 
@@ -287,7 +287,7 @@
   outcome.kind = kind;
   outcome.status = status;
   for (auto &sent : dispatches) {
-    if (sent.number == dispatch && is_last(kind))
+    if (sent.number == dispatch && is_final_outcome(kind))
       sent.ended = true;
   }
   router_outcome(router, &outcome, now);
@@ -332,23 +332,24 @@
   router_lease_reply(router, &reply, now);
 }
 
-Sent &World::last() {
+SentDispatch &World::last() {
   return dispatches.back();
 }
 
-const Sent &World::sent(guint64 dispatch) const {
-  return *std::find_if(dispatches.begin(), dispatches.end(),
-                       [=](const Sent &s) { return s.number == dispatch; });
+const SentDispatch &World::sent(guint64 dispatch) const {
+  return *std::find_if(
+      dispatches.begin(), dispatches.end(),
+      [=](const SentDispatch &s) { return s.number == dispatch; });
 }
 
 unsigned World::runs(guint64 request) const {
-  return static_cast<unsigned>(
-      std::count_if(dispatches.begin(), dispatches.end(), [=](const Sent &s) {
+  return static_cast<unsigned>(std::count_if(
+      dispatches.begin(), dispatches.end(), [=](const SentDispatch &s) {
         return s.request == request && s.kind == DISPATCH_RUN;
       }));
 }
 
-Ended &World::end(guint64 request) {
+CallerResult &World::end(guint64 request) {
   return ended[request];
 }
 
--- a/test/test_accounts.cc
+++ b/test/test_accounts.cc
@@ -19,7 +19,7 @@
 
   void SetUp() override {
     world.clients = {{"first", {"key-1", "key-2"}}, {"second", {"key-3"}}};
-    world.populate();
+    world.add_default_endpoints();
     prove();
     world.key = "key-1";
   }
@@ -85,7 +85,7 @@
 
 TEST_F(Accounts, WithoutAccountsNoKeyIsNeeded) {
   World open;
-  open.populate();
+  open.add_default_endpoints();
   open.request("/safe/x");
   EXPECT_EQ(open.dispatches.size(), 1u);
 }
--- a/test/test_connections.cc
+++ b/test/test_connections.cc
@@ -104,7 +104,7 @@
 TEST(ConnectionsAtRest, WithoutRoomCallersHearThatItIsBusy) {
   World world;
   world.max_connections = 20;
-  world.populate();
+  world.add_default_endpoints();
   for (const char *id : {"app-1", "app-2"})
     router_set_connections(world.router, id, 20, 0);
   guint64 number = world.request("/safe/x");
@@ -122,7 +122,7 @@
   World world;
   mp_LoadDigest digest = {};
   world.max_connections = 110;
-  world.populate();
+  world.add_default_endpoints();
   for (int i = 3; i <= 60; i++) {
     std::string id = "app-" + std::to_string(i);
     world.endpoint({id.c_str(), "app", "a", STAGE_NONE});
@@ -153,7 +153,7 @@
   World world;
   mp_LoadDigest digest = {};
   world.max_connections = 110;
-  world.populate();
+  world.add_default_endpoints();
   router_set_connections(world.router, "app-1", 1, 1);
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.n, 0u);
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -100,15 +100,16 @@
 
   void SetUp() override {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
   }
   /* this endpoint says so with an answer to something */
   void leave(const char *id) {
     EndpointSignals said = routing::signals_leaving();
-    router_endpoint_signals(world.router, id, life_of(id), &said, world.now);
+    router_endpoint_signals(world.router, id, incarnation_hash_of(id), &said,
+                            world.now);
     ASSERT_EQ(router_leaving_endpoints(world.router), 1u);
   }
-  guint32 life_of(const char *id) {
+  guint32 incarnation_hash_of(const char *id) {
     EndpointRecord record = {};
     record.id = const_cast<char *>(id);
     record.started_unix_ms = world.started_unix_ms;
@@ -117,7 +118,7 @@
   /* dispatches of this kind at that endpoint */
   unsigned sent(DispatchKind kind, const char *id) const {
     unsigned count = 0;
-    for (const Sent &one : world.dispatches)
+    for (const SentDispatch &one : world.dispatches)
       count += one.kind == kind && one.endpoint == id;
     return count;
   }
@@ -174,7 +175,7 @@
 
 /* what an answer of the life before says binds this one in nothing */
 TEST_F(LeavingWorld, AnAnswerOfAnEarlierLifeSaysNothing) {
-  guint32 earlier = life_of("app-1");
+  guint32 earlier = incarnation_hash_of("app-1");
   EndpointSignals said = routing::signals_leaving();
   world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
@@ -185,7 +186,8 @@
 TEST_F(LeavingWorld, WithAllLeavingTheCallerHearsAtOnce) {
   EndpointSignals said = routing::signals_leaving();
   for (const char *id : {"app-1", "app-2"})
-    router_endpoint_signals(world.router, id, life_of(id), &said, world.now);
+    router_endpoint_signals(world.router, id, incarnation_hash_of(id), &said,
+                            world.now);
   guint64 number = world.request("/safe/x");
   EXPECT_EQ(world.end(number).refusals, 1);
   EXPECT_EQ(world.end(number).refusal, REFUSAL_NO_ENDPOINT);
@@ -194,11 +196,12 @@
 
 TEST_F(LeavingWorld, ARunGoesElsewhereThanToAReservedEngineThatLeaves) {
   guint64 number = world.request("/stream/x");
-  Sent prompt = world.last();
+  SentDispatch prompt = world.last();
   ASSERT_EQ(prompt.kind, DISPATCH_PREFILL);
   ASSERT_FALSE(world.notes.empty());
   std::string reserved =
-      world.notes.back().endpoint == life_of("dec-1") ? "dec-1" : "dec-2";
+      world.notes.back().endpoint == incarnation_hash_of("dec-1") ? "dec-1"
+                                                                  : "dec-2";
   leave(reserved.c_str());
   world.prefilled(prompt.number);
   EXPECT_EQ(world.runs(number), 1u);
@@ -216,7 +219,7 @@
 TEST_F(LeavingWorld, AStreamThatRunsThereGoesOn) {
   guint64 number = world.request("/resume/x");
   world.prefilled(world.last().number);
-  Sent run = world.last();
+  SentDispatch run = world.last();
   world.outcome(run.number, OUTCOME_STREAM_HEAD);
   leave(run.endpoint.c_str());
   world.piece(run.number, "1");
@@ -229,7 +232,7 @@
 TEST_F(LeavingWorld, ItsEndIsNoCrash) {
   world.request("/stream/x");
   world.prefilled(world.last().number);
-  Sent run = world.last();
+  SentDispatch run = world.last();
   leave(run.endpoint.c_str());
   world.outcome(run.number, OUTCOME_BROKEN);
   EXPECT_TRUE(world.checks.empty());
@@ -240,7 +243,7 @@
   leave("app-1");
   router_load_digest(world.router, &digest, world.now);
   ASSERT_EQ(digest.leaving_count, 1u);
-  EXPECT_EQ(digest.leaving[0], life_of("app-1"));
+  EXPECT_EQ(digest.leaving[0], incarnation_hash_of("app-1"));
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, false);
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.leaving_count, 0u);
@@ -254,8 +257,8 @@
   for (unsigned i = 0; i < many; i++) {
     std::string id = "more-" + std::to_string(i);
     world.endpoint({id.c_str(), "app", "a", STAGE_NONE});
-    router_endpoint_signals(world.router, id.c_str(), life_of(id.c_str()),
-                            &said, world.now);
+    router_endpoint_signals(world.router, id.c_str(),
+                            incarnation_hash_of(id.c_str()), &said, world.now);
   }
   for (int i = 0; i < 5; i++) {
     mp_LoadDigest digest = {};
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -98,7 +98,7 @@
 
   void SetUp() override {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
   }
   /* the endpoint of this dispatch turns it away, and asks for rest */
   void turn_away(guint64 dispatch, gint64 time) {
@@ -127,7 +127,7 @@
   }
   unsigned sent(const char *id) const {
     unsigned count = 0;
-    for (const Sent &one : world.dispatches)
+    for (const SentDispatch &one : world.dispatches)
       count += one.endpoint == id;
     return count;
   }
@@ -166,7 +166,7 @@
 
 TEST_F(RestWorld, AnAnswerToAnEarlierRequestEndsNone) {
   world.request("/safe/x");
-  Sent slow = world.last();
+  SentDispatch slow = world.last();
   ask(slow.endpoint.c_str(), 3 * second);
   world.signal(slow.number, routing::signals_served());
   world.outcome(slow.number, OUTCOME_ANSWER);
@@ -176,7 +176,7 @@
 /* nor is it cut short where a connection fails */
 TEST_F(RestWorld, AConnectionThatFailsEndsNone) {
   world.request("/safe/x");
-  Sent failed = world.last();
+  SentDispatch failed = world.last();
   ask(failed.endpoint.c_str(), 5 * second);
   world.outcome(failed.number, OUTCOME_UNREACHABLE);
   world.advance(4 * second);
@@ -216,7 +216,7 @@
   EXPECT_EQ(digest.row[0].failing, 100u);
   World other;
   other.started_unix_ms = 1000;
-  other.populate();
+  other.add_default_endpoints();
   router_set_instances(other.router, 2, 2);
   router_peer_load(other.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
                    other.now);
@@ -233,7 +233,7 @@
   ask("app-2", 2 * second);
   for (int i = 0; i < 20; i++) {
     guint64 number = world.request("/safe/x");
-    const routing::Ended &end = world.end(number);
+    const routing::CallerResult &end = world.end(number);
     ASSERT_EQ(end.refusals, 1);
     EXPECT_EQ(end.refusal, REFUSAL_REST);
     EXPECT_GE(end.retry_after_ms, 2000);
@@ -247,7 +247,7 @@
 /* what the caller is told after a run that may have run says no such thing */
 TEST_F(RestWorld, AnUnknownOutcomeHasNoTimeToComeBack) {
   guint64 number = world.request("/safe/x");
-  Sent first = world.last();
+  SentDispatch first = world.last();
   ask("app-1", 3 * second);
   ask("app-2", 3 * second);
   world.outcome(first.number, OUTCOME_BROKEN);
@@ -257,7 +257,7 @@
 
 TEST_F(RestWorld, ARefusedRunGoesToAnotherEndpoint) {
   guint64 number = world.request("/unsafe/x");
-  Sent first = world.last();
+  SentDispatch first = world.last();
   turn_away(first.number, 3 * second);
   EXPECT_EQ(world.runs(number), 2u);
   EXPECT_NE(world.last().endpoint, first.endpoint);
@@ -276,7 +276,7 @@
 
 TEST_F(RestWorld, ARunGoesElsewhereThanToAReservedEngineThatRests) {
   guint64 number = world.request("/stream/x");
-  Sent prompt = world.last();
+  SentDispatch prompt = world.last();
   ask("dec-1", 3 * second);
   world.prefilled(prompt.number);
   EXPECT_EQ(world.runs(number), 1u);
@@ -326,7 +326,7 @@
     ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
   }
   std::vector<guint64> prompts;
-  for (const Sent &one : world.dispatches)
+  for (const SentDispatch &one : world.dispatches)
     prompts.push_back(one.number);
   /* no decode engine takes a run: the handles are kept, and then dropped */
   ask("dec-1", 10 * second);
@@ -337,7 +337,7 @@
   for (guint64 caller : callers)
     world.hangup(caller);
   unsigned releases = 0;
-  for (const Sent &one : world.dispatches)
+  for (const SentDispatch &one : world.dispatches)
     releases += one.kind == DISPATCH_RELEASE;
   EXPECT_EQ(releases, 1u);
 }
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -85,7 +85,7 @@
 public:
   History() : world(100, 10.0, 3 * second) {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
   }
   /* what was sent though it was forbidden; empty: nothing */
   std::string play(const std::vector<Event> &events) {
@@ -100,7 +100,7 @@
   unsigned sent = 0;
 
 private:
-  guint32 life_of(unsigned i, gint64 born) const {
+  guint32 incarnation_hash_of(unsigned i, gint64 born) const {
     EndpointRecord record = {};
     record.id = const_cast<char *>(place[i].id);
     record.started_unix_ms = born;
@@ -118,7 +118,8 @@
     EndpointSignals signals = how % 7 == 0   ? signals_leaving()
                               : how % 2 == 0 ? signals_served()
                                              : signals_rest(rests[how % 6]);
-    bool is_present = words[i].listed && life == life_of(i, words[i].born);
+    bool is_present =
+        words[i].listed && life == incarnation_hash_of(i, words[i].born);
     router_endpoint_signals(world.router, place[i].id, life, &signals,
                             world.now);
     if (!is_present)
@@ -140,16 +141,16 @@
     }
     return places;
   }
-  Sent *open_dispatch(unsigned which) {
-    std::vector<Sent *> open;
-    for (Sent &one : world.dispatches) {
+  SentDispatch *open_dispatch(unsigned which) {
+    std::vector<SentDispatch *> open;
+    for (SentDispatch &one : world.dispatches) {
       if (!one.ended && !one.cancelled)
         open.push_back(&one);
     }
     return open.empty() ? nullptr : open[which % open.size()];
   }
   void end(unsigned which, unsigned how) {
-    Sent *one = open_dispatch(which);
+    SentDispatch *one = open_dispatch(which);
     if (one == nullptr)
       return;
     guint64 number = one->number;
@@ -181,7 +182,7 @@
     /* an earlier life's leaving binds the present one in nothing */
     gint64 born = how % 2 == 0 ? words[i].born : words[i].born - 1;
     digest.leaving_count = 1;
-    digest.leaving[0] = life_of(i, born);
+    digest.leaving[0] = incarnation_hash_of(i, born);
     router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), ++sequence,
                      &digest, world.now);
     if (how % 2 == 0 && words[i].listed)
@@ -203,11 +204,11 @@
       end(one.which, one.how);
       break;
     case ACT_SIGNAL:
-      if (const Sent *open = open_dispatch(one.which))
+      if (const SentDispatch *open = open_dispatch(one.which))
         tell(place_of(open->endpoint), open->life, one.how);
       break;
     case ACT_PROBE:
-      tell(i, life_of(i, words[i].born), one.how);
+      tell(i, incarnation_hash_of(i, words[i].born), one.how);
       break;
     case ACT_LIST:
       words[i].ready = one.how % 5 != 0;
@@ -246,7 +247,7 @@
     for (; seen < world.dispatches.size(); seen++)
       judge(world.dispatches[seen]);
   }
-  void judge(const Sent &one) {
+  void judge(const SentDispatch &one) {
     unsigned i = place_of(one.endpoint);
     Words &known = words[i];
     bool rests = world.now < known.rest_until;
--- a/test/test_lives.cc
+++ b/test/test_lives.cc
@@ -201,7 +201,7 @@
     size_t i = random() % names.size();
     world.request(round % 2 == 0 ? "/stream/x" : "/resume/x");
     for (; seen < world.dispatches.size(); seen++) {
-      Sent sent = world.dispatches[seen];
+      SentDispatch sent = world.dispatches[seen];
       if (sent.cancelled)
         continue;
       if (sent.kind == DISPATCH_PREFILL)
@@ -215,7 +215,7 @@
   }
   world.checks.clear();
   for (size_t k = 0; k < world.dispatches.size(); k++) {
-    Sent sent = world.dispatches[k];
+    SentDispatch sent = world.dispatches[k];
     if (sent.kind == DISPATCH_RUN && !sent.cancelled)
       world.outcome(sent.number, OUTCOME_STREAM_END);
     else if (sent.kind == DISPATCH_PREFILL && !sent.cancelled)
@@ -297,8 +297,9 @@
   start(plain, 1000);
   EndpointSignals says = {};
   says.leaving = SIGNAL_GIVEN;
-  router_endpoint_signals(world.router, plain.id, life_of(plain.id, 1000),
-                          &says, world.now);
+  router_endpoint_signals(world.router, plain.id,
+                          incarnation_hash_of(plain.id, 1000), &says,
+                          world.now);
   world.endpoint(plain, true, true);
   start(plain, 1000);
   EXPECT_EQ(world.runs(world.request("/unsafe/x")), 0u);
--- a/test/test_metrics.cc
+++ b/test/test_metrics.cc
@@ -25,7 +25,7 @@
   carriers.held_at[STORE_ENDPOINTS] = store_position(2, 31);
   carriers.bad_objects[STORE_ENDPOINTS][RECORD_SLOTS] = 4;
   carriers.bad_objects[STORE_ENDPOINTS][RECORD_NAME] = 2;
-  world.populate();
+  world.add_default_endpoints();
   world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_ANSWER);
   GString *text = metrics_text(world.router, &carriers);
--- a/test/test_overload.cc
+++ b/test/test_overload.cc
@@ -22,7 +22,7 @@
 
 using routing::ms;
 using routing::second;
-using routing::Sent;
+using routing::SentDispatch;
 using routing::World;
 
 namespace {
@@ -153,7 +153,7 @@
 
   void meet(Instance &one) {
     for (; one.seen < one.world->dispatches.size(); one.seen++) {
-      const Sent &sent = one.world->dispatches[one.seen];
+      const SentDispatch &sent = one.world->dispatches[one.seen];
       auto index = static_cast<size_t>(&one - all.data());
       if (sent.kind == DISPATCH_PREFILL)
         runs.push_back({index, sent.number, now + prompt_time, true});
@@ -163,7 +163,7 @@
     one.world->checks.clear();
   }
 
-  void begin_run(Instance &one, size_t index, const Sent &sent) {
+  void begin_run(Instance &one, size_t index, const SentDispatch &sent) {
     auto length =
         run_least + static_cast<gint64>(
                         chance() * static_cast<double>(run_most - run_least));
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -214,7 +214,7 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
   }
   /* the open dispatch's answer names this rate, or none */
   void name(double rate) {
@@ -278,7 +278,7 @@
 
 TEST_F(RateWorld, ALaterLifeHasNone) {
   world.started_unix_ms = 1000;
-  world.populate();
+  world.add_default_endpoints();
   std::string limited = served("/safe/x", 1);
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
   world.started_unix_ms = 2000;
--- a/test/test_router.cc
+++ b/test/test_router.cc
@@ -18,7 +18,7 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
   }
 
   /* a stream that has been prefilled and whose run is out */
@@ -64,7 +64,7 @@
 
 TEST_F(Routed, UnreachableCostsNoRetry) {
   World strict(0, 0.0); /* no retry is allowed at all */
-  strict.populate();
+  strict.add_default_endpoints();
   guint64 request = strict.request("/unsafe/x");
   std::string first = strict.last().endpoint;
   strict.outcome(strict.last().number, OUTCOME_UNREACHABLE);
@@ -295,7 +295,7 @@
   const char *const engines[] = {"dec-1", "dec-2"};
   for (const char *engine : engines) {
     mp_LoadRow &row = digest.row[digest.n++];
-    row.endpoint = life_of(engine);
+    row.endpoint = incarnation_hash_of(engine);
     row.tokens = tokens;
     row.open = tokens > 0 ? 3 : 0;
   }
@@ -335,7 +335,7 @@
 
 TEST(Reading, AWaitingRequestIsReadAnewOnlyWithinTheRetryBudget) {
   World strict(0, 0.0);
-  strict.populate();
+  strict.add_default_endpoints();
   guint64 request = strict.request("/stream/x");
   fill(strict, 1, 9500);
   strict.prefilled(strict.last().number, "h7");
@@ -378,7 +378,7 @@
 TEST_F(Routed, APromptThatIsLostWithoutARetryLeftIsRefused) {
   for (OutcomeKind kind : {OUTCOME_BROKEN, OUTCOME_NOT_RUN}) {
     World strict(0, 0.0);
-    strict.populate();
+    strict.add_default_endpoints();
     strict.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
     guint64 request = strict.request("/stream/x");
     size_t sent = strict.dispatches.size();
@@ -392,7 +392,7 @@
 /* nothing is gained by leaving an engine's queue for nowhere */
 TEST_F(Routed, ALatePromptWaitsOnWithoutARetryLeft) {
   World strict(0, 0.0);
-  strict.populate();
+  strict.add_default_endpoints();
   strict.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   guint64 request = strict.request("/stream/x");
   guint64 prefill = strict.last().number;
@@ -406,7 +406,7 @@
 
 TEST_F(Routed, APromptGoesToAnotherPrefillEngineBeforeADecodeEngineReadsIt) {
   World strict(0, 10.0);
-  strict.populate();
+  strict.add_default_endpoints();
   strict.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
   strict.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
   guint64 request = strict.request("/stream/x");
@@ -427,7 +427,7 @@
 
 TEST_F(Routed, APrefillEngineOutOfReachCostsNoRetry) {
   World strict(0, 0.0);
-  strict.populate();
+  strict.add_default_endpoints();
   strict.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
   strict.request("/stream/x");
   std::string first = strict.last().endpoint;
@@ -539,9 +539,10 @@
   world.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
   world.endpoint({"dec-3", "llm", "a", STAGE_DECODE});
   for (guint64 session = 1; session <= 9; session++) {
-    guint64 first = world.resumption("/resume/x", session);
+    guint64 first = world.request_resumption("/resume/x", session);
     std::string home = world.last().endpoint;
-    guint64 second = world.resumption("/resume/x", session); /* one more */
+    guint64 second =
+        world.request_resumption("/resume/x", session); /* one more */
     EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
     EXPECT_EQ(world.last().endpoint, home) << session;
     world.hangup(first);
@@ -573,7 +574,7 @@
 
 TEST(Reading, ASecondReadingNeedsTheRetryBudget) {
   World strict(0, 1.5); /* one extra arrival: the second run's */
-  strict.populate();
+  strict.add_default_endpoints();
   guint64 request = strict.request("/resume/x");
   strict.prefilled(strict.last().number);
   strict.outcome(strict.last().number, OUTCOME_STREAM_HEAD);
@@ -586,7 +587,7 @@
 
 TEST(Silence, EndsNoStreamThatTheBudgetForbidsToResume) {
   World strict(0, 0.0);
-  strict.populate();
+  strict.add_default_endpoints();
   guint64 request = strict.request("/resume/x");
   strict.prefilled(strict.last().number);
   guint64 run = strict.last().number;
@@ -722,7 +723,7 @@
 TEST_F(Routed, WhatOthersHaveOpenTakesRoom) {
   mp_LoadDigest own;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/stream/x", 10000, 9000);
   other.request("/stream/x", 10000, 9000);
   router_load_digest(other.router, &own, other.now);
@@ -757,7 +758,7 @@
 TEST_F(Routed, ASilentEngineIsDoubtedHereAndByTheOthers) {
   mp_LoadDigest digest;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   running("/stream/x");
   std::string silent = world.last().endpoint;
   world.advance(600 * ms);
@@ -777,7 +778,7 @@
 TEST_F(Routed, AnEndpointOutOfReachIsToldToTheOthers) {
   mp_LoadDigest digest;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   world.request("/unsafe/x");
   std::string dead = world.last().endpoint;
   world.outcome(world.last().number, OUTCOME_UNREACHABLE);
@@ -807,7 +808,7 @@
   std::set<std::string> met;
   for (const char *full : {"dec-1", "dec-2"}) {
     World one;
-    one.populate();
+    one.add_default_endpoints();
     one.request("/stream/x", 10000, 4000);
     mp_LoadDigest digest = load_at(full, 9000);
     router_peer_load(one.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
@@ -824,7 +825,7 @@
   const mp_Addr peer = mp_addr_parse("10.0.0.9:1");
   mp_LoadDigest digest;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   router_load_digest(other.router, &digest, other.now);
   router_peer_load(world.router, peer, 7, &digest, world.now);
   other.request("/stream/x", 10000, 9000);
@@ -850,7 +851,7 @@
   mp_LoadDigest full;
   mp_LoadDigest empty = {};
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/stream/x", 10000, 9000);
   other.request("/stream/x", 10000, 9000);
   router_load_digest(other.router, &full, other.now);
@@ -865,7 +866,7 @@
 TEST_F(Routed, ASilentPeerHasNothingOpen) {
   mp_LoadDigest full;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/stream/x", 10000, 9000);
   other.request("/stream/x", 10000, 9000);
   router_load_digest(other.router, &full, other.now);
@@ -894,7 +895,7 @@
 
 TEST(Budget, AYoungInstanceHasNoShareOfTheSlack) {
   World world(100, 0.0);
-  world.populate();
+  world.add_default_endpoints();
   guint64 request = world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
   EXPECT_EQ(world.runs(request), 1u);
@@ -903,7 +904,7 @@
 
 TEST(Budget, TheSlackIsSharedByTheInstances) {
   World world(100, 0.0);
-  world.populate();
+  world.add_default_endpoints();
   router_set_instances(world.router, 10, 10);
   world.now += 20 * second;
   unsigned again = 0;
@@ -924,7 +925,7 @@
   explicit Instances(unsigned count, guint32 slack, double ratio) {
     for (unsigned i = 0; i < count; i++) {
       all.push_back(std::make_unique<World>(slack, ratio));
-      all.back()->populate();
+      all.back()->add_default_endpoints();
       router_set_instances(all.back()->router, count, count);
     }
   }
@@ -1028,7 +1029,7 @@
 TEST(Budget, ANewLifeOfAPeerIsCountedFromItsStart) {
   World world(100, 0.0);
   mp_LoadDigest digest = {};
-  world.populate();
+  world.add_default_endpoints();
   router_set_instances(world.router, 2, 2);
   world.request("/unsafe/x"); /* the service is known */
   world.now += 20 * second;
@@ -1047,7 +1048,7 @@
 
 TEST(Budget, HoldsInEverySlidingWindow) {
   World world(0, 0.2);
-  world.populate();
+  world.add_default_endpoints();
   std::vector<gint64> requests;
   std::vector<gint64> extras;
   for (int i = 0; i < 2000; i++) {
@@ -1078,7 +1079,7 @@
   static constexpr gint64 objective = 120 * ms;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
     world.configure(2, 800 * ms, objective);
   }
   /* in percent, as the others hear it */
--- a/test/test_stages.cc
+++ b/test/test_stages.cc
@@ -123,8 +123,8 @@
       world.advance(110 * ms);
     }
   }
-  std::vector<Sent> sent(DispatchKind kind) const {
-    std::vector<Sent> found;
+  std::vector<SentDispatch> sent(DispatchKind kind) const {
+    std::vector<SentDispatch> found;
     for (const auto &one : world.dispatches) {
       if (one.kind == kind)
         found.push_back(one);
@@ -144,7 +144,7 @@
     world.lease(STORE_OK, 70, "me");
   }
   /* and the engines that were chosen are asked for their state */
-  std::vector<Sent> asked() {
+  std::vector<SentDispatch> asked() {
     hold();
     world.advance(500 * ms);
     return sent(DISPATCH_REPORT);
--- a/test/test_summaries.cc
+++ b/test/test_summaries.cc
@@ -19,7 +19,7 @@
 constexpr mp_Addr relay_two = 0x0a01000000020001;
 
 guint32 hash_of(const char *endpoint) {
-  return life_of(endpoint);
+  return incarnation_hash_of(endpoint);
 }
 
 mp_LoadSummary full_engines(mp_Addr relay, guint32 tokens) {
@@ -40,7 +40,7 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
   }
   bool has_room() {
     size_t before = world.dispatches.size();
@@ -228,7 +228,7 @@
 mp_LoadSummary totals(mp_Addr relay, guint32 requests, guint32 extras) {
   mp_LoadSummary summary = {};
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/unsafe/x");
   router_load_digest(other.router, &summary.loads, other.now);
   EXPECT_EQ(summary.loads.retry_count, 1u);
@@ -246,7 +246,7 @@
   guint32 sequence = 0;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
     router_set_instances(world.router, 2, 1);
     world.request("/unsafe/x"); /* the service is known */
     world.now += 20 * second;
@@ -272,7 +272,7 @@
 /* the kind of the first dispatch of a request for an engine */
 DispatchKind first_dispatch(unsigned near, gint64 age) {
   World one(0, 0.0); /* no extra arrival is left */
-  one.populate();
+  one.add_default_endpoints();
   router_set_instances(one.router, 60, near);
   one.now += age;
   one.request("/stream/x");
