--- a/test/rate_fleet.h
+++ b/test/rate_fleet.h
@@ -1,12 +1,16 @@
 /*
 ** rate_fleet.h
-** Instances before endpoints that name the rate they take, say that they leave
-** or ask for rest, in virtual time: callers who come unevenly, datagrams that
-** are late or lost, cuts and kills
+** Fleet: several instances in front of plain endpoints, in virtual time
 **
-** The decisions are the product's (Router); the fleet carries what instances
-** tell each other as io/load_exchange.c and io/relays.c do: many instances
-** hear those of their data centre, and the others' sums from relays.
+** An endpoint's answers may name the rate of requests that it accepts from all
+** instances together, say that it is leaving, or refuse and ask for rest (no
+** requests for a time). Callers are spread unevenly over the instances;
+** datagrams between instances are delayed or lost; instances are partitioned,
+** frozen and killed. The decisions are those of the real Router (one World for
+** each instance); the fleet carries load and rate news between instances as
+** io/load_exchange.c and io/relays.c do: up to 30 instances send to each
+** other; of more, each sends to those of its own data centre, and one relay
+** for each data centre sends summaries to the others. Times are in us.
 */
 
 #ifndef RATE_FLEET_H
@@ -32,60 +36,67 @@
   unsigned seed = 1;
   unsigned instances = 8;
   unsigned zones = 3;
-  unsigned endpoints = 3; /* of the plain service, one zone after the other */
-  double demand = 60;     /* requests a second, over all instances */
-  double at_first = 0.5;  /* share of it that comes to the first instance */
-  double loss = 0.02;     /* of datagrams */
-  gint64 work = 60 * ms;  /* that an endpoint takes for a request */
+  unsigned endpoints = 3; /* assigned to the zones in turn */
+  double demand = 60;     /* requests per second, over all instances */
+  double at_first = 0.5;  /* share of it that the first instance gets */
+  double loss = 0.02;     /* share of the datagrams that is lost */
+  gint64 work = 60 * ms;  /* an endpoint's time for one request */
   const char *path = "/safe/x";
-  double failing = 0;    /* share of the answers that are the endpoint's 500 */
-  gint64 news_delay = 0; /* of news of rates: machines that are slow */
-  guint32 max_connections = 0; /* at an endpoint, of all callers; 0: any */
+  double failing = 0;          /* share of the answers with status 500 */
+  gint64 rate_news_delay = 0;  /* delay of rate news, as on slow machines */
+  guint32 max_connections = 0; /* at one endpoint; 0: no limit */
   guint32 retry_slack = 58;
   double retry_ratio = 0.2;
 };
 
-/* a request that reached an endpoint */
+/* A request that reached an endpoint. */
 struct Arrival {
   gint64 at;
   unsigned instance;
-  bool in_trouble; /* the instance was restarted, frozen or cut lately */
-  gint64 asked;    /* when its caller sent it */
-  int life;        /* of the instance */
+  bool was_disturbed; /* in the last 3 s the instance was restarted or frozen,
+                      ** or a partition changed, or one exists */
+  gint64 asked_at;    /* when its caller sent it */
+  int incarnation;    /* of the instance; grows with each restart */
 };
 
-/* an answer that says that its endpoint leaves was passed on, or one that asks
-** for rest came */
-struct Told {
+/*
+** An answer with a signal other than a rate: the endpoint is leaving, or it
+** asks for rest. 'at' is when it reached the instance.
+*/
+struct SignalledAnswer {
   gint64 at;
   unsigned instance;
-  int life; /* of the instance */
-  gint64 rest;
+  int incarnation; /* of the instance */
+  gint64 rest;     /* asked for, us; 0: the endpoint is leaving */
 };
 
-/* an endpoint's answers name this rate from then on */
-struct Naming {
+/* From 'at' on an endpoint's answers name this rate (requests per second). */
+struct RateChange {
   gint64 at;
   double rate;
 };
 
-struct Plain {
-  Plain(const std::string &id_, const std::string &zone_)
+/* A plain endpoint, its behaviour, and what the fleet recorded of it. */
+struct PlainEndpoint {
+  PlainEndpoint(const std::string &id_, const std::string &zone_)
       : id(id_), zone(zone_) {
   }
   std::string id, zone;
-  double limit = RATE_UNLIMITED; /* that its answers name */
-  gint64 named_at = 0; /* when its first answer named one; 0: none did */
+  double limit = RATE_UNLIMITED; /* rate that its answers name */
+  gint64 rate_named_at = 0; /* time of the first answer with a rate; 0: none */
   std::vector<Arrival> arrivals{};
-  std::vector<Naming> namings{};
-  /* instance -> when it first passed on an answer that named a limit */
-  std::map<unsigned, gint64> told{};
-  bool is_leaving = false; /* its answers say so */
-  gint64 rest = 0;      /* it turns all away, and asks for so long; 0: not */
-  double resting = 1;   /* share that it turns away then */
-  gint64 rest_work = 0; /* time that it takes to turn one away */
-  std::vector<Told> leavings{}, rests{};
-  /* of all instances; the most at once, and those that it reset */
+  std::vector<RateChange> rate_changes{};
+  /* by instance: when it got its first answer with a rate */
+  std::map<unsigned, gint64> first_rate_answer_at{};
+  bool is_leaving = false; /* its answers say that it is leaving */
+  gint64 rest = 0;    /* it refuses requests and asks for this rest; 0: not */
+  double resting = 1; /* share of the requests that it refuses then */
+  gint64 rest_work = 0; /* time that a refusal takes */
+  std::vector<SignalledAnswer> leaving_answers{}, rests{};
+  /*
+  ** Open connections from all instances, their maximum, and connections that
+  ** it reset because they exceeded FleetOptions.max_connections.
+  */
   unsigned connections = 0, connections_max = 0, resets = 0;
 };
 
@@ -93,41 +104,58 @@
 public:
   explicit Fleet(const FleetOptions &options);
 
+  /* Lets this time pass, in steps of 5 ms. */
   void pass(gint64 span);
-  /* endpoint 'i' names this rate from now on; RATE_UNLIMITED: none */
-  void name(unsigned i, double rate);
-  /* a share of the instances is killed, and starts again at once */
+  /* From now on endpoint 'i' names this rate; RATE_UNLIMITED: none. */
+  void set_rate(unsigned i, double rate);
+  /* Kills each instance with this probability and restarts it at once. */
   void kill(double share);
-  /* instance 'i' is frozen or goes on */
-  void freeze(unsigned i, bool frozen);
-  /* datagrams between the two parts of the instances are lost: those below
-  ** 'at' and the others; 0: no cut */
-  void cut(unsigned at);
-  /* all instances hear from the store that endpoint 'i' is ready or drains */
+  /* Freezes instance 'i' or lets it go on. */
+  void set_frozen(unsigned i, bool frozen);
+  /*
+  ** From now on datagrams between the instances below 'first' and the others
+  ** are lost; 0: there is no partition.
+  */
+  void set_partition(unsigned first);
+  /*
+  ** All instances hear from the store that endpoint 'i' is ready or draining.
+  */
   void list(unsigned i, bool ready);
-  /* arrivals of requests that were sent later than 'after' behind an answer
-  ** that this instance passed on, or else that any had */
-  unsigned after_leaving(unsigned i, gint64 after, bool of_all) const;
-  /* the most arrivals from one instance in a rest that it was asked for, from
-  ** half a second on */
-  unsigned most_in_a_rest(unsigned i) const;
-  /* callers come at all */
+  /*
+  ** Returns the number of requests that reached endpoint 'i' although their
+  ** callers sent them more than 'after' later than an answer that said that it
+  ** is leaving: an answer to the same incarnation of the instance, or with
+  ** 'of_all' to any instance.
+  */
+  unsigned arrivals_after_leaving(unsigned i, gint64 after, bool of_all) const;
+  /*
+  ** Returns the most requests that one instance sent to endpoint 'i' during a
+  ** rest that it had been asked for, later than 500 ms after the answer and up
+  ** to the end of the rest.
+  */
+  unsigned max_arrivals_in_rest(unsigned i) const;
+  /* Whether callers send requests. */
   bool has_callers = true;
-  /* what instances tell each other of rates arrives at all */
+  /* Whether rate news between instances arrives; if not, all of it is lost. */
   bool has_rate_news = true;
-  double demand;
-
-  /* the most requests in any four seconds that end between these moments, less
-  ** 'times' of what the rates named meanwhile allow; of all instances, or of
-  ** those alone that it had told half a second before and that were in no
-  ** trouble */
-  double worst_excess(unsigned i, gint64 from, gint64 until, double times,
-                      bool of_all) const;
+  double demand; /* requests per second, over all instances */
+
+  /*
+  ** Returns the maximum (-HUGE_VAL if there is none), over all windows of 4 s
+  ** that end in [from, until) with an arrival, of the arrivals at endpoint 'i'
+  ** in the window minus 'times' the number that its rates in that window
+  ** allow. Counted are the arrivals of all instances ('of_all'), or only those
+  ** of instances that got an answer with a rate at least 500 ms earlier and
+  ** were not disturbed.
+  */
+  double max_rate_excess(unsigned i, gint64 from, gint64 until, double times,
+                         bool of_all) const;
+  /* Returns the number of arrivals at endpoint 'i' in [from, until). */
   unsigned arrived(unsigned i, gint64 from, gint64 until) const;
-  std::vector<Plain> endpoints;
-  unsigned asked = 0, answered = 0, refused = 0;
-  std::vector<gint64> retry_after_ms; /* of the refusals */
-  unsigned messages = 0;              /* that instances sent for limits */
+  std::vector<PlainEndpoint> endpoints;
+  unsigned asked = 0, answered = 0, refused = 0; /* requests */
+  std::vector<gint64> retry_after_ms;            /* of each refusal */
+  unsigned messages = 0; /* messages with rates that instances sent */
 
   gint64 now = 100 * second;
 
@@ -137,12 +165,12 @@
     unsigned instance;
     guint64 dispatch;
     unsigned endpoint;
-    int life;        /* of the instance */
-    bool turns_away; /* and asks for rest */
+    int incarnation; /* of the instance */
+    bool is_refusal; /* the endpoint refuses and asks for rest */
     gint64 rest;
   };
-  /* news of rates on their way */
-  struct Letter {
+  /* Rate news that is due at its receiver at 'due'. */
+  struct RateNewsInFlight {
     gint64 due;
     unsigned to;
     mp_Addr from;
@@ -151,54 +179,55 @@
   struct Instance {
     std::unique_ptr<World> world;
     std::string address, zone;
-    size_t seen = 0;
-    std::map<guint64, gint64> asked; /* request -> when */
-    /* by endpoint: connections, and until when the resting ones are kept */
+    size_t handled_dispatches = 0;
+    std::map<guint64, gint64> asked_at; /* by number of the request */
+    /* By endpoint: open connections, and when each idle one expires. */
     std::vector<unsigned> connections;
-    std::vector<std::deque<gint64>> resting;
+    std::vector<std::deque<gint64>> idle_until;
     gint64 trimmed_at = 0;
-    int life = 0;
-    guint64 told = 0, plain_told = 0;
-    gint64 told_at = 0, summed_at = 0;
-    guint64 rates_told = 0;
-    gint64 rates_at = 0, rate_sums_at = 0;
+    int incarnation = 0;
+    guint64 load_version_sent = 0, plain_version_sent = 0;
+    gint64 digest_sent_at = 0, summary_sent_at = 0;
+    guint64 rates_version_sent = 0;
+    gint64 rates_sent_at = 0, rate_sums_sent_at = 0;
     guint32 sequence = 0;
     bool is_frozen = false;
-    gint64 trouble_at = 0; /* it was killed, frozen or cut off then */
+    /* last restart, freeze, thaw or change of a partition */
+    gint64 disturbed_at = 0;
   };
 
   void start(unsigned i);
-  void callers();
-  void meet(unsigned i);
-  void end_due_runs();
-  bool connect(unsigned i, unsigned k);
-  void free_connection(unsigned i, unsigned k, bool rests);
-  void count_connections(unsigned i, unsigned k);
+  void send_caller_requests();
+  void handle_new_dispatches(unsigned i);
+  void finish_due_runs();
+  bool open_connection(unsigned i, unsigned k);
+  void release_connection(unsigned i, unsigned k, bool may_stay_idle);
+  void report_connections(unsigned i, unsigned k);
   void expire_connections(unsigned i);
-  void end_run(const Run &run);
+  void finish_run(const Run &run);
   EndpointSignals signals_of(const Run &run);
-  void exchange();
-  gint64 due_after(unsigned i) const;
-  void tell_near(unsigned i);
-  void tell_far(unsigned i);
-  void tell_rates(unsigned i);
-  void tell_rate_sums(unsigned i);
-  bool is_near(unsigned from, unsigned to) const;
-  gint64 peers_of(unsigned i) const;
+  void exchange_news();
+  gint64 digest_interval(unsigned i) const;
+  void send_load_digest(unsigned i);
+  void send_load_summary(unsigned i);
+  void send_rates(unsigned i);
+  void send_rate_sums(unsigned i);
+  bool is_direct_peer(unsigned from, unsigned to) const;
+  gint64 direct_peer_count(unsigned i) const;
   bool is_relay(unsigned i) const;
-  bool hears(unsigned from, unsigned to);
-  bool is_summing() const;
-  double chance();
+  bool is_delivered(unsigned from, unsigned to);
+  bool uses_summaries() const;
+  double random_fraction();
 
   FleetOptions options;
   std::mt19937 random;
-  std::vector<Instance> all;
+  std::vector<Instance> instances;
   void send_news(unsigned from, unsigned to, const mp_RateNews &news);
   void deliver_news();
   std::deque<Run> runs;
-  std::deque<Letter> letters;
-  unsigned cut_at = 0;
-  double owed = 0;
+  std::deque<RateNewsInFlight> rate_news_in_flight;
+  unsigned partition_start = 0; /* as in set_partition() */
+  double requests_due = 0;      /* fraction of the next request, by demand */
 };
 
 } // namespace rates
--- a/test/test_connections.cc
+++ b/test/test_connections.cc
@@ -49,7 +49,7 @@
     fleet.pass(2 * second);
     fleet.demand = GetParam().demand;
     fleet.pass(10 * second);
-    for (const Plain &endpoint : fleet.endpoints) {
+    for (const PlainEndpoint &endpoint : fleet.endpoints) {
       EXPECT_EQ(endpoint.resets, 0u);
       EXPECT_LE(endpoint.connections_max, GetParam().most);
       EXPECT_GE(endpoint.connections_max, 0.9 * GetParam().most);
@@ -65,7 +65,7 @@
   fleet.pass(5 * second);
   fleet.demand = GetParam().demand;
   fleet.pass(5 * second);
-  for (const Plain &endpoint : fleet.endpoints)
+  for (const PlainEndpoint &endpoint : fleet.endpoints)
     EXPECT_EQ(endpoint.resets, 0u);
 }
 
@@ -93,7 +93,7 @@
   fleet.pass(5 * second);
   unsigned arrived = 0;
   unsigned resets = 0;
-  for (const Plain &endpoint : fleet.endpoints) {
+  for (const PlainEndpoint &endpoint : fleet.endpoints) {
     arrived += static_cast<unsigned>(endpoint.arrivals.size());
     resets += endpoint.resets;
   }
@@ -178,7 +178,7 @@
   fleet.pass(10 * second);
   unsigned arrived = 0;
   unsigned opened = 0;
-  for (const Plain &endpoint : fleet.endpoints) {
+  for (const PlainEndpoint &endpoint : fleet.endpoints) {
     arrived += static_cast<unsigned>(endpoint.arrivals.size());
     opened += endpoint.connections_max;
     EXPECT_EQ(endpoint.resets, 0u);
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -54,8 +54,8 @@
     fleet.pass(2 * second);
     fleet.endpoints[0].is_leaving = true;
     fleet.pass(8 * second);
-    ASSERT_FALSE(fleet.endpoints[0].leavings.empty());
-    EXPECT_EQ(fleet.after_leaving(0, most_after, false), 0u);
+    ASSERT_FALSE(fleet.endpoints[0].leaving_answers.empty());
+    EXPECT_EQ(fleet.arrivals_after_leaving(0, most_after, false), 0u);
   }
 }
 
@@ -72,7 +72,7 @@
     fleet.pass(second);
     gint64 all_know = fleet.now;
     fleet.pass(3 * second);
-    ASSERT_FALSE(fleet.endpoints[0].leavings.empty());
+    ASSERT_FALSE(fleet.endpoints[0].leaving_answers.empty());
     EXPECT_EQ(fleet.arrived(0, all_know, fleet.now), 0u);
     EXPECT_EQ(fleet.refused, 0u) << "the others take the rest";
   }
@@ -86,7 +86,7 @@
     fleet.pass(500 * ms);
     fleet.list(0, true);
   }
-  EXPECT_EQ(fleet.after_leaving(0, most_after, false), 0u);
+  EXPECT_EQ(fleet.arrivals_after_leaving(0, most_after, false), 0u);
 }
 
 /*
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -50,7 +50,7 @@
     fleet.endpoints[0].rest = rest;
     fleet.pass(10 * second);
     ASSERT_FALSE(fleet.endpoints[0].rests.empty());
-    EXPECT_LE(fleet.most_in_a_rest(0), most_in_rest);
+    EXPECT_LE(fleet.max_arrivals_in_rest(0), most_in_rest);
   }
 }
 
@@ -60,12 +60,12 @@
     SCOPED_TRACE(instances);
     Fleet fleet(options(instances, 6));
     fleet.pass(2 * second);
-    for (Plain &endpoint : fleet.endpoints)
+    for (PlainEndpoint &endpoint : fleet.endpoints)
       endpoint.rest = rest;
     fleet.pass(10 * second);
     for (unsigned i = 0; i < fleet.endpoints.size(); i++) {
       ASSERT_FALSE(fleet.endpoints[i].rests.empty());
-      EXPECT_LE(fleet.most_in_a_rest(i), most_in_rest);
+      EXPECT_LE(fleet.max_arrivals_in_rest(i), most_in_rest);
     }
   }
 }
@@ -77,13 +77,13 @@
     FleetOptions slow = options(instances, 7);
     slow.work = 900 * ms;
     Fleet fleet(slow);
-    for (Plain &endpoint : fleet.endpoints) {
+    for (PlainEndpoint &endpoint : fleet.endpoints) {
       endpoint.rest = rest;
       endpoint.resting = 0.2;
     }
     fleet.pass(10 * second);
     for (unsigned i = 0; i < fleet.endpoints.size(); i++)
-      EXPECT_LE(fleet.most_in_a_rest(i), most_in_rest);
+      EXPECT_LE(fleet.max_arrivals_in_rest(i), most_in_rest);
   }
 }
 
