--- a/test/test_random.cc
+++ b/test/test_random.cc
@@ -1,13 +1,14 @@
 /*
 ** test_random.cc
-** Random faults at random moments against one router, in virtual time
+** Random faults at random moments against one Router, in virtual time
 **
-** A model of endpoints answers each dispatch in every way that is known:
-** well, not at all, broken before or in the middle, not run, out of reach,
-** with a failure; callers leave; endpoints come, leave and vanish;
-** configurations change; peers report loads. Promises are checked from
-** what the callers and the endpoints saw. A seed that ever failed stays in
-** the list below with a line on its cause.
+** Guards against a request that ends twice or never, that runs more often than
+** its route allows, or that is refused as "not run" although it may have run,
+** and against streams with lost or repeated events. Model endpoints answer a
+** dispatch completely, with status 500, not at all or only in part, refuse to
+** run it, or are unreachable; callers hang up; endpoints are added, drained
+** and removed; the configuration changes; peers report loads. The checks use
+** only what the callers and the endpoints saw.
 */
 
 #include <gtest/gtest.h>
@@ -22,20 +23,22 @@
 
 namespace {
 
-enum class Class { safe, unsafe, stream, resumable };
+enum class RouteClass { safe, unsafe, stream, resumable };
 
-struct Asked {
-  Class what;
-  bool left = false; /* the caller hung up */
+/* A request as its caller sees it. */
+struct CallerRequestState {
+  RouteClass route_class;
+  bool is_gone = false; /* the caller hung up */
 };
 
-/* a dispatch as its endpoint lives it */
-struct Lived {
+/* The state of a dispatch at its endpoint. */
+struct DispatchState {
   int next_event = 1;
-  bool may_have_run = false;
-  bool over = false;
+  bool may_have_run = false; /* the endpoint may have started it */
+  bool is_over = false;      /* the router got its last outcome */
 };
 
+/* One run of random steps. */
 class Trial {
 public:
   explicit Trial(unsigned seed) : random(seed) {
@@ -45,6 +48,7 @@
     world.now += 20 * second;
   }
 
+  /* Takes the steps, lets 20 s pass and checks the promises. */
   void run(int steps) {
     for (int i = 0; i < steps; i++)
       step();
@@ -56,29 +60,32 @@
 private:
   World world;
   std::mt19937 random;
-  std::map<guint64, Asked> asked;
-  std::map<guint64, Lived> lived;
+  std::map<guint64, CallerRequestState> requests;
+  std::map<guint64, DispatchState> states;
   std::map<std::string, guint64> handle_owner;
   guint64 version = 1;
 
-  unsigned draw(unsigned below) {
+  unsigned random_below(unsigned below) {
     return static_cast<unsigned>(random() % below);
   }
 
-  void ask() {
+  void send_request() {
     static const char *const paths[] = {"/safe/x", "/unsafe/x", "/stream/x",
                                         "/resume/x"};
-    unsigned which = draw(4);
-    guint64 request = world.request(paths[which], 1000 + draw(9000),
-                                    500 + draw(4000), 200 + draw(1000));
-    asked[request].what = static_cast<Class>(which);
+    unsigned which = random_below(4);
+    guint64 request =
+        world.request(paths[which], 1000 + random_below(9000),
+                      500 + random_below(4000), 200 + random_below(1000));
+    requests[request].route_class = static_cast<RouteClass>(which);
   }
 
-  void leave() {
-    for (auto &[request, one] : asked) {
-      if (one.left || world.end(request).ends() > 0 || draw(4) != 0)
+  /* Hangs up for one open request, picked at random; maybe for none. */
+  void hang_up_one() {
+    for (auto &[request, caller] : requests) {
+      if (caller.is_gone || world.end(request).ends() > 0 ||
+          random_below(4) != 0)
         continue;
-      one.left = true;
+      caller.is_gone = true;
       world.hangup(request);
       return;
     }
@@ -89,167 +96,176 @@
                                    {"dec-1", "llm", "a", STAGE_DECODE},
                                    {"dec-3", "llm", "b", STAGE_DECODE},
                                    {"pre-1", "llm", "a", STAGE_PREFILL}};
-    world.endpoint(places[draw(4)], draw(2) == 0, draw(5) == 0);
+    world.endpoint(places[random_below(4)], random_below(2) == 0,
+                   random_below(5) == 0);
   }
 
-  /* the endpoint of an open dispatch does something */
-  void act(const SentDispatch &sent) {
-    Lived &life = lived[sent.number];
-    if (life.over || sent.cancelled)
+  /* The endpoint of a dispatch takes its next step, if it is still open. */
+  void act_on_dispatch(const SentDispatch &sent) {
+    DispatchState &state = states[sent.number];
+    if (state.is_over || sent.cancelled)
       return;
     if (sent.kind == DISPATCH_PREFILL)
-      act_prefill(sent, life);
+      act_on_prefill(sent, state);
     else if (sent.stream)
-      act_stream(sent, life);
+      act_on_stream(sent, state);
     else
-      act_plain(sent, life);
+      act_on_plain(sent, state);
   }
 
-  void end(const SentDispatch &sent, Lived &life, OutcomeKind kind,
-           int status = 200) {
-    life.over = true;
+  void end_dispatch(const SentDispatch &sent, DispatchState &state,
+                    OutcomeKind kind, int status = 200) {
+    state.is_over = true;
     if (kind != OUTCOME_UNREACHABLE && kind != OUTCOME_NOT_RUN)
-      life.may_have_run = true;
-    guint64 number = sent.number; /* the row may move */
+      state.may_have_run = true;
+    guint64 number = sent.number; /* outcome() may move 'sent' */
     world.outcome(number, kind, status);
   }
 
-  /* what any dispatch may meet; FALSE: nothing of that this time */
-  bool act_badly(const SentDispatch &sent, Lived &life) {
-    switch (draw(6)) {
+  /*
+  ** Ends the dispatch with a failure that any dispatch may get, in half of the
+  ** cases; returns whether it did.
+  */
+  bool inject_failure(const SentDispatch &sent, DispatchState &state) {
+    switch (random_below(6)) {
     case 0:
-      end(sent, life, OUTCOME_UNREACHABLE);
+      end_dispatch(sent, state, OUTCOME_UNREACHABLE);
       return true;
     case 1:
-      end(sent, life, OUTCOME_NOT_RUN, 503);
+      end_dispatch(sent, state, OUTCOME_NOT_RUN, 503);
       return true;
     case 2:
-      end(sent, life, OUTCOME_BROKEN);
+      end_dispatch(sent, state, OUTCOME_BROKEN);
       return true;
     default:
       return false;
     }
   }
 
-  void act_prefill(const SentDispatch &sent, Lived &life) {
-    if (act_badly(sent, life))
+  void act_on_prefill(const SentDispatch &sent, DispatchState &state) {
+    if (inject_failure(sent, state))
       return;
     std::string handle = "h" + std::to_string(sent.number);
     handle_owner[handle] = sent.request;
-    life.over = true;
+    state.is_over = true;
     world.prefilled(sent.number, handle.c_str());
   }
 
-  void act_plain(const SentDispatch &sent, Lived &life) {
-    if (!act_badly(sent, life))
-      end(sent, life, OUTCOME_ANSWER, draw(3) == 0 ? 500 : 200);
+  void act_on_plain(const SentDispatch &sent, DispatchState &state) {
+    if (!inject_failure(sent, state))
+      end_dispatch(sent, state, OUTCOME_ANSWER,
+                   random_below(3) == 0 ? 500 : 200);
   }
 
-  void act_stream(const SentDispatch &sent, Lived &life) {
-    if (!life.may_have_run) {
-      if (draw(3) == 0) {
-        act_plain(sent, life);
+  void act_on_stream(const SentDispatch &sent, DispatchState &state) {
+    if (!state.may_have_run) {
+      if (random_below(3) == 0) {
+        act_on_plain(sent, state);
         return;
       }
-      life.may_have_run = true;
+      state.may_have_run = true;
       if (!sent.last_event.empty())
-        life.next_event = std::stoi(sent.last_event) + 1;
+        state.next_event = std::stoi(sent.last_event) + 1;
       world.outcome(sent.number, OUTCOME_STREAM_HEAD);
       return;
     }
-    if (draw(12) == 0)
-      end(sent, life, OUTCOME_BROKEN);
-    else if (life.next_event > 10)
-      end(sent, life, OUTCOME_STREAM_END);
+    if (random_below(12) == 0)
+      end_dispatch(sent, state, OUTCOME_BROKEN);
+    else if (state.next_event > 10)
+      end_dispatch(sent, state, OUTCOME_STREAM_END);
     else
-      world.piece(sent.number, std::to_string(life.next_event++).c_str());
+      world.piece(sent.number, std::to_string(state.next_event++).c_str());
   }
 
-  /* the endpoint takes a connection, refuses it, or says nothing */
-  void act_check() {
+  /* The endpoint of the last check accepts, refuses or does not answer. */
+  void act_on_check() {
     if (world.checks.empty())
       return;
     SentDispatch sent = world.checks.back();
     world.checks.pop_back();
-    if (draw(3) != 0)
-      world.outcome(sent.number,
-                    draw(2) == 0 ? OUTCOME_UNREACHABLE : OUTCOME_ANSWER);
+    if (random_below(3) != 0)
+      world.outcome(sent.number, random_below(2) == 0 ? OUTCOME_UNREACHABLE
+                                                      : OUTCOME_ANSWER);
   }
 
   void report_peer() {
     mp_LoadDigest digest = {};
-    digest.n = draw(3);
+    digest.n = random_below(3);
     for (unsigned i = 0; i < digest.n; i++)
-      digest.row[i] = {static_cast<uint32_t>(random()), draw(9000), draw(5),
-                       draw(100)};
-    router_peer_load(world.router, 1 + draw(3), 1 + draw(1000), &digest,
-                     world.now);
+      digest.row[i] = {static_cast<uint32_t>(random()), random_below(9000),
+                       random_below(5), random_below(100)};
+    router_peer_load(world.router, 1 + random_below(3), 1 + random_below(1000),
+                     &digest, world.now);
   }
 
   void step() {
-    switch (draw(24)) {
+    switch (random_below(24)) {
     case 0:
     case 1:
     case 2:
-      ask();
+      send_request();
       break;
     case 3:
-      leave();
+      hang_up_one();
       break;
     case 4:
       change_endpoints();
       break;
     case 5:
-      world.configure(version += draw(2), (1 + draw(9)) * second);
+      world.configure(version += random_below(2),
+                      (1 + random_below(9)) * second);
       break;
     case 6:
       report_peer();
       break;
     case 7:
-      world.advance(draw(700) * ms);
+      world.advance(random_below(700) * ms);
       break;
     default:
-      act_check();
+      act_on_check();
       if (!world.dispatches.empty()) {
-        size_t back = draw(12);
+        size_t back = random_below(12);
         size_t at = world.dispatches.size();
         SentDispatch sent = world.dispatches[at - 1 - std::min(back, at - 1)];
-        act(sent);
+        act_on_dispatch(sent);
       }
-      world.advance(draw(30) * ms);
+      world.advance(random_below(30) * ms);
     }
   }
 
-  /* runs of a request that may have run; those left open count too */
-  unsigned may_have_run(guint64 request) {
+  /* Returns how many DISPATCH_RUN of the request may have run or are open. */
+  unsigned count_possible_runs(guint64 request) {
     unsigned count = 0;
     for (const SentDispatch &sent : world.dispatches) {
       if (sent.kind != DISPATCH_RUN || sent.request != request)
         continue;
-      const Lived &life = lived[sent.number];
-      count += life.may_have_run || !life.over;
+      const DispatchState &state = states[sent.number];
+      count += state.may_have_run || !state.is_over;
     }
     return count;
   }
 
-  void check_ends(guint64 request, const Asked &one) {
-    const CallerResult &end = world.end(request);
-    EXPECT_LE(end.ends(), 1) << "ended twice: " << request;
-    if (!one.left) {
-      EXPECT_EQ(end.ends(), 1) << "never ended: " << request;
+  void check_ends(guint64 request, const CallerRequestState &caller) {
+    const CallerResult &result = world.end(request);
+    EXPECT_LE(result.ends(), 1) << "ended twice: " << request;
+    if (!caller.is_gone) {
+      EXPECT_EQ(result.ends(), 1) << "never ended: " << request;
     }
-    EXPECT_LE(end.heads, 1);
-    bool promise = end.refusals > 0 &&
-                   end.refusal != REFUSAL_OUTCOME_UNKNOWN &&
-                   end.refusal != REFUSAL_TIMEOUT;
-    if (promise) {
-      EXPECT_EQ(may_have_run(request), 0u) << "promised not run: " << request;
+    EXPECT_LE(result.heads, 1);
+    bool promises_not_run = result.refusals > 0 &&
+                            result.refusal != REFUSAL_OUTCOME_UNKNOWN &&
+                            result.refusal != REFUSAL_TIMEOUT;
+    if (promises_not_run) {
+      EXPECT_EQ(count_possible_runs(request), 0u)
+          << "promised not run: " << request;
     }
   }
 
-  void check_runs(guint64 request, const Asked &one) {
-    bool once = one.what == Class::unsafe || one.what == Class::stream;
-    EXPECT_LE(may_have_run(request), once ? 1u : 2u) << request;
+  void check_runs(guint64 request, const CallerRequestState &caller) {
+    bool runs_at_most_once = caller.route_class == RouteClass::unsafe ||
+                             caller.route_class == RouteClass::stream;
+    EXPECT_LE(count_possible_runs(request), runs_at_most_once ? 1u : 2u)
+        << request;
   }
 
   void check_events(guint64 request) {
@@ -263,29 +279,30 @@
 
   void check() {
     EXPECT_EQ(router_open_requests(world.router), 0u);
-    for (const auto &[request, one] : asked) {
-      check_ends(request, one);
-      check_runs(request, one);
+    for (const auto &[request, caller] : requests) {
+      check_ends(request, caller);
+      check_runs(request, caller);
       check_events(request);
     }
     for (const SentDispatch &sent : world.dispatches) {
       if (sent.kind == DISPATCH_RUN && !sent.handle.empty()) {
         EXPECT_EQ(handle_owner[sent.handle], sent.request);
       }
-      if (sent.kind != DISPATCH_RELEASE && !lived[sent.number].over) {
+      if (sent.kind != DISPATCH_RELEASE && !states[sent.number].is_over) {
         EXPECT_TRUE(sent.cancelled) << "left open: " << sent.number;
       }
     }
   }
 };
 
-struct Seeds : ::testing::TestWithParam<unsigned> {};
+struct RouterRandomFaults : ::testing::TestWithParam<unsigned> {};
 
-TEST_P(Seeds, KeepThePromises) {
+TEST_P(RouterRandomFaults, KeepThePromisesToCallers) {
   Trial trial(GetParam());
   trial.run(3000);
 }
 
-INSTANTIATE_TEST_SUITE_P(Random, Seeds, ::testing::Range(1u, 41u));
+INSTANTIATE_TEST_SUITE_P(Random, RouterRandomFaults,
+                         ::testing::Range(1u, 41u));
 
 } // namespace
