--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -1,6 +1,6 @@
 /*
 ** relay_world.cc
-** Instances that follow a store through relays, in virtual time
+** World: instances that follow the store through relays, in virtual time
 */
 
 #include <algorithm>
@@ -14,30 +14,30 @@
 
 namespace relaying {
 
-/* what a member asks for a heartbeat, as io/relays.c */
-constexpr unsigned asked_most = 4;
-constexpr unsigned clocks_most = 8;
-constexpr gint64 travel = 1 * ms;
-constexpr gint64 store_time = 4 * ms;
-/* the store's answers end behind the object that passes this */
-constexpr gsize store_answer_most = 1 << 20;
+/* most relays that an instance asks for a heartbeat at once (io/relays.c) */
+constexpr unsigned first_members_max = 4;
+constexpr unsigned clock_requests_max = 8;
+constexpr gint64 network_delay = 1 * ms;
+constexpr gint64 store_delay = 4 * ms;
+/* an answer of the store ends after the object that exceeds this size */
+constexpr gsize store_answer_bytes_max = 1 << 20;
 
 World::World(unsigned zones, unsigned instances, double loss_, unsigned seed,
              bool proving_)
     : loss(loss_), proving(proving_), random(g_rand_new_with_seed(seed)) {
   for (unsigned i = 0; i < instances; i++) {
-    auto one = std::make_unique<Instance>();
-    one->world = this;
-    one->address = ((0x0a000001ULL + i) << 16) | 7000;
-    one->zone = i % zones;
-    all.push_back(std::move(one));
+    auto instance = std::make_unique<Instance>();
+    instance->world = this;
+    instance->address = ((0x0a000001ULL + i) << 16) | 7000;
+    instance->zone = i % zones;
+    all.push_back(std::move(instance));
   }
 }
 
 World::~World() {
-  for (auto &one : all) {
-    if (one->alive)
-      kill(*one);
+  for (auto &instance : all) {
+    if (instance->alive)
+      kill(*instance);
   }
   g_rand_free(random);
 }
@@ -46,10 +46,11 @@
   queue.push({when, order++, std::move(act)});
 }
 
-void World::later(Instance &one, gint64 wait, std::function<void()> act) {
-  unsigned life = one.life;
-  at(now + wait, [&one, life, act = std::move(act)] {
-    if (one.alive && one.life == life)
+void World::schedule_for(Instance &instance, gint64 wait,
+                         std::function<void()> act) {
+  unsigned incarnation = instance.incarnation;
+  at(now + wait, [&instance, incarnation, act = std::move(act)] {
+    if (instance.alive && instance.incarnation == incarnation)
       act();
   });
 }
@@ -65,33 +66,33 @@
   now = until;
 }
 
-bool World::lost() {
+bool World::is_datagram_lost() {
   return g_rand_double(random) < loss;
 }
 
 Instance *World::find(mp_Addr address) const {
-  for (auto &one : all) {
-    if (one->address == address)
-      return one.get();
+  for (auto &instance : all) {
+    if (instance->address == address)
+      return instance.get();
   }
   return nullptr;
 }
 
 /*
-** Lives
+** Start and end of instances, and what they see
 */
 
-/* texts begin with their version; routes may follow */
+/* Returns the version, with which a text begins; routes may follow it. */
 static std::string version_of(const char *text) {
   return std::string(text, strcspn(text, " "));
 }
 
-std::string World::content(StoreKind kind, const std::string &text) const {
+std::string World::whole_text(StoreKind kind, const std::string &text) const {
   std::string out = text;
   char route[200];
   unsigned changed = routes > 0 ? (unsigned)revision % routes : 0;
   for (unsigned i = 0; kind == STORE_CONFIGURATION && i < routes; i++) {
-    /* the names of hosts and paths have no pattern */
+    /* hashes, so that names of hosts and paths have no common pattern */
     guint32 host = i * 2654435761u;
     g_snprintf(
         route, sizeof route,
@@ -106,28 +107,28 @@
 }
 
 void World::on_object(void *data, StoreKind kind, const StoreObject *object) {
-  auto *one = static_cast<Instance *>(data);
-  auto &seen = one->seen[kind];
+  auto *instance = static_cast<Instance *>(data);
+  auto &seen = instance->seen[kind];
   if (object->gone) {
     seen.erase(object->name);
     return;
   }
   auto known = seen.find(object->name);
   std::string text = version_of(object->text);
-  /* as io/directory.c: a configuration never falls */
+  /* as io/directory.c: after a restore a configuration never gets older */
   if (kind == STORE_CONFIGURATION && known != seen.end() &&
-      one->world->is_restored() && known->second > text)
+      instance->world->is_restored() && known->second > text)
     return;
   if (known != seen.end() && known->second > text)
-    one->backwards++;
+    instance->older_texts_taken++;
   seen[object->name] = text;
-  one->seen_at.emplace(std::string(object->name) + "=" + text,
-                       one->world->now);
+  instance->seen_at.emplace(std::string(object->name) + "=" + text,
+                            instance->world->now);
 }
 
 void World::on_listed(void *data, StoreKind kind, GHashTable *names) {
-  auto *one = static_cast<Instance *>(data);
-  auto &seen = one->seen[kind];
+  auto *instance = static_cast<Instance *>(data);
+  auto &seen = instance->seen[kind];
   for (auto it = seen.begin(); it != seen.end();) {
     if (g_hash_table_contains(names, it->first.c_str()))
       ++it;
@@ -137,210 +138,219 @@
 }
 
 mp_Addr World::control_of(void *data, mp_Addr relay) {
-  const Instance *one = static_cast<Instance *>(data)->world->find(relay);
-  return one != nullptr && one->is_listed ? relay : 0;
+  const Instance *instance = static_cast<Instance *>(data)->world->find(relay);
+  return instance != nullptr && instance->is_listed ? relay : 0;
 }
 
-void World::set_members(Instance &one) {
+void World::set_members(Instance &instance) {
   GArray *near = g_array_new(FALSE, FALSE, sizeof(RelayMember));
   GArray *far = g_array_new(FALSE, FALSE, sizeof(RelayMember));
   for (auto &other : all) {
-    if (other.get() == &one)
+    if (other.get() == &instance)
       continue;
     RelayMember entry = {other->address, other->zone, other->capacity};
-    g_array_append_val(other->zone == one.zone ? near : far, entry);
+    g_array_append_val(other->zone == instance.zone ? near : far, entry);
   }
-  relay_group_set_members(one.group, near, far, now);
+  relay_group_set_members(instance.group, near, far, now);
   g_array_free(near, TRUE);
   g_array_free(far, TRUE);
 }
 
-void World::start(Instance &one) {
-  one.alive = true;
-  one.life++;
-  one.group = relay_group_new(one.address, one.capacity, &times, now);
+void World::start(Instance &instance) {
+  instance.alive = true;
+  instance.incarnation++;
+  instance.group =
+      relay_group_new(instance.address, instance.capacity, &times, now);
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++) {
-    FollowerHost host = {&one, on_object, on_listed, [](void *, StoreKind) {},
-                         [](void *, StoreKind) {}};
-    NewsSourceHost source = {&one, control_of};
-    one.seen[kind].clear();
-    one.source[kind] = {};
-    follower_init(&one.source[kind].follower, static_cast<StoreKind>(kind),
+    FollowerHost host = {&instance, on_object, on_listed,
+                         [](void *, StoreKind) {}, [](void *, StoreKind) {}};
+    NewsSourceHost source = {&instance, control_of};
+    instance.seen[kind].clear();
+    instance.source[kind] = {};
+    follower_init(&instance.source[kind].follower,
+                  static_cast<StoreKind>(kind),
                   kind == STORE_CONFIGURATION || kind == STORE_ENDPOINTS
                       ? times.watch_wait
                       : rare_wait,
                   300 * ms, &host);
-    news_source_init(&one.source[kind], one.group, &source, nullptr, 0);
+    news_source_init(&instance.source[kind], instance.group, &source, nullptr,
+                     0);
     if (proving && kind == STORE_CONFIGURATION)
-      one.source[kind].proof_wait_max = proof_wait;
+      instance.source[kind].proof_wait_max = proof_wait;
   }
-  look_all(one);
-  later(one, store_time, [this, &one] {
-    set_members(one);
-    beat(one);
+  poll_all(instance);
+  schedule_for(instance, store_delay, [this, &instance] {
+    set_members(instance);
+    run_heartbeat(instance);
   });
 }
 
 void World::start_all() {
-  for (auto &one : all)
-    start(*one);
+  for (auto &instance : all)
+    start(*instance);
 }
 
-void World::kill(Instance &one) {
-  one.alive = false;
-  for (auto &source : one.source)
+void World::kill(Instance &instance) {
+  instance.alive = false;
+  for (auto &source : instance.source)
     follower_clear(&source.follower);
-  relay_group_free(one.group);
+  relay_group_free(instance.group);
 }
 
 /*
 ** Heartbeats, as io/relays.c sends them
 */
 
-void World::datagram(mp_Addr to, std::function<void(Instance &)> act) {
-  Instance *one = find(to);
+void World::send_datagram(mp_Addr to, std::function<void(Instance &)> act) {
+  Instance *instance = find(to);
   datagrams++;
-  if (one == nullptr || one->cut_from_all || lost())
+  if (instance == nullptr || instance->cut_from_all || is_datagram_lost())
     return;
-  at(now + travel, [one, act = std::move(act)] {
-    if (one->alive)
-      act(*one);
+  at(now + network_delay, [instance, act = std::move(act)] {
+    if (instance->alive)
+      act(*instance);
   });
 }
 
-void World::send_beat(Instance &from, mp_Addr to, gint64 asked) {
+void World::send_heartbeat(Instance &from, mp_Addr to, gint64 asked) {
   if (from.cut_from_all)
     return;
-  mp_RelayBeat told = {};
+  mp_RelayBeat heartbeat = {};
   mp_Addr address = from.address;
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
-    told.changed[kind] = from.source[kind].follower.changed;
-  told.sent_us = static_cast<guint64>(now);
-  told.proof_ms = config_proof_age_ms(relay_group_proof(from.group), now);
-  told.asked_us = static_cast<guint64>(asked);
-  told.age_ms = static_cast<guint32>(relay_group_age(from.group, now) / ms);
-  datagram(to, [this, address, told](Instance &one) {
-    relay_group_receive_heartbeat(one.group, address, &told, now);
-    look_all(one);
+    heartbeat.changed[kind] = from.source[kind].follower.changed;
+  heartbeat.sent_us = static_cast<guint64>(now);
+  heartbeat.proof_ms = config_proof_age_ms(relay_group_proof(from.group), now);
+  heartbeat.asked_us = static_cast<guint64>(asked);
+  heartbeat.age_ms =
+      static_cast<guint32>(relay_group_age(from.group, now) / ms);
+  send_datagram(to, [this, address, heartbeat](Instance &instance) {
+    relay_group_receive_heartbeat(instance.group, address, &heartbeat, now);
+    poll_all(instance);
   });
 }
 
-static bool knows(const Instance &one) {
-  return follower_is_synced(&one.source[STORE_CONFIGURATION].follower) &&
-         follower_is_synced(&one.source[STORE_ENDPOINTS].follower);
+static bool is_synced(const Instance &instance) {
+  return follower_is_synced(&instance.source[STORE_CONFIGURATION].follower) &&
+         follower_is_synced(&instance.source[STORE_ENDPOINTS].follower);
 }
 
-void World::ask_beat(Instance &one, mp_Addr relay) {
-  mp_Addr self = one.address;
+void World::request_heartbeat(Instance &instance, mp_Addr relay) {
+  mp_Addr self = instance.address;
   gint64 asked = now;
-  datagram(relay, [this, self, asked](Instance &answering) {
+  send_datagram(relay, [this, self, asked](Instance &answering) {
     if (relay_group_role(answering.group, now) == RELAY_ROLE_RELAY &&
-        knows(answering))
-      send_beat(answering, self, asked);
+        is_synced(answering))
+      send_heartbeat(answering, self, asked);
   });
 }
 
-void World::send_beats(Instance &one) {
-  const GArray *near = relay_group_members(one.group);
-  GArray *far = relay_group_remote_targets(one.group, now);
+void World::send_heartbeats(Instance &instance) {
+  const GArray *near = relay_group_members(instance.group);
+  GArray *far = relay_group_remote_targets(instance.group, now);
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
-    one.told[kind] = one.source[kind].follower.changed;
+    instance.changed_sent[kind] = instance.source[kind].follower.changed;
   for (guint i = 0; i < near->len; i++)
-    send_beat(one, g_array_index(near, mp_Addr, i));
+    send_heartbeat(instance, g_array_index(near, mp_Addr, i));
   for (guint i = 0; i < far->len; i++)
-    send_beat(one, g_array_index(far, mp_Addr, i));
+    send_heartbeat(instance, g_array_index(far, mp_Addr, i));
   g_array_free(far, TRUE);
 }
 
-/* news of the store are told at once */
-void World::tell_news(Instance &one, int kind) {
-  if (one.source[kind].at_store &&
-      store_position_compare(one.told[kind],
-                             one.source[kind].follower.changed) != 0 &&
-      relay_group_role(one.group, now) == RELAY_ROLE_RELAY && knows(one))
-    send_beats(one);
+/* A relay that follows the store sends its changes at once. */
+void World::send_heartbeats_if_changed(Instance &instance, int kind) {
+  if (instance.source[kind].at_store &&
+      store_position_compare(instance.changed_sent[kind],
+                             instance.source[kind].follower.changed) != 0 &&
+      relay_group_role(instance.group, now) == RELAY_ROLE_RELAY &&
+      is_synced(instance))
+    send_heartbeats(instance);
 }
 
-void World::beat(Instance &one) {
-  RelayRole role = relay_group_role(one.group, now);
-  if (role == RELAY_ROLE_RELAY && knows(one))
-    send_beats(one);
-  if (role == RELAY_ROLE_MEMBER && !knows(one)) {
-    mp_Addr asked[asked_most];
-    unsigned count = relay_group_first_members(one.group, asked, asked_most);
+void World::run_heartbeat(Instance &instance) {
+  RelayRole role = relay_group_role(instance.group, now);
+  if (role == RELAY_ROLE_RELAY && is_synced(instance))
+    send_heartbeats(instance);
+  if (role == RELAY_ROLE_MEMBER && !is_synced(instance)) {
+    mp_Addr asked[first_members_max];
+    unsigned count =
+        relay_group_first_members(instance.group, asked, first_members_max);
     for (unsigned i = 0; i < count; i++)
-      ask_beat(one, asked[i]);
+      request_heartbeat(instance, asked[i]);
   }
   if (proving) {
-    mp_Addr asked[clocks_most];
-    unsigned count =
-        relay_group_clocks_to_bound(one.group, now, asked, clocks_most);
+    mp_Addr asked[clock_requests_max];
+    unsigned count = relay_group_clocks_to_bound(instance.group, now, asked,
+                                                 clock_requests_max);
     for (unsigned i = 0; i < count; i++)
-      ask_beat(one, asked[i]);
+      request_heartbeat(instance, asked[i]);
   }
-  look_all(one);
-  gint64 next = relay_group_next_check(one.group, now) - now;
-  later(one, CLAMP(next, ms, RELAY_HEARTBEAT_INTERVAL),
-        [this, &one] { beat(one); });
+  poll_all(instance);
+  gint64 next = relay_group_next_check(instance.group, now) - now;
+  schedule_for(instance, CLAMP(next, ms, RELAY_HEARTBEAT_INTERVAL),
+               [this, &instance] { run_heartbeat(instance); });
 }
 
 /*
 ** Calls, as io/following.c carries them
 */
 
-void World::look_all(Instance &one) {
+void World::poll_all(Instance &instance) {
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
-    look(one, kind);
+    poll(instance, kind);
 }
 
-void World::look(Instance &one, int kind) {
+void World::poll(Instance &instance, int kind) {
   NewsAction wanted;
-  if (receives(one, kind))
-    news_source_progress(&one.source[kind], now);
-  news_source_next(&one.source[kind], now, &wanted);
+  if (is_receiving(instance, kind))
+    news_source_progress(&instance.source[kind], now);
+  news_source_next(&instance.source[kind], now, &wanted);
   switch (wanted.step) {
   case NEWS_WAIT:
     if (wanted.at != G_MAXINT64)
-      later(one, std::max<gint64>(wanted.at - now, 0),
-            [this, &one, kind] { look(one, kind); });
+      schedule_for(instance, std::max<gint64>(wanted.at - now, 0),
+                   [this, &instance, kind] { poll(instance, kind); });
     break;
   case NEWS_ASK_STORE:
-    ask_store(one, kind, wanted);
+    call_store(instance, kind, wanted);
     break;
   case NEWS_ASK_INSTANCE:
-    ask_instance(one, kind, wanted);
+    call_instance(instance, kind, wanted);
     break;
   case NEWS_ABANDON_STORE_CALL:
-    one.open[kind]++;
-    later(one, 0, [this, &one, kind] { look(one, kind); });
+    instance.open_call[kind]++;
+    schedule_for(instance, 0,
+                 [this, &instance, kind] { poll(instance, kind); });
     break;
   }
 }
 
-void World::reply(Instance &one, int kind, unsigned call,
+void World::reply(Instance &instance, int kind, unsigned call,
                   const StoreReply &reply) {
-  if (one.open[kind] != call)
+  if (instance.open_call[kind] != call)
     return;
-  one.open[kind]++;
-  news_source_reply(&one.source[kind], &reply, now);
-  tell_news(one, kind);
-  later(one, 0, [this, &one, kind] { look(one, kind); });
-}
-
-void World::fail_after(Instance &one, int kind, unsigned call, gint64 wait) {
-  later(one, wait, [this, &one, kind, call, wait] {
-    if (one.open[kind] == call && receives(one, kind)) {
-      fail_after(one, kind, call, one.receives_until[kind] - now + wait);
+  instance.open_call[kind]++;
+  news_source_reply(&instance.source[kind], &reply, now);
+  send_heartbeats_if_changed(instance, kind);
+  schedule_for(instance, 0, [this, &instance, kind] { poll(instance, kind); });
+}
+
+void World::schedule_failure(Instance &instance, int kind, unsigned call,
+                             gint64 wait) {
+  schedule_for(instance, wait, [this, &instance, kind, call, wait] {
+    if (instance.open_call[kind] == call && is_receiving(instance, kind)) {
+      schedule_failure(instance, kind, call,
+                       instance.receives_until[kind] - now + wait);
       return;
     }
     StoreReply failed = {STORE_FAILED, nullptr, FALSE, {},
                          FALSE,        0,       FALSE, FALSE};
-    reply(one, kind, call, failed);
+    reply(instance, kind, call, failed);
   });
 }
 
-static void append(GArray *objects, const std::string &name,
-                   const Object &object, guint64 era) {
+static void append_object(GArray *objects, const std::string &name,
+                          const Object &object, guint64 era) {
   StoreObject out = {g_strdup(name.c_str()),
                      store_position(era, object.revision), object.gone,
                      object.gone ? nullptr : g_strdup(object.text.c_str()),
@@ -349,70 +359,76 @@
 }
 
 StoreReply World::list(StoreKind kind, bool stale) const {
-  StoreReply out = {
-      STORE_OK, store_objects_new(), FALSE, here(revision), FALSE, 0, FALSE,
-      FALSE};
+  StoreReply out = {STORE_OK, store_objects_new(),
+                    FALSE,    position_at(revision),
+                    FALSE,    0,
+                    FALSE,    FALSE};
   const std::map<std::string, Object> *from = &objects[kind];
   for (auto &then : past) {
-    if (stale && then.at > now - staleness)
+    if (stale && then.at > now - list_staleness)
       break;
     from = stale ? &then.objects[kind] : from;
-    out.at = here(stale ? then.revision : revision);
+    out.at = position_at(stale ? then.revision : revision);
   }
   for (auto &[name, object] : *from) {
     if (!object.gone)
-      append(out.objects, name, object, era);
+      append_object(out.objects, name, object, era);
   }
   return out;
 }
 
-void World::remember() {
+void World::save_copy() {
   past.push_back({now, revision, {}, history.size()});
   std::copy(std::begin(objects), std::end(objects),
             std::begin(past.back().objects));
   copies.push_back(past.back());
 }
 
-/* when the link has carried so many bytes besides what it carries already */
-gint64 World::send_time(Instance &one, gsize size) {
+/*
+** Queues an answer of this size on the instance's link; returns the time until
+** it has been transferred, after those that are queued already.
+*/
+gint64 World::link_time(Instance &instance, gsize size) {
   if (routes == 0)
     return 0;
-  one.link_free_at = std::max(one.link_free_at, now) +
-                     static_cast<gint64>(size) * ms / link_rate;
-  return one.link_free_at - now;
+  instance.link_free_at = std::max(instance.link_free_at, now) +
+                          static_cast<gint64>(size) * ms / link_bytes_per_ms;
+  return instance.link_free_at - now;
 }
 
-gint64 World::travel_of(Instance &one, const StoreReply &reply) {
+gint64 World::answer_time(Instance &instance, const StoreReply &reply) {
   gsize size = 0;
   for (guint i = 0; reply.objects != nullptr && i < reply.objects->len; i++) {
     const StoreObject &object = g_array_index(reply.objects, StoreObject, i);
     size += object.text != nullptr ? strlen(object.text) : 0;
   }
-  return send_time(one, size);
+  return link_time(instance, size);
 }
 
-/* the answer to this call arrives all the time until it is whole */
-void World::receive(Instance &one, int kind, unsigned call, gint64 span) {
-  one.receives_until[kind] = now + span;
-  one.received_call[kind] = call;
+/* The answer to this call is being transferred for this time. */
+void World::set_receiving(Instance &instance, int kind, unsigned call,
+                          gint64 span) {
+  instance.receives_until[kind] = now + span;
+  instance.received_call[kind] = call;
 }
 
-bool World::receives(const Instance &one, int kind) const {
-  return one.received_call[kind] == one.open[kind] && !one.cut_from_store &&
-         !one.cut_from_all && now <= one.receives_until[kind];
+bool World::is_receiving(const Instance &instance, int kind) const {
+  return instance.received_call[kind] == instance.open_call[kind] &&
+         !instance.cut_from_store && !instance.cut_from_all &&
+         now <= instance.receives_until[kind];
 }
 
-/* each version since, as far as an answer holds them */
-static void append_versions(GArray *objects, const std::string &name,
-                            const std::string &text, StorePosition position,
-                            bool gone) {
+static void append_entry(GArray *objects, const std::string &name,
+                         const std::string &text, StorePosition position,
+                         bool gone) {
   StoreObject out = {g_strdup(name.c_str()), position, gone,
                      gone ? nullptr : g_strdup(text.c_str()), nullptr};
   g_array_append_val(objects, out);
 }
 
-StoreReply World::events(StoreKind kind, gint64 since) const {
-  StoreReply out = {STORE_OK, nullptr, FALSE, here(revision),
+/* Returns the changes after a revision, as far as one answer holds them. */
+StoreReply World::changes_since(StoreKind kind, gint64 since) const {
+  StoreReply out = {STORE_OK, nullptr, FALSE, position_at(revision),
                     FALSE,    0,       FALSE, FALSE};
   if (since < oldest || since > revision) {
     out.status = STORE_HISTORY_GONE;
@@ -421,115 +437,123 @@
   out.objects = store_objects_new();
   auto next = std::upper_bound(
       history.begin(), history.end(), since,
-      [](gint64 at, const Version &v) { return at < v.revision; });
+      [](gint64 at, const HistoryEntry &v) { return at < v.revision; });
   gsize size = 0;
-  for (; next != history.end() && size < store_answer_most; ++next) {
+  for (; next != history.end() && size < store_answer_bytes_max; ++next) {
     if (next->kind != kind)
       continue;
-    append_versions(out.objects, next->name, next->text, here(next->revision),
-                    next->gone);
+    append_entry(out.objects, next->name, next->text,
+                 position_at(next->revision), next->gone);
     size += next->text.size();
   }
   if (next != history.end())
-    out.at = here(std::prev(next)->revision);
+    out.at = position_at(std::prev(next)->revision);
   return out;
 }
 
-void World::ask_store(Instance &one, int kind, const NewsAction &wanted) {
+void World::call_store(Instance &instance, int kind,
+                       const NewsAction &wanted) {
   auto what = static_cast<StoreKind>(kind);
-  unsigned call = ++one.open[kind];
+  unsigned call = ++instance.open_call[kind];
   StorePosition since = wanted.call.position;
-  (wanted.call.stale ? stale_calls : store_calls)++;
-  fail_after(one, kind, call, wanted.patience);
-  if (!store_up || one.cut_from_store || one.cut_from_all)
+  (wanted.call.stale ? stale_list_calls : store_calls)++;
+  schedule_failure(instance, kind, call, wanted.patience);
+  if (!store_up || instance.cut_from_store || instance.cut_from_all)
     return;
-  if (one.refused_by_store) {
-    fail_after(one, kind, call, store_time);
+  if (instance.refused_by_store) {
+    schedule_failure(instance, kind, call, store_delay);
     return;
   }
   if (wanted.call.operation == STORE_WATCH) {
-    watches.push_back({&one, what, since, call, one.life});
-    later(one, wanted.call.wait,
-          [this, &one, kind, call] { end_watch(one, kind, call); });
-    at(now + store_time, [this] { answer_watches(); });
+    watches.push_back({&instance, what, since, call, instance.incarnation});
+    schedule_for(instance, wanted.call.wait, [this, &instance, kind, call] {
+      time_out_watch(instance, kind, call);
+    });
+    at(now + store_delay, [this] { answer_due_watches(); });
     return;
   }
   bool stale = wanted.call.stale;
-  unsigned life = one.life;
-  later(one, store_time, [this, &one, kind, call, what, stale, life] {
-    if (one.open[kind] != call)
-      return;
-    auto all_of_it = std::make_shared<StoreReply>(list(what, stale));
-    gint64 span = travel_of(one, *all_of_it);
-    receive(one, kind, call, span);
-    at(now + span, [this, &one, kind, call, life, all_of_it] {
-      if (one.alive && one.life == life && !one.cut_from_store &&
-          !one.cut_from_all)
-        reply(one, kind, call, *all_of_it);
-      store_reply_clear(all_of_it.get());
-    });
-  });
+  unsigned incarnation = instance.incarnation;
+  schedule_for(
+      instance, store_delay,
+      [this, &instance, kind, call, what, stale, incarnation] {
+        if (instance.open_call[kind] != call)
+          return;
+        auto whole_list = std::make_shared<StoreReply>(list(what, stale));
+        gint64 span = answer_time(instance, *whole_list);
+        set_receiving(instance, kind, call, span);
+        at(now + span, [this, &instance, kind, call, incarnation, whole_list] {
+          if (instance.alive && instance.incarnation == incarnation &&
+              !instance.cut_from_store && !instance.cut_from_all)
+            reply(instance, kind, call, *whole_list);
+          store_reply_clear(whole_list.get());
+        });
+      });
 }
 
-/* it has waited long enough, unless its answer is on the way */
-void World::end_watch(Instance &one, int kind, unsigned call) {
-  auto watch = std::find_if(watches.begin(), watches.end(), [&](auto &open) {
-    return open.one == &one && open.kind == kind && open.call == call;
+/* Ends a watch whose wait is over, unless its answer was sent already. */
+void World::time_out_watch(Instance &instance, int kind, unsigned call) {
+  auto watch = std::find_if(watches.begin(), watches.end(), [&](auto &other) {
+    return other.instance == &instance && other.kind == kind &&
+           other.call == call;
   });
-  if (watch == watches.end() || !store_up || one.cut_from_store ||
-      one.cut_from_all)
+  if (watch == watches.end() || !store_up || instance.cut_from_store ||
+      instance.cut_from_all)
     return;
-  StoreReply news = events(watch->kind, watch->since.revision);
+  StoreReply news = changes_since(watch->kind, watch->since.revision);
   watches.erase(watch);
-  reply(one, kind, call, news);
+  reply(instance, kind, call, news);
   store_reply_clear(&news);
 }
 
-void World::answer_watches() {
+void World::answer_due_watches() {
   std::vector<Watch> open;
   open.swap(watches);
   for (auto &watch : open) {
-    Instance &one = *watch.one;
-    if (!one.alive || one.life != watch.life ||
-        one.open[watch.kind] != watch.call)
+    Instance &instance = *watch.instance;
+    if (!instance.alive || instance.incarnation != watch.incarnation ||
+        instance.open_call[watch.kind] != watch.call)
       continue;
-    auto news =
-        std::make_shared<StoreReply>(events(watch.kind, watch.since.revision));
-    bool is_news =
+    auto news = std::make_shared<StoreReply>(
+        changes_since(watch.kind, watch.since.revision));
+    bool has_changes =
         news->status != STORE_OK || (news->objects && news->objects->len > 0);
-    if (!is_news || !store_up || one.cut_from_store || one.cut_from_all) {
+    if (!has_changes || !store_up || instance.cut_from_store ||
+        instance.cut_from_all) {
       watches.push_back(watch);
       store_reply_clear(news.get());
       continue;
     }
     int kind = watch.kind;
     unsigned call = watch.call;
-    unsigned life = watch.life;
-    gint64 span = travel_of(one, *news);
-    receive(one, kind, call, span);
-    at(now + span, [this, &one, kind, call, life, news] {
-      if (one.alive && one.life == life && !one.cut_from_store &&
-          !one.cut_from_all)
-        reply(one, kind, call, *news);
+    unsigned incarnation = watch.incarnation;
+    gint64 span = answer_time(instance, *news);
+    set_receiving(instance, kind, call, span);
+    at(now + span, [this, &instance, kind, call, incarnation, news] {
+      if (instance.alive && instance.incarnation == incarnation &&
+          !instance.cut_from_store && !instance.cut_from_all)
+        reply(instance, kind, call, *news);
       store_reply_clear(news.get());
     });
   }
 }
 
-void World::ask_instance(Instance &one, int kind, const NewsAction &wanted) {
+void World::call_instance(Instance &instance, int kind,
+                          const NewsAction &wanted) {
   Instance *relay = find(wanted.instance);
-  unsigned call = ++one.open[kind];
+  unsigned call = ++instance.open_call[kind];
   StorePosition since = wanted.call.operation == STORE_WATCH
                             ? wanted.call.position
                             : store_position_none();
-  fail_after(one, kind, call, wanted.patience);
+  schedule_failure(instance, kind, call, wanted.patience);
   if (relay == nullptr || !relay->alive || !relay->answers ||
-      relay->cut_from_all || one.cut_from_all)
+      relay->cut_from_all || instance.cut_from_all)
     return;
   gboolean in_full = wanted.call.in_full;
   guint64 digest = wanted.call.digest;
-  later(
-      *relay, travel, [this, &one, kind, call, relay, since, in_full, digest] {
+  schedule_for(
+      *relay, network_delay,
+      [this, &instance, kind, call, relay, since, in_full, digest] {
         StoreReply known;
         FollowerQuery query = {since, in_full, digest};
         follower_answer(&relay->source[kind].follower, &query, &known);
@@ -541,18 +565,18 @@
             static_cast<const char *>(g_bytes_get_data(text, nullptr)), size);
         store_reply_clear(&known);
         g_bytes_unref(text);
-        told_bytes += kind == STORE_CONFIGURATION ? size : 0;
-        gint64 span = travel + send_time(*relay, size);
-        if (one.open[kind] == call)
-          receive(one, kind, call, span);
-        at(now + span, [this, &one, kind, call, status, body] {
+        configuration_bytes_sent += kind == STORE_CONFIGURATION ? size : 0;
+        gint64 span = network_delay + link_time(*relay, size);
+        if (instance.open_call[kind] == call)
+          set_receiving(instance, kind, call, span);
+        at(now + span, [this, &instance, kind, call, status, body] {
           StoreCall asked = {};
           StoreReply read;
-          if (!one.alive || one.cut_from_all)
+          if (!instance.alive || instance.cut_from_all)
             return;
           news_codec.read_reply(&asked, status, body->data(), body->size(),
                                 &read, nullptr);
-          reply(one, kind, call, read);
+          reply(instance, kind, call, read);
           store_reply_clear(&read);
         });
       });
@@ -562,122 +586,125 @@
 ** What happens in the store
 */
 
-void World::put(StoreKind kind, const std::string &name,
-                const std::string &whole, bool gone) {
+void World::put_object(StoreKind kind, const std::string &name,
+                       const std::string &whole, bool gone) {
   objects[kind][name] = {++revision, whole, gone};
   history.push_back({revision, kind, name, whole, gone});
-  remember();
-  at(now + store_time, [this] { answer_watches(); });
+  save_copy();
+  at(now + store_delay, [this] { answer_due_watches(); });
 }
 
 void World::write(StoreKind kind, const std::string &name,
                   const std::string &text) {
-  put(kind, name, content(kind, text), false);
+  put_object(kind, name, whole_text(kind, text), false);
   written.emplace(name + "=" + text, now);
 }
 
 void World::remove(StoreKind kind, const std::string &name) {
-  put(kind, name, "", true);
+  put_object(kind, name, "", true);
 }
 
-void World::take_copy(const Past &copy) {
+void World::load_copy(const StoreCopy &copy) {
   std::copy(std::begin(copy.objects), std::end(copy.objects),
             std::begin(objects));
   revision = copy.revision;
   history.resize(copy.history);
 }
 
-/* whoever wrote it does so unless it has written something else since */
-void World::write_again(const Version &lost) {
+/* The writer writes it again unless something newer has been written since. */
+void World::rewrite_lost(const HistoryEntry &lost) {
   const Object &stands = objects[lost.kind][lost.name];
   if (lost.gone != stands.gone || lost.text > stands.text)
-    put(lost.kind, lost.name, lost.text, lost.gone);
+    put_object(lost.kind, lost.name, lost.text, lost.gone);
 }
 
 void World::restore(gint64 age, gint64 again_after) {
   gint64 then = now - age;
   while (copies.size() > 1 && copies.back().at > then)
     copies.pop_back();
-  Past copy = copies.back();
-  std::vector<Version> lost(history.begin() +
-                                static_cast<std::ptrdiff_t>(copy.history),
-                            history.end());
-  take_copy(copy);
-  remember();
+  StoreCopy copy = copies.back();
+  std::vector<HistoryEntry> lost(history.begin() +
+                                     static_cast<std::ptrdiff_t>(copy.history),
+                                 history.end());
+  load_copy(copy);
+  save_copy();
   era++;
-  watches.clear(); /* their connections are gone */
+  watches.clear(); /* their connections are closed */
   at(now + again_after, [this, lost] {
     std::set<std::string> done;
     for (auto version = lost.rbegin(); version != lost.rend(); ++version) {
       if (done.insert(version->name).second)
-        write_again(*version);
+        rewrite_lost(*version);
     }
   });
 }
 
-void World::forget_history() {
+void World::compact_history() {
   oldest = revision + 1;
-  at(now + store_time, [this] { answer_watches(); });
+  at(now + store_delay, [this] { answer_due_watches(); });
 }
 
-unsigned World::knowing(StoreKind kind, const std::string &name,
-                        const std::string &text) const {
+unsigned World::instances_knowing(StoreKind kind, const std::string &name,
+                                  const std::string &text) const {
   unsigned count = 0;
-  for (auto &one : all) {
-    auto known = one->seen[kind].find(name);
-    count +=
-        one->alive && known != one->seen[kind].end() && known->second == text;
+  for (auto &instance : all) {
+    auto known = instance->seen[kind].find(name);
+    count += instance->alive && known != instance->seen[kind].end() &&
+             known->second == text;
   }
   return count;
 }
 
-unsigned World::living() const {
+unsigned World::live_instances() const {
   return static_cast<unsigned>(std::count_if(
-      all.begin(), all.end(), [](auto &one) { return one->alive; }));
+      all.begin(), all.end(), [](auto &instance) { return instance->alive; }));
 }
 
-unsigned World::with_role(RelayRole role) {
+unsigned World::instances_with_role(RelayRole role) {
   return static_cast<unsigned>(
-      std::count_if(all.begin(), all.end(), [this, role](auto &one) {
-        return one->alive && relay_group_role(one->group, now) == role;
+      std::count_if(all.begin(), all.end(), [this, role](auto &instance) {
+        return instance->alive &&
+               relay_group_role(instance->group, now) == role;
       }));
 }
 
-gint64 World::slowest(const std::string &name, const std::string &text) const {
+gint64 World::slowest_delay(const std::string &name,
+                            const std::string &text) const {
   std::string key = name + "=" + text;
-  gint64 slowest = 0;
-  for (auto &one : all) {
-    if (!one->alive)
+  gint64 slowest_delay = 0;
+  for (auto &instance : all) {
+    if (!instance->alive)
       continue;
-    auto seen = one->seen_at.find(key);
-    if (seen == one->seen_at.end())
+    auto seen = instance->seen_at.find(key);
+    if (seen == instance->seen_at.end())
       return G_MAXINT64;
-    slowest = std::max(slowest, seen->second - written.at(key));
+    slowest_delay = std::max(slowest_delay, seen->second - written.at(key));
   }
-  return slowest;
+  return slowest_delay;
 }
 
-static int version_at(const Instance &one, const std::string &name) {
-  auto known = one.seen[STORE_CONFIGURATION].find(name);
-  return known == one.seen[STORE_CONFIGURATION].end()
+static int known_version(const Instance &instance, const std::string &name) {
+  auto known = instance.seen[STORE_CONFIGURATION].find(name);
+  return known == instance.seen[STORE_CONFIGURATION].end()
              ? 0
              : std::stoi(known->second);
 }
 
-int World::oldest_configuration(const std::string &name) const {
+int World::oldest_configuration_with_store(const std::string &name) const {
   int oldest_known = G_MAXINT;
-  for (auto &one : all) {
-    if (one->alive && !one->cut_from_store && !one->cut_from_all)
-      oldest_known = std::min(oldest_known, version_at(*one, name));
+  for (auto &instance : all) {
+    if (instance->alive && !instance->cut_from_store &&
+        !instance->cut_from_all)
+      oldest_known = std::min(oldest_known, known_version(*instance, name));
   }
   return oldest_known;
 }
 
-int World::oldest_of_all(const std::string &name) const {
+int World::oldest_known_configuration(const std::string &name) const {
   int oldest_known = G_MAXINT;
-  for (auto &one : all) {
-    if (one->alive && !one->cut_from_all)
-      oldest_known = std::min(oldest_known, version_at(*one, name));
+  for (auto &instance : all) {
+    if (instance->alive && !instance->cut_from_all)
+      oldest_known = std::min(oldest_known, known_version(*instance, name));
   }
   return oldest_known;
 }
--- a/test/relay_world.h
+++ b/test/relay_world.h
@@ -1,11 +1,15 @@
 /*
 ** relay_world.h
-** Instances that follow a store through relays, in virtual time
+** World: instances that follow the store through relays, in virtual time
 **
-** The decisions are the product's (NewsSource, RelayGroup, Follower); the
-** world carries their calls and heartbeats as io/following.c and
-** io/relays.c do, with delay, loss, cuts, kills and a store that can be
-** away for all or for some.
+** A few instances (relays) watch the store and pass its changes on; the others
+** (members) follow a relay, or the store where there is none. The decisions
+** are those of the real NewsSource, RelayGroup and Follower. The world carries
+** their calls and heartbeats as io/following.c and io/relays.c do, with delay,
+** loss, network cuts and kills, and it is the store: it answers lists and
+** watches, can be down for all or for some instances, can compact its history,
+** and can be restored from an older copy, which begins a new era. Times are in
+** us of a virtual clock that starts at 1000 s.
 */
 
 #ifndef RELAY_WORLD_H
@@ -28,18 +32,18 @@
 
 constexpr gint64 ms = 1000;
 constexpr gint64 second = 1000 * ms;
-constexpr gint64 watch_wait = 2800 * ms; /* unless a world has its own */
-/* watches of what changes rarely, as io/directory.c has them */
+constexpr gint64 watch_wait = 2800 * ms; /* default of World.times */
+/* wait of watches of kinds that change rarely, as in io/directory.c */
 constexpr gint64 rare_wait = 12 * second;
-/* watches of the configuration, where the age of it must be known */
+/* longest wait of configuration watches where its age must be proved */
 constexpr gint64 proof_wait = 833 * ms;
 
-/* a position in a store that names no era */
+/* Returns a position in a store that names no era. */
 inline StorePosition at_revision(gint64 revision) {
   return store_position(0, revision);
 }
 
-/* an object of the store as it stands, or as it left */
+/* An object of the store: its last text, or that it was removed. */
 struct Object {
   gint64 revision = 0;
   std::string text;
@@ -48,64 +52,89 @@
 
 class World;
 
+/* An instance: its faults, its real followers, and what it has seen. */
 struct Instance {
   World *world = nullptr;
   mp_Addr address = 0;
   unsigned zone = 0;
-  guint32 capacity = 0; /* of its machine */
+  guint32 capacity = 0; /* of its machine; relays are chosen by it */
   bool alive = false;
   bool cut_from_store = false;
-  bool refused_by_store = false; /* each call is answered with 503 at once */
+  bool refused_by_store = false; /* each call fails at once, as by a 503 */
   bool cut_from_all = false;     /* from the store and from all instances */
-  gint64 link_free_at = 0; /* its link carries other answers until then */
-  bool answers = true;     /* as a relay, in time */
-  bool is_listed = true;   /* others know where it answers */
-  unsigned life = 0;       /* what was sent to an earlier life is lost */
+  gint64 link_free_at = 0;       /* its link is busy with answers until then */
+  bool answers = true;           /* calls of other instances */
+  bool is_listed = true;         /* others know its control address */
+  /* grows with each start; messages to older ones are lost */
+  unsigned incarnation = 0;
   RelayGroup *group = nullptr;
   NewsSource source[MP_RELAY_KINDS] = {};
-  unsigned open[MP_RELAY_KINDS] = {};      /* number of the open call */
-  StorePosition told[MP_RELAY_KINDS] = {}; /* in the last heartbeat */
-  /* the open call's answer is under way until then */
+  unsigned open_call[MP_RELAY_KINDS] = {}; /* number of the open call */
+  /* newest changes that its last heartbeats named */
+  StorePosition changed_sent[MP_RELAY_KINDS] = {};
+  /* until when the answer to 'received_call' is being transferred */
   gint64 receives_until[MP_RELAY_KINDS] = {};
   unsigned received_call[MP_RELAY_KINDS] = {};
+  /* by kind: version of each object, by name */
   std::map<std::string, std::string> seen[MP_RELAY_KINDS];
-  std::map<std::string, gint64> seen_at; /* name=text -> when first */
-  unsigned backwards = 0; /* an object took an older text again */
+  std::map<std::string, gint64> seen_at; /* by "name=version": first time */
+  unsigned older_texts_taken = 0;        /* times that an object got older */
 };
 
 class World {
 public:
+  /*
+  ** zones: data centres, filled in turn; loss: share of datagrams lost;
+  ** proving: instances keep a bound on the age of their configuration.
+  */
   World(unsigned zones, unsigned instances, double loss = 0, unsigned seed = 1,
         bool proving = false);
   ~World();
   World(const World &) = delete;
   World &operator=(const World &) = delete;
 
+  /* Starts each instance with an empty memory, or one of them. */
   void start_all();
-  void start(Instance &one);
-  void kill(Instance &one);
+  void start(Instance &instance);
+  /* Ends an instance; it must be alive. */
+  void kill(Instance &instance);
+  /* Lets this time pass and handles every event that falls due. */
   void run(gint64 span);
 
-  /* what operators and endpoints do; texts are versions that grow */
+  /*
+  ** Write or remove an object of the store at once. The text is its version;
+  ** the texts of one object grow, compared as strings.
+  */
   void write(StoreKind kind, const std::string &name, const std::string &text);
   void remove(StoreKind kind, const std::string &name);
-  void forget_history();
-  /* the store comes back from a copy that is so old; how an object that was
-  ** written since stood at last is written again after a moment */
+  /* The store forgets its history: watches of older positions fail. */
+  void compact_history();
+  /*
+  ** Restores the store from its state at that age and begins a new era.
+  ** 'again_after' later the writers write each object that was changed since
+  ** as it stood last, unless it is newer by then.
+  */
   void restore(gint64 age, gint64 again_after = 300 * ms);
 
-  /* live instances that know this text, and those that should */
-  unsigned knowing(StoreKind kind, const std::string &name,
-                   const std::string &text) const;
-  unsigned living() const;
-  unsigned with_role(RelayRole role);
-  /* the slowest live instance's delay from the write to knowing */
-  gint64 slowest(const std::string &name, const std::string &text) const;
-  /* the oldest configuration (a number) of those that reach the store */
-  int oldest_configuration(const std::string &name) const;
-  /* the same of all that are alive and not cut off from everybody */
-  int oldest_of_all(const std::string &name) const;
-
+  /* Return how many live instances know this text, and how many live. */
+  unsigned instances_knowing(StoreKind kind, const std::string &name,
+                             const std::string &text) const;
+  unsigned live_instances() const;
+  unsigned instances_with_role(RelayRole role);
+  /*
+  ** Returns the longest delay, over the live instances, from the write of this
+  ** text until an instance knew it; G_MAXINT64 if one never did.
+  */
+  gint64 slowest_delay(const std::string &name, const std::string &text) const;
+  /*
+  ** Returns the oldest version (a number; 0: none) of this configuration that
+  ** a live instance holds which is not cut off from the store.
+  */
+  int oldest_configuration_with_store(const std::string &name) const;
+  /* The same of all live instances that are not cut off from everybody. */
+  int oldest_known_configuration(const std::string &name) const;
+
+  /* Returns the instance at this address, or NULL. */
   Instance *find(mp_Addr address) const;
   bool is_restored() const {
     return era > 1;
@@ -113,18 +142,20 @@
 
   std::vector<std::unique_ptr<Instance>> all;
   gint64 now = 1000 * second;
-  /* set before the start */
+  /* The tests set it before start_all(). */
   RelayTiming times = {watch_wait, 3 * second};
   bool store_up = true;
-  gint64 staleness = 1500 * ms; /* of a stale list */
-  /* of the configuration, which each change writes anew, but for one; 0: its
-  ** text is its version alone, and links take no time */
+  gint64 list_staleness = 1500 * ms; /* age of what a stale list shows */
+  /*
+  ** Number of routes in the text of a configuration. Each version changes one
+  ** of them. 0: the text is the version alone, and transfers take no time.
+  */
   unsigned routes = 0;
-  gint64 link_rate = 1250; /* bytes a millisecond: 10 Mbit/s */
+  gint64 link_bytes_per_ms = 1250; /* 10 Mbit/s, for each instance */
   guint64 store_calls = 0;
-  guint64 stale_calls = 0; /* lists that may be old, not among those */
+  guint64 stale_list_calls = 0; /* stale lists; not in store_calls */
   guint64 datagrams = 0;
-  guint64 told_bytes = 0; /* by instances, of the configuration */
+  guint64 configuration_bytes_sent = 0; /* sent by instances */
 
 private:
   struct Event {
@@ -135,23 +166,24 @@
       return at != other.at ? at > other.at : order > other.order;
     }
   };
-  /* the store as it stood at some time */
-  struct Past {
+  /* The store as it stood at some time. */
+  struct StoreCopy {
     gint64 at;
     gint64 revision;
     std::map<std::string, Object> objects[MP_RELAY_KINDS];
-    size_t history; /* length of it */
+    size_t history; /* its length */
   };
+  /* An open watch at the store. */
   struct Watch {
-    Instance *one;
+    Instance *instance;
     StoreKind kind;
     StorePosition since;
     unsigned call;
-    unsigned life;
+    unsigned incarnation;
   };
 
-  /* a change as the store's history has it */
-  struct Version {
+  /* A change in the history of the store. */
+  struct HistoryEntry {
     gint64 revision;
     StoreKind kind;
     std::string name;
@@ -160,38 +192,42 @@
   };
 
   void at(gint64 when, std::function<void()> act);
-  std::string content(StoreKind kind, const std::string &text) const;
-  gint64 travel_of(Instance &one, const StoreReply &reply);
-  gint64 send_time(Instance &one, gsize size);
-  void receive(Instance &one, int kind, unsigned call, gint64 span);
-  bool receives(const Instance &one, int kind) const;
-  void later(Instance &one, gint64 wait, std::function<void()> act);
-  void look(Instance &one, int kind);
-  void look_all(Instance &one);
-  void ask_store(Instance &one, int kind, const NewsAction &wanted);
-  void ask_instance(Instance &one, int kind, const NewsAction &wanted);
-  void reply(Instance &one, int kind, unsigned call, const StoreReply &reply);
-  void fail_after(Instance &one, int kind, unsigned call, gint64 wait);
+  std::string whole_text(StoreKind kind, const std::string &text) const;
+  gint64 answer_time(Instance &instance, const StoreReply &reply);
+  gint64 link_time(Instance &instance, gsize size);
+  void set_receiving(Instance &instance, int kind, unsigned call, gint64 span);
+  bool is_receiving(const Instance &instance, int kind) const;
+  void schedule_for(Instance &instance, gint64 wait,
+                    std::function<void()> act);
+  void poll(Instance &instance, int kind);
+  void poll_all(Instance &instance);
+  void call_store(Instance &instance, int kind, const NewsAction &wanted);
+  void call_instance(Instance &instance, int kind, const NewsAction &wanted);
+  void reply(Instance &instance, int kind, unsigned call,
+             const StoreReply &reply);
+  void schedule_failure(Instance &instance, int kind, unsigned call,
+                        gint64 wait);
   StoreReply list(StoreKind kind, bool stale) const;
-  void remember();
-  void take_copy(const Past &copy);
-  void write_again(const Version &lost);
-  void put(StoreKind kind, const std::string &name, const std::string &whole,
-           bool gone);
-  StoreReply events(StoreKind kind, gint64 since) const;
-  StorePosition here(gint64 of) const {
+  void save_copy();
+  void load_copy(const StoreCopy &copy);
+  void rewrite_lost(const HistoryEntry &lost);
+  void put_object(StoreKind kind, const std::string &name,
+                  const std::string &whole, bool gone);
+  StoreReply changes_since(StoreKind kind, gint64 since) const;
+  StorePosition position_at(gint64 of) const {
     return store_position(era, of);
   }
-  void end_watch(Instance &one, int kind, unsigned call);
-  void answer_watches();
-  void beat(Instance &one);
-  void send_beats(Instance &one);
-  void tell_news(Instance &one, int kind);
-  void send_beat(Instance &from, mp_Addr to, gint64 asked = 0);
-  void ask_beat(Instance &one, mp_Addr relay);
-  void datagram(mp_Addr to, std::function<void(Instance &)> act);
-  void set_members(Instance &one);
-  bool lost();
+  void time_out_watch(Instance &instance, int kind, unsigned call);
+  void answer_due_watches();
+  void run_heartbeat(Instance &instance);
+  void send_heartbeats(Instance &instance);
+  void send_heartbeats_if_changed(Instance &instance, int kind);
+  /* asked: when the receiver asked for it, by its clock; 0: it did not */
+  void send_heartbeat(Instance &from, mp_Addr to, gint64 asked = 0);
+  void request_heartbeat(Instance &instance, mp_Addr relay);
+  void send_datagram(mp_Addr to, std::function<void(Instance &)> act);
+  void set_members(Instance &instance);
+  bool is_datagram_lost();
 
   static void on_object(void *data, StoreKind kind, const StoreObject *object);
   static void on_listed(void *data, StoreKind kind, GHashTable *names);
@@ -200,14 +236,14 @@
   std::priority_queue<Event> queue;
   guint64 order = 0;
   std::map<std::string, Object> objects[MP_RELAY_KINDS];
-  std::map<std::string, gint64> written; /* name=text -> when */
+  std::map<std::string, gint64> written; /* by "name=version": when */
   gint64 revision = 100;
-  gint64 oldest = 0;
-  guint64 era = 1; /* times that the store was restored, and one */
+  gint64 oldest = 0; /* watches from older revisions fail */
+  guint64 era = 1;   /* 1, and 1 more for each restore */
   std::vector<Watch> watches;
-  std::vector<Past> past;   /* what a stale list may show */
-  std::vector<Past> copies; /* what the store can be restored from */
-  std::vector<Version> history;
+  std::vector<StoreCopy> past;   /* states that a stale list may show */
+  std::vector<StoreCopy> copies; /* states that restore() may load */
+  std::vector<HistoryEntry> history;
   double loss;
   bool proving;
   GRand *random;
--- a/test/test_config_proof.cc
+++ b/test/test_config_proof.cc
@@ -223,7 +223,7 @@
       world.store_up = !world.store_up;
       break;
     case 4:
-      world.forget_history();
+      world.compact_history();
       break;
     default:
       write();
--- a/test/test_late_news.cc
+++ b/test/test_late_news.cc
@@ -63,7 +63,8 @@
     }
     world.run(10 * ms);
     while (!due.empty() && due.front().first <= world.now) {
-      EXPECT_GE(world.oldest_configuration("main"), due.front().second);
+      EXPECT_GE(world.oldest_configuration_with_store("main"),
+                due.front().second);
       due.pop_front();
     }
   }
@@ -169,7 +170,9 @@
     relay->cut_from_store = true;
     world->write(STORE_CONFIGURATION, "main", "200");
     world->run(1 * second);
-    EXPECT_EQ(world->knowing(STORE_CONFIGURATION, "main", "200"), 12u) << seed;
+    EXPECT_EQ(world->instances_knowing(STORE_CONFIGURATION, "main", "200"),
+              12u)
+        << seed;
   }
 }
 
@@ -183,11 +186,12 @@
     Instance *relay = relays_of(*world)[0];
     world->kill(*relay);
     world->remove(STORE_ENDPOINTS, "e2");
-    world->staleness = 0; /* its first list is as new as it can be */
+    world->list_staleness = 0; /* its first list is as new as it can be */
     world->run(100 * ms + seed * 20 * ms);
     world->start(*relay);
     world->run(bound);
-    EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "1"), 0u) << seed;
+    EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "1"), 0u)
+        << seed;
   }
 }
 
--- a/test/test_store_restored.cc
+++ b/test/test_store_restored.cc
@@ -1,7 +1,11 @@
 /*
 ** test_store_restored.cc
-** A store that comes back from an older copy: revisions go back and are given
-** out again
+** The store is restored from an older copy: its revisions go back and are used
+** again for other changes
+**
+** Guards against instances that miss changes after the restore because they
+** compare revisions of two eras, and against older configurations or shorter
+** endpoint lists taken from the copy.
 */
 
 #include <gtest/gtest.h>
@@ -12,21 +16,25 @@
 
 namespace {
 
-/* a change is in force everywhere within this of the later of its
-** acknowledgement and the return of the store */
-constexpr gint64 bound = 2 * second;
+/*
+** A change is in force everywhere within this time after it was written or
+** after the store returned, whichever is later.
+*/
+constexpr gint64 apply_bound = 2 * second;
 constexpr gint64 short_watch = 1800 * ms;
-/* an entry that lacks at the return is written again within 2 s; one that is
-** missing after that is gone */
-constexpr gint64 missing_bound = 3 * second;
+/*
+** An entry that is missing from the restored store may be written again by its
+** writer within 2 s; an entry that is still missing later has been removed.
+*/
+constexpr gint64 removal_bound = 3 * second;
 
-struct Restored : ::testing::TestWithParam<unsigned> {
+struct RestoredStore : ::testing::TestWithParam<unsigned> {
   std::unique_ptr<World> world;
   int version = 100;
 
   void SetUp() override {
     world = std::make_unique<World>(3, GetParam(), 0.01, GetParam());
-    world->times = {short_watch, bound};
+    world->times = {short_watch, apply_bound};
     write();
     world->write(STORE_ENDPOINTS, "e1", "ready");
     world->write(STORE_ENDPOINTS, "e2", "ready");
@@ -36,59 +44,60 @@
   void write() {
     world->write(STORE_CONFIGURATION, "main", std::to_string(++version));
   }
-  /* some changes, so that the store's count is well past the copy's */
-  void change(int times) {
+  /* Writes changes, so that the revision is well past that of the copy. */
+  void write_changes(int times) {
     for (int i = 0; i < times; i++) {
       write();
       world->run(200 * ms);
     }
   }
-  /* away for a moment, back from a copy of that age */
-  void restore(gint64 age, gint64 away = 2 * second) {
+  /* The store is down for 'outage' and returns from a copy of that age. */
+  void restore(gint64 age, gint64 outage = 2 * second) {
     world->store_up = false;
-    world->run(away);
-    world->restore(age + away);
+    world->run(outage);
+    world->restore(age + outage);
     world->store_up = true;
   }
-  void expect_newest(const char *when) {
-    EXPECT_EQ(world->oldest_of_all("main"), version) << when;
+  void expect_newest_everywhere(const char *when) {
+    EXPECT_EQ(world->oldest_known_configuration("main"), version) << when;
   }
 };
 
-TEST_P(Restored, AChangeAfterTheReturnIsInForceInTime) {
-  change(15);
+TEST_P(RestoredStore, ChangeAfterTheRestoreReachesAllInTime) {
+  write_changes(15);
   restore(2500 * ms);
   world->run(1 * second);
   write();
-  world->run(bound);
-  expect_newest("written a second after the return");
+  world->run(apply_bound);
+  expect_newest_everywhere("written a second after the return");
 }
 
-TEST_P(Restored, AnEndpointThatLeavesAfterTheReturnIsHeardOfInTime) {
-  change(15);
+TEST_P(RestoredStore, LeavingEndpointAfterTheRestoreReachesAllInTime) {
+  write_changes(15);
   restore(2500 * ms);
   world->run(1 * second);
   world->write(STORE_ENDPOINTS, "e1", "leaving");
   world->remove(STORE_ENDPOINTS, "e2");
-  world->run(bound);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "leaving"), world->living());
-  /* one that went before the first list may be only not written again */
-  world->run(missing_bound - bound);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
+  world->run(apply_bound);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "leaving"),
+            world->live_instances());
+  /* e2 was removed before the first list: its writer may still write it */
+  world->run(removal_bound - apply_bound);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
 }
 
-TEST_P(Restored, AnEndpointThatGoesOnceItWasListedIsHeardOfInTime) {
-  change(15);
+TEST_P(RestoredStore, RemovalAfterTheFirstListReachesAllInTime) {
+  write_changes(15);
   restore(2500 * ms);
   world->run(1500 * ms);
   world->remove(STORE_ENDPOINTS, "e2");
-  world->run(bound);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
+  world->run(apply_bound);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
 }
 
-/* the store has counted past the old revision before anybody asks */
-TEST_P(Restored, ChangesUnderRevisionsThatWereGivenOutAgainAreHeard) {
-  change(5);
+/* The revision is past the old one again before any instance asks. */
+TEST_P(RestoredStore, ChangesUnderReusedRevisionsReachAll) {
+  write_changes(5);
   world->store_up = false;
   world->run(500 * ms);
   world->restore(1500 * ms, 0);
@@ -97,229 +106,243 @@
   for (int i = 0; i < 10; i++)
     write();
   world->store_up = true;
-  world->run(bound);
-  expect_newest("past the old count");
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "leaving"), world->living());
+  world->run(apply_bound);
+  expect_newest_everywhere("past the old count");
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "leaving"),
+            world->live_instances());
 }
 
-TEST_P(Restored, NoInstanceTakesAnOlderConfigurationOrAShortList) {
-  change(15);
+TEST_P(RestoredStore, OlderConfigurationOrShorterListIsNotTaken) {
+  write_changes(15);
   world->write(STORE_ENDPOINTS, "e3", "ready");
   world->run(500 * ms);
   restore(3 * second);
   for (int i = 0; i < 40; i++) {
     world->run(50 * ms);
-    expect_newest("after the return");
-    EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e3", "ready"), world->living());
+    expect_newest_everywhere("after the return");
+    EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e3", "ready"),
+              world->live_instances());
   }
 }
 
-/* one that the store does not answer hears of the return from the others */
-TEST_P(Restored, WhoIsCutFromTheStoreHearsOfTheReturn) {
-  change(15);
+/* Instances cut off the store learn of the restore from the others. */
+TEST_P(RestoredStore, InstancesCutOffTheStoreLearnOfTheRestore) {
+  write_changes(15);
   for (unsigned i = 0; i < world->all.size(); i += 4)
     world->all[i]->cut_from_store = true;
   restore(2500 * ms);
-  world->run(bound);
+  world->run(apply_bound);
   write();
-  world->run(bound);
+  world->run(apply_bound);
   if (GetParam() >= 12)
-    expect_newest("some are cut off");
-  for (auto &one : world->all)
-    one->cut_from_store = false;
-  world->run(bound);
-  expect_newest("all reach the store");
+    expect_newest_everywhere("some are cut off");
+  for (auto &instance : world->all)
+    instance->cut_from_store = false;
+  world->run(apply_bound);
+  expect_newest_everywhere("all reach the store");
 }
 
-TEST_P(Restored, ReturnsInARowLeaveNobodyBehind) {
+TEST_P(RestoredStore, ChangeAfterRepeatedRestoresReachesAllInTime) {
   for (int i = 0; i < 4; i++) {
-    change(8);
+    write_changes(8);
     restore(1 * second, 300 * ms);
     world->run(400 * ms);
   }
   write();
-  world->run(bound);
-  expect_newest("after four returns");
+  world->run(apply_bound);
+  expect_newest_everywhere("after four returns");
 }
 
-/* who knows what now; -1: some do not */
+/*
+** Runs until every live instance knows this configuration; returns the time
+** that took, or -1 if it took longer than 'most'.
+*/
 gint64 time_until_known(World &world, const std::string &text, gint64 most) {
   for (gint64 time = 0; time <= most; time += 10 * ms) {
-    if (world.knowing(STORE_CONFIGURATION, "main", text) == world.living())
+    if (world.instances_knowing(STORE_CONFIGURATION, "main", text) ==
+        world.live_instances())
       return time;
     world.run(10 * ms);
   }
   return -1;
 }
 
-/* lists of each kind, twice, by those that follow the store; instances that
-** hear relays make no call */
-TEST_P(Restored, ItCostsTheStoreCallsOfThoseThatFollowItAlone) {
+/*
+** A restore costs the store lists of each kind, twice, from the instances that
+** follow it; those that follow relays make no call.
+*/
+TEST_P(RestoredStore, OnlyFollowersOfTheStoreCallItAfterTheRestore) {
   constexpr gint64 span = 5 * second;
   guint64 before = world->store_calls;
   world->run(span);
-  guint64 calm = world->store_calls - before;
+  guint64 calm_calls = world->store_calls - before;
   restore(3 * second, 0);
   before = world->store_calls;
   world->run(1 * second);
   guint64 first = world->store_calls - before;
   write();
-  gint64 known = time_until_known(*world, std::to_string(version), bound);
+  gint64 known =
+      time_until_known(*world, std::to_string(version), apply_bound);
   world->run(span - 1 * second - known);
   guint64 all = world->store_calls - before;
-  unsigned followers =
-      world->with_role(RELAY_ROLE_RELAY) + world->with_role(RELAY_ROLE_ALONE);
+  unsigned followers = world->instances_with_role(RELAY_ROLE_RELAY) +
+                       world->instances_with_role(RELAY_ROLE_ALONE);
   printf("%u instances, %u of them follow the store: %d calls in the first "
          "second, %d in 5 s (%d in calm), a change known by all after %d ms\n",
          GetParam(), followers, static_cast<int>(first), static_cast<int>(all),
-         static_cast<int>(calm), static_cast<int>(known / ms));
+         static_cast<int>(calm_calls), static_cast<int>(known / ms));
   EXPECT_LE(first, followers * 3u * MP_RELAY_KINDS);
-  EXPECT_LE(all, calm + followers * 5u * MP_RELAY_KINDS);
+  EXPECT_LE(all, calm_calls + followers * 5u * MP_RELAY_KINDS);
   EXPECT_GE(known, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(All, Restored,
+INSTANTIATE_TEST_SUITE_P(All, RestoredStore,
                          ::testing::Values(2u, 9u, 24u, 58u, 300u));
 
 /*
-** Random schedules: the store returns from copies of any age, once or often,
-** while instances are cut off, refused and killed. Who was not disturbed for a
-** while holds each change within the bound of the later of its writing and the
-** return, and never an older one than it held.
+** Random schedules: the store is restored from copies of any age, once or more
+** often, while instances are cut off, refused and killed. An instance that has
+** not been disturbed for 4 s must hold each change within the bound after it
+** was written or the store returned, whichever is later, and no instance may
+** take a configuration older than one it has held.
 */
-struct Returns {
-  static constexpr gint64 calm_after = 4 * second;
+struct RestoreSchedule {
+  static constexpr gint64 calm_time = 4 * second;
   static constexpr gint64 schedule_length = 30 * second;
   World world;
   GRand *random;
   int version = 100;
   gint64 next_change = 0;
-  gint64 returned = 0;
-  gint64 away_until = 0;
+  gint64 settled_at = 0;
+  gint64 outage_until = 0;
   gint64 copy_age = 0;
-  std::map<Instance *, gint64> disturbed;
-  std::map<Instance *, int> held; /* the largest version in this life */
-  std::map<Instance *, unsigned> life;
-  std::vector<std::pair<gint64, int>> written;
-  unsigned faults = 0;
-  std::string story;
+  std::map<Instance *, gint64> disturbed_at;
+  std::map<Instance *, int> newest_held; /* in this incarnation */
+  std::map<Instance *, unsigned> incarnation;
+  std::vector<std::pair<gint64, int>> writes;
+  unsigned fault_count = 0;
+  std::string steps;
 
-  Returns(unsigned zones, unsigned instances, unsigned seed)
+  RestoreSchedule(unsigned zones, unsigned instances, unsigned seed)
       : world(zones, instances, 0.01, seed),
         random(g_rand_new_with_seed(seed)) {
-    world.times = {short_watch, bound};
+    world.times = {short_watch, apply_bound};
     world.routes = seed % 3 == 0 ? 300 : 0;
-    change();
+    write_change();
     world.write(STORE_ENDPOINTS, "e1", "ready");
     world.start_all();
     world.run(6 * second);
   }
-  ~Returns() {
+  ~RestoreSchedule() {
     g_rand_free(random);
   }
-  Returns(const Returns &) = delete;
-  Returns &operator=(const Returns &) = delete;
+  RestoreSchedule(const RestoreSchedule &) = delete;
+  RestoreSchedule &operator=(const RestoreSchedule &) = delete;
 
-  gint64 draw(gint64 least, gint64 most) {
+  gint64 random_between(gint64 least, gint64 most) {
     return least + static_cast<gint64>(g_rand_double(random) *
                                        static_cast<double>(most - least));
   }
-  void change() {
-    written.emplace_back(world.now, ++version);
+  void write_change() {
+    writes.emplace_back(world.now, ++version);
     world.write(STORE_CONFIGURATION, "main", std::to_string(version));
   }
-  void note(const char *what, gint64 number) {
-    story += std::string(what) + std::to_string(number) + "@" +
+  void log_step(const char *what, gint64 number) {
+    steps += std::string(what) + std::to_string(number) + "@" +
              std::to_string((world.now - 1000 * second) / ms) + " ";
   }
-  /* away now, back later from a copy; the operator writes it again at once */
-  void begin_return() {
+  /* The store goes down, to return later from a copy. */
+  void begin_outage() {
     world.store_up = false;
-    copy_age = draw(200 * ms, 10 * second);
-    away_until = world.now + draw(0, 4 * second);
-    note("away", copy_age / ms);
+    copy_age = random_between(200 * ms, 10 * second);
+    outage_until = world.now + random_between(0, 4 * second);
+    log_step("away", copy_age / ms);
   }
-  void end_return() {
-    world.restore(copy_age, draw(10 * ms, 600 * ms));
+  void end_outage() {
+    world.restore(copy_age, random_between(10 * ms, 600 * ms));
     world.store_up = true;
-    returned = world.now + 600 * ms; /* it may be written again until then */
-    away_until = 0;
-    note("back", copy_age / ms);
+    /* lost changes are written again by then */
+    settled_at = world.now + 600 * ms;
+    outage_until = 0;
+    log_step("back", copy_age / ms);
   }
-  void disturb(Instance &one) {
+  void disturb(Instance &instance) {
     int what = g_rand_int_range(random, 0, 6);
-    if (!one.alive)
-      world.start(one);
-    one.cut_from_store = what == 0;
-    one.refused_by_store = what == 1;
-    one.cut_from_all = what == 2;
+    if (!instance.alive)
+      world.start(instance);
+    instance.cut_from_store = what == 0;
+    instance.refused_by_store = what == 1;
+    instance.cut_from_all = what == 2;
     if (what == 3)
-      world.kill(one);
-    disturbed[&one] = world.now;
-    note("disturb", (one.address >> 16) & 0xffff);
+      world.kill(instance);
+    disturbed_at[&instance] = world.now;
+    log_step("disturb", (instance.address >> 16) & 0xffff);
   }
-  /* the first one always reaches the store */
+  /* One step of 20 ms. The first instance is never disturbed. */
   void step() {
-    Instance &any = *world.all[static_cast<size_t>(
+    Instance &random_instance = *world.all[static_cast<size_t>(
         g_rand_int_range(random, 1, static_cast<gint32>(world.all.size())))];
     if (g_rand_double(random) < 0.02)
-      disturb(any);
-    if (away_until == 0 && g_rand_double(random) < 0.004)
-      begin_return();
-    if (away_until != 0 && world.now >= away_until)
-      end_return();
-    if (away_until == 0 && world.now >= next_change) {
-      change();
-      next_change = world.now + draw(100 * ms, 1500 * ms);
+      disturb(random_instance);
+    if (outage_until == 0 && g_rand_double(random) < 0.004)
+      begin_outage();
+    if (outage_until != 0 && world.now >= outage_until)
+      end_outage();
+    if (outage_until == 0 && world.now >= next_change) {
+      write_change();
+      next_change = world.now + random_between(100 * ms, 1500 * ms);
     }
     world.run(20 * ms);
     check();
   }
-  int due_version() const {
+  int newest_due_version() const {
     int due = 0;
-    for (auto &[at, number] : written) {
-      if (std::max(at, returned) + bound <= world.now)
+    for (auto &[at, number] : writes) {
+      if (std::max(at, settled_at) + apply_bound <= world.now)
         due = number;
     }
     return due;
   }
   void check() {
-    int due = away_until == 0 ? due_version() : 0;
-    for (auto &one : world.all) {
-      auto seen = one->seen[STORE_CONFIGURATION].find("main");
-      bool knows = one->alive && seen != one->seen[STORE_CONFIGURATION].end();
-      int version_here = knows ? std::stoi(seen->second) : 0;
-      bool calm = one->alive && !one->cut_from_all && !one->cut_from_store &&
-                  !one->refused_by_store &&
-                  world.now - disturbed[one.get()] > calm_after;
-      if (life[one.get()] != one->life)
-        held[one.get()] = 0;
-      life[one.get()] = one->life;
-      if (one->alive && version_here < held[one.get()])
-        fault("fell", *one);
-      held[one.get()] = std::max(held[one.get()], version_here);
-      if (calm && version_here < due)
-        fault("late", *one);
+    int due = outage_until == 0 ? newest_due_version() : 0;
+    for (auto &instance : world.all) {
+      auto seen = instance->seen[STORE_CONFIGURATION].find("main");
+      bool is_known =
+          instance->alive && seen != instance->seen[STORE_CONFIGURATION].end();
+      int known_version = is_known ? std::stoi(seen->second) : 0;
+      bool is_calm = instance->alive && !instance->cut_from_all &&
+                     !instance->cut_from_store &&
+                     !instance->refused_by_store &&
+                     world.now - disturbed_at[instance.get()] > calm_time;
+      if (incarnation[instance.get()] != instance->incarnation)
+        newest_held[instance.get()] = 0;
+      incarnation[instance.get()] = instance->incarnation;
+      if (instance->alive && known_version < newest_held[instance.get()])
+        record_fault("fell", *instance);
+      newest_held[instance.get()] =
+          std::max(newest_held[instance.get()], known_version);
+      if (is_calm && known_version < due)
+        record_fault("late", *instance);
     }
   }
-  void fault(const char *what, const Instance &one) {
-    faults++;
-    if (faults < 5)
-      note(what, (one.address >> 16) & 0xffff);
+  void record_fault(const char *what, const Instance &instance) {
+    fault_count++;
+    if (fault_count < 5)
+      log_step(what, (instance.address >> 16) & 0xffff);
   }
 };
 
 void expect_no_fault(unsigned seed) {
   static const unsigned sizes[][2] = {{3, 9}, {1, 8}, {3, 24}, {2, 58}};
   auto &size = sizes[seed % 4];
-  Returns schedule(size[0], size[1], seed);
-  while (schedule.world.now < 1000 * second + Returns::schedule_length)
+  RestoreSchedule schedule(size[0], size[1], seed);
+  while (schedule.world.now < 1000 * second + RestoreSchedule::schedule_length)
     schedule.step();
-  EXPECT_EQ(schedule.faults, 0u)
-      << "seed " << seed << " " << size[1] << ": " << schedule.story;
+  EXPECT_EQ(schedule.fault_count, 0u)
+      << "seed " << seed << " " << size[1] << ": " << schedule.steps;
 }
 
-TEST(StoreReturns, RandomSchedulesLeaveNobodyBehind) {
+TEST(StoreRestores, RandomSchedulesDelayNoChange) {
   const char *count = g_getenv("SCHEDULES");
   unsigned last = count != nullptr ? static_cast<unsigned>(atoi(count)) : 200;
   for (unsigned seed = 1; seed <= last; seed++)
