--- a/test/matrix.cc
+++ b/test/matrix.cc
@@ -33,7 +33,7 @@
 std::string name(const Cell &c) {
   std::string s = std::string(kind_names[c.kind]) + " / " +
                   step_names[c.step] + " / " + fault_names[c.first];
-  if (c.second != FAULTS)
+  if (c.second != FAULT_COUNT)
     s += std::string(" + ") + fault_names[c.second];
   s += c.twice ? ", twice" : "";
   return c.baseline ? s + ", baseline" : s;
@@ -268,7 +268,7 @@
       s.at(s.now + heals, [this] { s.drop = nullptr; });
       break;
     }
-    case FAULTS:
+    case FAULT_COUNT:
       break;
     }
   }
@@ -301,7 +301,7 @@
       reach(it->second);
   }
 
-  void onxcall(size_t n, const mp_Xcall &x) {
+  void on_endpoint_call(size_t n, const mp_Xcall &x) {
     if (n != entry || x.token.seq != 1 || x.token.start != 1)
       return;
     if (x.op == MP_X_PREFILL)
@@ -330,7 +330,9 @@
   Outcome run() {
     const char *cls = c.kind == KIND_ASK ? "ask" : "once";
     s.onlog = [this](size_t n, const mp_Log &l) { onlog(n, l); };
-    s.onxcall = [this](size_t n, const mp_Xcall &x) { onxcall(n, x); };
+    s.on_endpoint_call = [this](size_t n, const mp_Xcall &x) {
+      on_endpoint_call(n, x);
+    };
     s.onx = [this](size_t n, uint64_t, const mp_EndpointEvent &e) {
       onx(n, e);
     };
@@ -368,7 +370,7 @@
   void check7() {
     bool planned =
         (c.first == FAULT_ENTRY_DRAINED || c.first == FAULT_LEAVING) &&
-        c.second == FAULTS;
+        c.second == FAULT_COUNT;
     if (!planned || call == 0)
       return;
     const Caller &v = s.callers[call];
@@ -383,7 +385,7 @@
 
 } // namespace
 
-Outcome play(const Cell &c, bool trace) {
+Outcome run_cell(const Cell &c, bool trace) {
   Play p(c);
   p.s.trace = trace;
   return p.run();
--- a/test/matrix.h
+++ b/test/matrix.h
@@ -67,11 +67,11 @@
 #define X(sym, name) FAULT_##sym,
   MATRIX_FAULTS(X)
 #undef X
-      FAULTS
+      FAULT_COUNT
 };
 
 /* classes of the request that is struck */
-enum Kind { KIND_ASK, KIND_ONCE, KINDS };
+enum Kind { KIND_ASK, KIND_ONCE, KIND_COUNT };
 
 extern const char *const step_names[];
 extern const char *const fault_names[];
@@ -81,7 +81,7 @@
   Kind kind;
   Step step;
   Fault first;
-  Fault second; /* FAULTS: none */
+  Fault second; /* FAULT_COUNT: none */
   int twice;    /* the fault(s) strike again 700 ms later */
   uint64_t seed;
   int baseline; /* all switches of the policy off */
@@ -93,7 +93,7 @@
   std::string end; /* of the struck request: "answered", or the error kind */
 };
 
-Outcome play(const Cell &c, bool trace = false);
+Outcome run_cell(const Cell &c, bool trace = false);
 
 std::string name(const Cell &c);
 
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -584,8 +584,8 @@
   uint64_t epoch = nodes[n].epoch;
   if (x.call)
     calls[tokentext(x.token)] = x.call;
-  if (onxcall)
-    onxcall(n, x);
+  if (on_endpoint_call)
+    on_endpoint_call(n, x);
   if (nodes[n].epoch != epoch || nodes[n].dead)
     return; /* the hook killed it before the call went out */
   if (e == nullptr || e->dead) {
--- a/test/sim.h
+++ b/test/sim.h
@@ -121,7 +121,7 @@
   std::function<void(size_t, const mp_Log &)> onlog;
   /* called before an engine's event reaches a node */
   std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)> onx;
-  std::function<void(size_t, const mp_Xcall &)> onxcall;
+  std::function<void(size_t, const mp_Xcall &)> on_endpoint_call;
   bool trace = false;
 
   explicit Sim(uint64_t seed = 1);
--- a/test/test_matrix.cc
+++ b/test/test_matrix.cc
@@ -15,7 +15,7 @@
 namespace {
 
 void expect(const Cell &c) {
-  Outcome o = play(c);
+  Outcome o = run_cell(c);
   for (auto &b : o.broken)
     ADD_FAILURE() << name(c) << ": " << b;
 }
@@ -25,9 +25,9 @@
 TEST_P(Matrix, Single) {
   auto step = static_cast<Step>(std::get<0>(GetParam()));
   auto fault = static_cast<Fault>(std::get<1>(GetParam()));
-  for (int kind = 0; kind < KINDS; kind++) {
+  for (int kind = 0; kind < KIND_COUNT; kind++) {
     for (int twice = 0; twice < 2; twice++)
-      expect({static_cast<Kind>(kind), step, fault, FAULTS, twice, 1, 0});
+      expect({static_cast<Kind>(kind), step, fault, FAULT_COUNT, twice, 1, 0});
   }
 }
 
@@ -35,31 +35,32 @@
 TEST_P(Matrix, Baseline) {
   auto step = static_cast<Step>(std::get<0>(GetParam()));
   auto fault = static_cast<Fault>(std::get<1>(GetParam()));
-  expect({KIND_ASK, step, fault, FAULTS, 1, 1, 1});
+  expect({KIND_ASK, step, fault, FAULT_COUNT, 1, 1, 1});
 }
 
 /* pairs: one step in eleven for each pair, turning with the pair */
 TEST_P(Matrix, Pairs) {
   int step = std::get<0>(GetParam());
   int first = std::get<1>(GetParam());
-  for (int second = 0; second < FAULTS; second++) {
+  for (int second = 0; second < FAULT_COUNT; second++) {
     if (second == first || (first * 31 + second) % STEPS != step)
       continue;
-    expect({static_cast<Kind>((first + second) % KINDS),
+    expect({static_cast<Kind>((first + second) % KIND_COUNT),
             static_cast<Step>(step), static_cast<Fault>(first),
             static_cast<Fault>(second), 0, 1, 0});
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Every, Matrix,
-                         ::testing::Combine(::testing::Range(0, (int)STEPS),
-                                            ::testing::Range(0, (int)FAULTS)));
+INSTANTIATE_TEST_SUITE_P(
+    Every, Matrix,
+    ::testing::Combine(::testing::Range(0, (int)STEPS),
+                       ::testing::Range(0, (int)FAULT_COUNT)));
 
 /* the step must be reached, else a cell shows nothing */
 TEST(MatrixSense, EveryStepIsStruck) {
   for (int step = 0; step < STEPS; step++) {
-    Outcome o = play(
-        {KIND_ONCE, static_cast<Step>(step), FAULT_TWICE, FAULTS, 0, 1, 0});
+    Outcome o = run_cell({KIND_ONCE, static_cast<Step>(step), FAULT_TWICE,
+                          FAULT_COUNT, 0, 1, 0});
     EXPECT_TRUE(o.struck) << step_names[step];
     EXPECT_EQ(o.end, "answered") << step_names[step];
   }
--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -433,7 +433,7 @@
 /* a long upload has the prefill engine; a lookup is sent there at once */
 TEST_F(World, ShortPromptDoesNotWaitBehindALongOne) {
   std::map<uint32_t, mp_Time> begun;
-  s.onxcall = [&](size_t, const mp_Xcall &x) {
+  s.on_endpoint_call = [&](size_t, const mp_Xcall &x) {
     if (x.op == MP_X_PREFILL)
       begun[x.token.seq] = s.now;
   };
--- a/test/tools/matrix_table.cc
+++ b/test/tools/matrix_table.cc
@@ -20,15 +20,15 @@
 
 std::vector<Cell> cells(bool pairs) {
   std::vector<Cell> out;
-  for (int k = 0; k < KINDS; k++) {
+  for (int k = 0; k < KIND_COUNT; k++) {
     for (int s = 0; s < STEPS; s++) {
-      for (int f = 0; f < FAULTS; f++) {
+      for (int f = 0; f < FAULT_COUNT; f++) {
         auto kind = static_cast<Kind>(k);
         auto step = static_cast<Step>(s);
         auto first = static_cast<Fault>(f);
-        out.push_back({kind, step, first, FAULTS, 0, 1, 0});
-        out.push_back({kind, step, first, FAULTS, 1, 1, 0});
-        for (int g = 0; pairs && g < FAULTS; g++) {
+        out.push_back({kind, step, first, FAULT_COUNT, 0, 1, 0});
+        out.push_back({kind, step, first, FAULT_COUNT, 1, 1, 0});
+        for (int g = 0; pairs && g < FAULT_COUNT; g++) {
           if (g != f)
             out.push_back({kind, step, first, static_cast<Fault>(g), 0, 1, 0});
         }
@@ -69,7 +69,7 @@
   for (unsigned i = 0; i < 8; i++)
     threads.emplace_back([&] {
       for (size_t k; (k = next++) < all.size();)
-        out[k] = play(all[k]);
+        out[k] = run_cell(all[k]);
     });
   for (auto &t : threads)
     t.join();
@@ -81,18 +81,18 @@
     struck += out[i].struck;
     for (auto &b : out[i].broken)
       fprintf(stderr, "%s: %s\n", name(c).c_str(), b.c_str());
-    if (c.second == FAULTS && !c.twice)
+    if (c.second == FAULT_COUNT && !c.twice)
       table[std::to_string(c.kind) + "/" + std::to_string(c.step) + "/" +
             std::to_string(c.first)] = mark(out[i]);
   }
-  for (int k = 0; k < KINDS; k++) {
+  for (int k = 0; k < KIND_COUNT; k++) {
     printf("\n%s class:\n\n| fault |", k == 0 ? "Repeatable" : "Once");
     for (const char *s : names())
       printf(" %s |", s);
     printf("\n| --- |");
     for (int s = 0; s < STEPS; s++)
       printf(" --- |");
-    for (int f = 0; f < FAULTS; f++) {
+    for (int f = 0; f < FAULT_COUNT; f++) {
       printf("\n| %s |", fault_names[f]);
       for (int s = 0; s < STEPS; s++)
         printf(" %s |", table[std::to_string(k) + "/" + std::to_string(s) +
