--- a/test/matrix.cc
+++ b/test/matrix.cc
@@ -2,10 +2,11 @@
 ** matrix.cc
 ** The fault matrix: every fault at every step of a request's path
 **
-** Six instances in three data centres, of which the third is forbidden to
-** the request. The fault strikes as the step begins, and heals after some
-** seconds. Then the world runs on until nothing may be left, and all
-** promises are checked against the engines' ledgers.
+** There are six instances in three data centres; the rules forbid the third to
+** the request. The fault begins when the request reaches the step, and most
+** faults end 4 s later. The simulation then runs on, 45 s in all, until
+** nothing may be left, and all promises are checked against the engines'
+** ledgers.
 */
 
 #include "matrix.h"
@@ -42,9 +43,9 @@
 namespace {
 
 const size_t entry = 0;
-const mp_Time heals = 4 * sec;
+const mp_Time fault_duration = 4 * sec;
 
-struct Play {
+struct CellRun {
   Sim s;
   const Cell &c;
   uint64_t call = 0;
@@ -54,22 +55,22 @@
   std::string seq;
   uint64_t version = 1;
 
-  explicit Play(const Cell &cell) : s(cell.seed), c(cell) {
+  explicit CellRun(const Cell &cell) : s(cell.seed), c(cell) {
     for (const char *dc : {"a", "a", "b", "b", "c", "c"})
-      s.addnode(dc);
+      s.add_node(dc);
     for (const char *dc : {"a", "b", "c"}) {
-      s.addengine(dc, MP_ROLE_PREFILL, "llm");
-      s.addengine(dc, MP_ROLE_PREFILL, "llm");
-      s.addengine(dc, MP_ROLE_DECODE, "llm");
-      s.addengine(dc, MP_ROLE_DECODE, "llm");
+      s.add_engine(dc, MP_ROLE_PREFILL, "llm");
+      s.add_engine(dc, MP_ROLE_PREFILL, "llm");
+      s.add_engine(dc, MP_ROLE_DECODE, "llm");
+      s.add_engine(dc, MP_ROLE_DECODE, "llm");
     }
-    s.publishlist();
-    s.publish(version, text());
-    s.startnodes();
+    s.publish_instance_list();
+    s.publish(version, config_text());
+    s.start_nodes();
     s.run(s.now + 4 * sec);
   }
 
-  std::string text() const {
+  std::string config_text() const {
     std::string t = config();
     size_t at = t.find("policy:");
     while (c.baseline && (at = t.find(": true", at)) != std::string::npos)
@@ -77,72 +78,75 @@
     return t;
   }
 
-  size_t index(mp_Addr a) {
+  size_t engine_index(mp_Addr a) {
     for (size_t i = 0; i < s.engines.size(); i++) {
       if (s.engines[i].addr == a)
         return i;
     }
-    /* not chosen yet: one that may well be */
+    /* not chosen yet: return one that is likely to be */
     return a == prefill ? 0 : 2;
   }
 
-  size_t prefillno() {
-    return prefill ? index(prefill) : 0;
+  size_t prefill_index() {
+    return prefill ? engine_index(prefill) : 0;
   }
 
-  size_t decodeno() {
-    return decode ? index(decode) : 2;
+  size_t decode_index() {
+    return decode ? engine_index(decode) : 2;
   }
 
-  /* the keeper of the decode engine, when that is not the entry itself */
-  size_t keeper() {
-    size_t k = s.keeperof(entry, s.engines[decodeno()].addr);
+  /*
+  ** Returns the keeper of the decode engine, or if that is the entry, of the
+  ** prefill engine; if that is the entry too, instance 1.
+  */
+  size_t keeper_node() {
+    size_t k = s.keeper_index(entry, s.engines[decode_index()].addr);
     if (k == entry || k >= s.nodes.size())
-      k = s.keeperof(entry, s.engines[prefillno()].addr);
+      k = s.keeper_index(entry, s.engines[prefill_index()].addr);
     return k == entry || k >= s.nodes.size() ? 1 : k;
   }
 
-  void killnode(size_t n) {
+  void kill_node(size_t n) {
     s.kill(n);
-    s.at(s.now + heals, [this, n] { s.restart(n); });
+    s.at(s.now + fault_duration, [this, n] { s.restart(n); });
   }
 
-  void pausenode(size_t n) {
+  void pause_node(size_t n) {
     s.pause(n);
-    s.at(s.now + heals, [this, n] { s.resume(n); });
+    s.at(s.now + fault_duration, [this, n] { s.resume(n); });
   }
 
   void
-  cutting(std::function<bool(const std::string &, const std::string &)> f) {
+  set_cut(std::function<bool(const std::string &, const std::string &)> f) {
     s.cut = std::move(f);
-    s.at(s.now + heals, [this] { s.cut = nullptr; });
+    s.at(s.now + fault_duration, [this] { s.cut = nullptr; });
   }
 
-  void killengine(size_t e) {
-    s.killengine(e);
-    s.at(s.now + heals, [this, e] { s.reviveengine(e); });
+  void kill_engine(size_t e) {
+    s.kill_engine(e);
+    s.at(s.now + fault_duration, [this, e] { s.revive_engine(e); });
   }
 
   void freeze(size_t e) {
     s.freeze(e);
-    s.at(s.now + heals, [this, e] { s.thaw(e); });
+    s.at(s.now + fault_duration, [this, e] { s.thaw(e); });
   }
 
-  template <class F> void each(F f) {
+  template <class F> void for_each_engine(F f) {
     for (auto &e : s.engines)
       f(e);
   }
 
-  void strike(Fault f) {
+  void inject(Fault f) {
     switch (f) {
     case FAULT_CALLER_GONE:
       s.at(s.now, [this] { s.hangup(call); });
       break;
     case FAULT_ENTRY_KILLED:
-      killnode(entry);
+      kill_node(entry);
       break;
     case FAULT_ENTRY_PAUSED:
-      pausenode(entry);
+      pause_node(entry);
       break;
     case FAULT_ENTRY_DRAINED:
       s.at(s.now, [this] { s.drain(entry); });
@@ -153,53 +157,54 @@
       });
       break;
     case FAULT_KEEPER_KILLED:
-      killnode(keeper());
+      kill_node(keeper_node());
       break;
     case FAULT_KEEPER_PAUSED:
-      pausenode(keeper());
+      pause_node(keeper_node());
       break;
     case FAULT_TWO_KEEPERS: {
-      mp_Addr k = s.nodes[keeper()].addr;
-      /* its neighbours hear nothing of it; it hears them */
+      mp_Addr k = s.nodes[keeper_node()].addr;
+      /* datagrams from it reach only the entry; it receives all */
       s.drop = [this, k](mp_Addr from, mp_Addr to, const mp_Msg &m) {
         (void)m;
         return from == k && to != s.nodes[entry].addr;
       };
-      s.at(s.now + heals, [this] { s.drop = nullptr; });
+      s.at(s.now + fault_duration, [this] { s.drop = nullptr; });
       break;
     }
     case FAULT_HOME_KILLED:
       for (size_t n : {3, 5})
-        killnode(n);
+        kill_node(n);
       break;
     case FAULT_HOME_PAUSED:
       for (size_t n : {3, 5})
-        pausenode(n);
+        pause_node(n);
       break;
     case FAULT_PREFILL_KILLED:
-      killengine(prefillno());
+      kill_engine(prefill_index());
       break;
     case FAULT_PREFILL_FROZEN:
-      freeze(prefillno());
+      freeze(prefill_index());
       break;
     case FAULT_DECODE_KILLED:
-      killengine(decodeno());
+      kill_engine(decode_index());
       break;
     case FAULT_DECODE_FROZEN:
-      freeze(decodeno());
+      freeze(decode_index());
       break;
     case FAULT_LATE:
-      each([](Engine &e) { e.late = 2500 * ms; });
-      s.at(s.now + heals, [this] { each([](Engine &e) { e.late = 0; }); });
+      for_each_engine([](Engine &e) { e.late = 2500 * ms; });
+      s.at(s.now + fault_duration,
+           [this] { for_each_engine([](Engine &e) { e.late = 0; }); });
       break;
     case FAULT_TWICE:
-      each([](Engine &e) { e.dup = true; });
+      for_each_engine([](Engine &e) { e.dup = true; });
       break;
     case FAULT_STALLED:
-      each([](Engine &e) { e.stallimport = 1; });
+      for_each_engine([](Engine &e) { e.stalled_imports = 1; });
       break;
     case FAULT_KV_EXPIRED:
-      each([](Engine &e) { e.kvlife = 8 * ms; });
+      for_each_engine([](Engine &e) { e.kv_lifetime = 8 * ms; });
       for (auto &e : s.engines) {
         for (size_t i = 0; i < e.works.size();)
           if (e.works[i]->op == "kv")
@@ -207,50 +212,51 @@
           else
             i++;
       }
-      s.at(s.now + 1 * sec,
-           [this] { each([](Engine &e) { e.kvlife = 4 * sec; }); });
+      s.at(s.now + 1 * sec, [this] {
+        for_each_engine([](Engine &e) { e.kv_lifetime = 4 * sec; });
+      });
       break;
     case FAULT_LEAVING:
-      for (size_t i : {prefillno(), decodeno()}) {
+      for (size_t i : {prefill_index(), decode_index()}) {
         s.engines[i].leaving = true; /* the list does not say so */
         s.engines[i].left_at = s.now;
       }
       break;
     case FAULT_CANCEL_LOST:
-      each([](Engine &e) { e.losecancel = 20; });
+      for_each_engine([](Engine &e) { e.lost_cancels = 20; });
       s.at(s.now, [this] { s.hangup(call); });
       s.at(s.now + 8 * sec,
-           [this] { each([](Engine &e) { e.losecancel = 0; }); });
+           [this] { for_each_engine([](Engine &e) { e.lost_cancels = 0; }); });
       break;
     case FAULT_STORE_DOWN:
       s.store_down = true;
-      s.at(s.now + heals, [this] { s.store_down = false; });
+      s.at(s.now + fault_duration, [this] { s.store_down = false; });
       break;
     case FAULT_STORE_SLOW:
-      s.store_slow = 3 * sec;
-      s.at(s.now + heals, [this] { s.store_slow = 0; });
+      s.store_extra_delay = 3 * sec;
+      s.at(s.now + fault_duration, [this] { s.store_extra_delay = 0; });
       break;
     case FAULT_STORE_LOSE:
-      s.store_lose = 2;
+      s.lost_store_replies = 2;
       break;
     case FAULT_CUT_STORE:
-      cutting([](const std::string &, const std::string &to) {
+      set_cut([](const std::string &, const std::string &to) {
         return to == "platform";
       });
       break;
     case FAULT_CUT_ALL:
-      cutting([](const std::string &from, const std::string &to) {
+      set_cut([](const std::string &from, const std::string &to) {
         return (from == "a") != (to == "a") && to != "platform";
       });
       break;
     case FAULT_CUT_ONE_WAY:
-      cutting([](const std::string &from, const std::string &to) {
+      set_cut([](const std::string &from, const std::string &to) {
         return from == "b" && to == "a";
       });
       break;
     case FAULT_CLOCK:
       s.nodes[entry].ahead += 6 * sec;
-      s.nodes[entry].woken = 0;
+      s.nodes[entry].next_tick_at = 0;
       break;
     case FAULT_SAME_ID:
       s.at(s.now, [this] {
@@ -260,12 +266,12 @@
       break;
     case FAULT_CONFIG:
       version++;
-      s.publish(version, text() + "drained: []\n");
+      s.publish(version, config_text() + "drained: []\n");
       break;
     case FAULT_DATAGRAMS: {
       auto n = std::make_shared<int>(0);
       s.drop = [n](mp_Addr, mp_Addr, const mp_Msg &) { return ++*n % 3 != 0; };
-      s.at(s.now + heals, [this] { s.drop = nullptr; });
+      s.at(s.now + fault_duration, [this] { s.drop = nullptr; });
       break;
     }
     case FAULT_COUNT:
@@ -273,21 +279,21 @@
     }
   }
 
-  void both() {
-    strike(c.first);
-    strike(c.second);
+  void inject_both() {
+    inject(c.first);
+    inject(c.second);
   }
 
-  void reach(Step st) {
+  void reach_step(Step st) {
     if (struck || st != c.step)
       return;
     struck = true;
-    both();
+    inject_both();
     if (c.twice)
-      s.at(s.now + 700 * ms, [this] { both(); });
+      s.at(s.now + 700 * ms, [this] { inject_both(); });
   }
 
-  void onlog(size_t n, const mp_Log &l) {
+  void on_log_event(size_t n, const mp_Log &l) {
     static const std::map<std::string, Step> steps = {
         {"step=0", STEP_CLAIM},        {"step=1", STEP_DECODE_SLOT},
         {"step=2", STEP_PREFILL_SLOT}, {"step=3", STEP_PREFILL},
@@ -298,7 +304,7 @@
       return;
     auto it = steps.find(at);
     if (it != steps.end())
-      reach(it->second);
+      reach_step(it->second);
   }
 
   void on_endpoint_call(size_t n, const mp_Xcall &x) {
@@ -309,52 +315,53 @@
     if (x.op == MP_X_IMPORT)
       decode = x.endpoint;
     if (x.op == MP_X_CANCEL && prefill != 0 && x.endpoint == prefill)
-      reach(STEP_RELEASE);
+      reach_step(STEP_RELEASE);
     xcalls[x.xcall] = x.op;
   }
 
   std::map<uint64_t, mp_XcallOp> xcalls;
 
-  void onx(size_t n, const mp_EndpointEvent &e) {
+  void on_endpoint_event(size_t n, const mp_EndpointEvent &e) {
     if (n != entry || !xcalls.count(e.xcall))
       return;
     mp_XcallOp op = xcalls[e.xcall];
     if (op == MP_X_PREFILL && e.what == MP_EP_DONE)
-      reach(STEP_KV);
+      reach_step(STEP_KV);
     if (op == MP_X_DECODE && e.what == MP_EP_PIECE && e.index == 2)
-      reach(STEP_STREAM);
+      reach_step(STEP_STREAM);
     if (op == MP_X_DECODE && e.what == MP_EP_DONE)
-      reach(STEP_LAST);
+      reach_step(STEP_LAST);
   }
 
   Outcome run() {
     const char *cls = c.kind == KIND_ASK ? "ask" : "once";
-    s.onlog = [this](size_t n, const mp_Log &l) { onlog(n, l); };
+    s.on_log_event = [this](size_t n, const mp_Log &l) { on_log_event(n, l); };
     s.on_endpoint_call = [this](size_t n, const mp_Xcall &x) {
       on_endpoint_call(n, x);
     };
-    s.onx = [this](size_t n, uint64_t, const mp_EndpointEvent &e) {
-      onx(n, e);
+    s.on_endpoint_event = [this](size_t n, uint64_t,
+                                 const mp_EndpointEvent &e) {
+      on_endpoint_event(n, e);
     };
     if (c.step == STEP_ACCEPT)
-      reach(STEP_ACCEPT);
+      reach_step(STEP_ACCEPT);
     if (!s.nodes[entry].dead)
       call = s.request(entry, cls, "key-0", "victim", 8);
-    /* others, whose answers must not mix with it */
+    /* other requests, whose answers must not be mixed up with it */
     s.request(1, "ask", "", "other-1", 9);
     s.request(2, "ask", "key-2", "other-2", 7);
     s.request(3, "once", "key-3", "other-3", 6);
-    /* the caller comes back with the same ID */
+    /* the caller retries with the same ID */
     s.at(s.now + 3 * sec,
          [this, cls] { s.request(3, cls, "key-0", "victim", 8); });
-    /* and work that comes when endpoints have long said that they leave */
+    /* and requests long after endpoints said that they are leaving */
     s.at(s.now + 6 * sec, [this] {
       for (size_t n : {1, 2, 3})
         s.request(n, "ask", "", "later-" + std::to_string(n), 5);
     });
     s.run(s.now + 45 * sec);
     s.check({"a", "b"});
-    check7();
+    check_planned_stop();
     Outcome o;
     o.broken = s.broken;
     o.struck = struck;
@@ -366,8 +373,8 @@
     return o;
   }
 
-  /* a planned stop alone cuts nothing off */
-  void check7() {
+  /* Promise 7: a planned stop without another fault cuts nothing off. */
+  void check_planned_stop() {
     bool planned =
         (c.first == FAULT_ENTRY_DRAINED || c.first == FAULT_LEAVING) &&
         c.second == FAULT_COUNT;
@@ -386,9 +393,9 @@
 } // namespace
 
 Outcome run_cell(const Cell &c, bool trace) {
-  Play p(c);
-  p.s.trace = trace;
-  return p.run();
+  CellRun cell_run(c);
+  cell_run.s.trace = trace;
+  return cell_run.run();
 }
 
 } // namespace matrix
--- a/test/matrix.h
+++ b/test/matrix.h
@@ -1,6 +1,10 @@
 /*
 ** matrix.h
 ** The fault matrix: every fault at every step of a request's path
+**
+** A cell sends one request, injects its fault when the request reaches the
+** step, and checks the promises of Sim. The names of steps and faults are
+** printed in the table of test/tools/matrix_table.cc.
 */
 
 #ifndef MATRIX_H
@@ -10,7 +14,7 @@
 
 namespace matrix {
 
-/* X(symbol, name): where the fault strikes */
+/* X(symbol, name): the step at which the fault is injected */
 #define MATRIX_STEPS(X)              \
   X(ACCEPT, "accept")                \
   X(CLAIM, "claim")                  \
@@ -28,10 +32,10 @@
 #define X(sym, name) STEP_##sym,
   MATRIX_STEPS(X)
 #undef X
-      STEPS
+      STEP_COUNT
 };
 
-/* X(symbol, name): what goes wrong */
+/* X(symbol, name): the fault */
 #define MATRIX_FAULTS(X)                       \
   X(CALLER_GONE, "caller gone")                \
   X(ENTRY_KILLED, "entry killed")              \
@@ -70,31 +74,35 @@
       FAULT_COUNT
 };
 
-/* classes of the request that is struck */
+/* class of the request: "ask" (repeatable) or "once" */
 enum Kind { KIND_ASK, KIND_ONCE, KIND_COUNT };
 
 extern const char *const step_names[];
 extern const char *const fault_names[];
 extern const char *const kind_names[];
 
+/* One run: a class, a step and one or two faults. */
 struct Cell {
   Kind kind;
   Step step;
   Fault first;
   Fault second; /* FAULT_COUNT: none */
-  int twice;    /* the fault(s) strike again 700 ms later */
+  int twice;    /* 1: the faults are injected again 700 ms later */
   uint64_t seed;
-  int baseline; /* all switches of the policy off */
+  int baseline; /* 1: all switches of the policy are off */
 };
 
 struct Outcome {
-  std::vector<std::string> broken;
-  bool struck;     /* the step was reached */
-  std::string end; /* of the struck request: "answered", or the error kind */
+  std::vector<std::string> broken; /* promises broken, as Sim.broken */
+  bool struck;                     /* the step was reached */
+  std::string end; /* of the request: "answered", "gone", "nothing" or the
+                   ** error */
 };
 
+/* Runs one cell; 'trace' prints log events. */
 Outcome run_cell(const Cell &c, bool trace = false);
 
+/* Returns the name of a cell for messages. */
 std::string name(const Cell &c);
 
 } // namespace matrix
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -463,11 +463,11 @@
     exchange_news();
     deliver_news();
     for (unsigned i = 0; i < instances.size(); i++) {
-      for (const auto &[number, result] : instances[i].world->ended) {
-        answered += static_cast<unsigned>(result.answers);
-        refused += static_cast<unsigned>(result.refusals);
-        if (result.refusals > 0)
-          retry_after_ms.push_back(result.retry_after_ms);
+      for (const auto &entry : instances[i].world->ended) {
+        answered += static_cast<unsigned>(entry.second.answers);
+        refused += static_cast<unsigned>(entry.second.refusals);
+        if (entry.second.refusals > 0)
+          retry_after_ms.push_back(entry.second.retry_after_ms);
       }
       instances[i].world->ended.clear();
       instances[i].world->log.clear();
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -1,6 +1,6 @@
 /*
 ** sim.cc
-** Small fakes around real decision cores, in virtual time
+** Sim: real decision cores with fakes around them, in virtual time
 */
 
 #include "sim.h"
@@ -14,7 +14,7 @@
 
 namespace sim {
 
-static std::string tokentext(const mp_Token &t) {
+static std::string token_text(const mp_Token &t) {
   char s[64];
   mp_token_text(&t, 0, s);
   return s;
@@ -91,7 +91,7 @@
     mp_free(n.M);
 }
 
-size_t Sim::addnode(const std::string &dc) {
+size_t Sim::add_node(const std::string &dc) {
   Node n;
   n.addr = (0x0a000001ULL + nodes.size()) << 16 | 7000;
   n.dc = dc;
@@ -99,8 +99,8 @@
   return nodes.size() - 1;
 }
 
-size_t Sim::addengine(const std::string &dc, mp_Role role,
-                      const std::string &service) {
+size_t Sim::add_engine(const std::string &dc, mp_Role role,
+                       const std::string &service) {
   Engine e;
   e.addr = (0x0a010001ULL + engines.size()) << 16 | 8000;
   e.dc = dc;
@@ -114,18 +114,18 @@
 void Sim::build(const std::vector<const char *> &node_dcs,
                 const std::vector<std::pair<mp_Role, const char *>> &each) {
   for (const char *dc : node_dcs)
-    addnode(dc);
+    add_node(dc);
   for (const char *dc : {"a", "b", "c"}) {
     for (auto &e : each)
-      addengine(dc, e.first, e.second);
+      add_engine(dc, e.first, e.second);
   }
-  publishlist();
+  publish_instance_list();
   publish(1, config());
-  startnodes();
+  start_nodes();
   run(now + 5 * sec);
 }
 
-void Sim::publishlist() {
+void Sim::publish_instance_list() {
   static const char *const roles[] = {"prefill", "decode", "plain"};
   std::string s = "{\"version\": " + std::to_string(store_version + 1) +
                   ", \"instances\": [";
@@ -168,7 +168,7 @@
   g_free(s);
 }
 
-void Sim::boot(size_t n) {
+void Sim::start_node(size_t n) {
   Node &d = nodes[n];
   mp_Options o;
   memset(&o, 0, sizeof o);
@@ -188,12 +188,12 @@
   o.codec = mp_codec();
   d.M = mp_new(&o, now + d.ahead);
   d.config = 0;
-  perform(n);
+  perform_effects(n);
 }
 
-void Sim::startnodes() {
+void Sim::start_nodes() {
   for (size_t i = 0; i < nodes.size(); i++)
-    boot(i);
+    start_node(i);
 }
 
 /* }================================================================== */
@@ -218,27 +218,28 @@
   now = until;
 }
 
-void Sim::to(size_t n, std::function<void()> f) {
+void Sim::run_on_node(size_t n, std::function<void()> f) {
   if (nodes[n].paused)
     nodes[n].inbox.push_back(std::move(f));
   else
     f();
 }
 
-void Sim::wake(size_t n) {
+void Sim::schedule_tick(size_t n) {
   Node &d = nodes[n];
   mp_Time t = mp_wake(d.M) - d.ahead;
   uint64_t epoch = d.epoch;
-  if (t == INT64_MAX - d.ahead || (d.woken > now && d.woken <= t))
+  if (t == INT64_MAX - d.ahead ||
+      (d.next_tick_at > now && d.next_tick_at <= t))
     return;
   t = std::max(t, now);
-  d.woken = t;
+  d.next_tick_at = t;
   at(t, [this, n, epoch, t] {
     if (nodes[n].epoch != epoch || nodes[n].dead)
       return;
-    if (nodes[n].woken == t)
-      nodes[n].woken = 0;
-    to(n, [this, n, epoch] {
+    if (nodes[n].next_tick_at == t)
+      nodes[n].next_tick_at = 0;
+    run_on_node(n, [this, n, epoch] {
       if (nodes[n].epoch != epoch || nodes[n].dead)
         return;
       mp_Event e;
@@ -253,10 +254,10 @@
   if (nodes[n].dead || nodes[n].M == nullptr)
     return;
   mp_feed(nodes[n].M, now + nodes[n].ahead, &e);
-  perform(n);
+  perform_effects(n);
 }
 
-void Sim::perform(size_t n) {
+void Sim::perform_effects(size_t n) {
   mp_Effect fx;
   uint64_t epoch = nodes[n].epoch;
   mp_Status s;
@@ -264,18 +265,18 @@
   if (s.config_version < nodes[n].config)
     broken.push_back("8: configuration went back");
   nodes[n].config = s.config_version;
-  /* a hook may kill the node under way */
+  /* a hook may kill the node in between */
   while (nodes[n].epoch == epoch && !nodes[n].dead &&
          mp_take(nodes[n].M, &fx)) {
     switch (fx.kind) {
     case MP_FX_SEND:
-      send(n, fx.u.send.to, fx.u.send.msg);
+      send_datagram(n, fx.u.send.to, fx.u.send.msg);
       break;
     case MP_FX_XCALL:
-      xcall(n, fx.u.xcall);
+      handle_endpoint_call(n, fx.u.xcall);
       break;
     case MP_FX_XABORT:
-      aborted_[{n, fx.u.xabort}] = true;
+      aborted_calls_[{n, fx.u.xabort}] = true;
       for (auto &e : engines) {
         for (auto &w : e.works) {
           if (w->xcall == fx.u.xabort && w->node == n)
@@ -284,27 +285,27 @@
       }
       break;
     case MP_FX_REPLY:
-      reply(n, fx.u.reply);
+      deliver_reply(n, fx.u.reply);
       break;
     case MP_FX_STORE:
-      storecall(n, fx.u.store);
+      handle_store_call(n, fx.u.store);
       break;
     case MP_FX_LOG:
       if (trace)
         printf("%9.3f n%zu %d %s%s\n", now / 1e6, n,
                static_cast<int>(fx.u.log.no), fx.u.log.text, fx.u.log.fields);
-      if (onlog)
-        onlog(n, fx.u.log);
+      if (on_log_event)
+        on_log_event(n, fx.u.log);
       break;
     case MP_FX_DRAINED:
-      exits(n);
+      finish_drain(n);
       break;
     case MP_FX_NONE:
       break;
     }
   }
   if (nodes[n].epoch == epoch && !nodes[n].dead)
-    wake(n);
+    schedule_tick(n);
 }
 
 /* }================================================================== */
@@ -315,15 +316,15 @@
 ** ===================================================================
 */
 
-size_t Sim::nodeof(mp_Addr a) const {
+size_t Sim::node_index(mp_Addr a) const {
   size_t i = 0;
   while (i < nodes.size() && nodes[i].addr != a)
     i++;
   return i;
 }
 
-void Sim::send(size_t n, mp_Addr dest, const mp_Msg &m) {
-  size_t k = nodeof(dest);
+void Sim::send_datagram(size_t n, mp_Addr dest, const mp_Msg &m) {
+  size_t k = node_index(dest);
   mp_Addr from = nodes[n].addr;
   auto copy = std::make_shared<mp_Msg>(m);
   if (k == nodes.size())
@@ -333,7 +334,7 @@
   if (drop && drop(from, dest, m))
     return;
   at(now + 1 * ms, [this, k, from, copy] {
-    to(k, [this, k, from, copy] {
+    run_on_node(k, [this, k, from, copy] {
       mp_Event e;
       memset(&e, 0, sizeof e);
       e.kind = MP_EV_MSG;
@@ -344,15 +345,15 @@
   });
 }
 
-void Sim::storereply(size_t n, uint64_t op, mp_StoreStatus st,
-                     const Object *o) {
+void Sim::send_store_reply(size_t n, uint64_t op, mp_StoreStatus st,
+                           const Object *o) {
   uint64_t epoch = nodes[n].epoch;
   auto value = std::make_shared<std::string>(o ? o->value : "");
   uint64_t version = o ? o->version : 0;
   at(now + 2 * ms, [=, this] {
     if (nodes[n].epoch != epoch)
       return;
-    to(n, [=, this] {
+    run_on_node(n, [=, this] {
       mp_Event e;
       memset(&e, 0, sizeof e);
       e.kind = MP_EV_STORE;
@@ -366,46 +367,46 @@
   });
 }
 
-void Sim::storecall(size_t n, const mp_StoreCall &s) {
+void Sim::handle_store_call(size_t n, const mp_StoreCall &s) {
   std::string key = s.key;
   std::string value(s.value ? s.value : "", s.len);
   mp_StoreOp what = s.what;
   uint64_t op = s.op, version = s.version, epoch = nodes[n].epoch;
   store_calls++;
   if (store_down || (cut && cut(nodes[n].dc, "platform"))) {
-    storereply(n, op, MP_STORE_DOWN, nullptr);
+    send_store_reply(n, op, MP_STORE_DOWN, nullptr);
     return;
   }
-  mp_Time t = now + 2 * ms + store_slow;
+  mp_Time t = now + 2 * ms + store_extra_delay;
   at(t, [=, this] {
     auto it = store.find(key);
     const Object *o = it == store.end() ? nullptr : &it->second;
     if (what == MP_ST_PUT) {
       store_writes++;
       if ((o ? o->version : 0) != version) {
-        storereply(n, op, MP_STORE_CONFLICT, nullptr);
+        send_store_reply(n, op, MP_STORE_CONFLICT, nullptr);
         return;
       }
       store[key] = {++store_version, value};
-      if (store_lose > 0) {
-        store_lose--;
-        storereply(n, op, MP_STORE_UNKNOWN, nullptr);
+      if (lost_store_replies > 0) {
+        lost_store_replies--;
+        send_store_reply(n, op, MP_STORE_UNKNOWN, nullptr);
       } else
-        storereply(n, op, MP_STORE_OK, &store[key]);
+        send_store_reply(n, op, MP_STORE_OK, &store[key]);
       return;
     }
     if (what == MP_ST_WATCH && o && o->version == version) {
-      /* look again until it changes; the core gives up by itself */
+      /* poll until it changes; the core has its own timeout */
       at(now + 100 * ms, [=, this] {
         if (nodes[n].epoch != epoch || nodes[n].dead)
           return;
         mp_StoreCall again = {op, what, key.c_str(), version, nullptr, 0};
         store_calls--;
-        storecall(n, again);
+        handle_store_call(n, again);
       });
       return;
     }
-    storereply(n, op, o ? MP_STORE_OK : MP_STORE_ABSENT, o);
+    send_store_reply(n, op, o ? MP_STORE_OK : MP_STORE_ABSENT, o);
   });
 }
 
@@ -423,7 +424,7 @@
   bool plain = cls.rfind("plain", 0) == 0;
   std::string account = cls == "tight" ? "tight" : "key";
   std::string cl = cls == "tight" ? "ask" : cls;
-  c.call = ++lastcall_;
+  c.call = ++last_call_;
   c.node = n;
   c.key = key;
   c.prompt = prompt;
@@ -433,7 +434,7 @@
   c.sent = now;
   c.gone = nodes[n].dead; /* its connection is refused */
   callers[c.call] = c;
-  to(n, [=, this] {
+  run_on_node(n, [=, this] {
     mp_Event e;
     memset(&e, 0, sizeof e);
     e.kind = MP_EV_CALL;
@@ -456,7 +457,7 @@
   if (c.ended || c.failed || c.gone)
     return;
   c.gone = true;
-  to(n, [this, n, call] {
+  run_on_node(n, [this, n, call] {
     mp_Event e;
     memset(&e, 0, sizeof e);
     e.kind = MP_EV_HANGUP;
@@ -465,7 +466,7 @@
   });
 }
 
-void Sim::reply(size_t n, const mp_Reply &r) {
+void Sim::deliver_reply(size_t n, const mp_Reply &r) {
   auto it = callers.find(r.call);
   (void)n;
   if (it == callers.end())
@@ -505,7 +506,7 @@
 ** ===================================================================
 */
 
-Engine *Sim::engineof(mp_Addr a) {
+Engine *Sim::engine_at(mp_Addr a) {
   for (auto &e : engines) {
     if (e.addr == a)
       return &e;
@@ -513,8 +514,8 @@
   return nullptr;
 }
 
-std::shared_ptr<Work> Sim::find(Engine &e, const mp_Token &t, uint32_t attempt,
-                                const std::string &op) {
+std::shared_ptr<Work> Sim::find_work(Engine &e, const mp_Token &t,
+                                     uint32_t attempt, const std::string &op) {
   for (auto &w : e.works) {
     if (w->op == op && w->attempt == attempt &&
         memcmp(&w->token, &t, sizeof t) == 0)
@@ -523,28 +524,28 @@
   return nullptr;
 }
 
-void Sim::ran(Engine &e, const mp_Token &t, uint32_t attempt,
-              const std::string &op) {
-  ledger.push_back({tokentext(t), attempt, op, e.dc, e.name, now});
-  if (op != "decode") /* that came with its import */
-    arrived(e);
+void Sim::record_run(Engine &e, const mp_Token &t, uint32_t attempt,
+                     const std::string &op) {
+  ledger.push_back({token_text(t), attempt, op, e.dc, e.name, now});
+  if (op != "decode") /* its import was the new work */
+    check_not_leaving(e);
 }
 
-void Sim::arrived(const Engine &e) {
+void Sim::check_not_leaving(const Engine &e) {
   if (e.left_at > 0 && now - e.left_at > 4 * sec)
     broken.push_back("6: " + e.name + " got new work after it left");
 }
 
-void Sim::event(size_t n, mp_EndpointEvent ev, const std::string &text,
-                mp_Time wait) {
+void Sim::send_endpoint_event(size_t n, mp_EndpointEvent ev,
+                              const std::string &text, mp_Time wait) {
   uint64_t epoch = nodes[n].epoch;
   auto copy = std::make_shared<std::string>(text);
   at(now + 1 * ms + wait, [=, this]() mutable {
     if (nodes[n].epoch != epoch || nodes[n].dead ||
-        aborted_.count({n, ev.xcall}))
+        aborted_calls_.count({n, ev.xcall}))
       return;
-    to(n, [=, this]() mutable {
-      if (nodes[n].epoch != epoch || aborted_.count({n, ev.xcall}))
+    run_on_node(n, [=, this]() mutable {
+      if (nodes[n].epoch != epoch || aborted_calls_.count({n, ev.xcall}))
         return;
       mp_Event e;
       memset(&e, 0, sizeof e);
@@ -552,63 +553,64 @@
       ev.text = copy->data();
       ev.len = copy->size();
       e.u.endpoint = ev;
-      if (onx)
-        onx(n, 0, ev);
+      if (on_endpoint_event)
+        on_endpoint_event(n, 0, ev);
       feed(n, e);
     });
   });
 }
 
-void Sim::fail(size_t n, uint64_t x, mp_EndpointFail f, mp_Time wait) {
+void Sim::send_failure(size_t n, uint64_t x, mp_EndpointFail f, mp_Time wait) {
   mp_EndpointEvent ev;
   memset(&ev, 0, sizeof ev);
   ev.xcall = x;
   ev.what = MP_EP_FAIL;
   ev.fail = f;
-  event(n, ev, "", wait);
+  send_endpoint_event(n, ev, "", wait);
 }
 
-void Sim::onengine(Engine &e, std::function<void()> f) {
+void Sim::run_on_engine(Engine &e, std::function<void()> f) {
   if (e.frozen)
     e.held.push_back(std::move(f));
   else
     f();
 }
 
-void Sim::xcall(size_t n, const mp_Xcall &x) {
-  Engine *e = engineof(x.endpoint);
+void Sim::handle_endpoint_call(size_t n, const mp_Xcall &x) {
+  Engine *e = engine_at(x.endpoint);
   std::string kv = x.kv ? x.kv : "", partial = x.partial ? x.partial : "";
   const Caller *c =
       x.call && callers.count(x.call) ? &callers[x.call] : nullptr;
   mp_Addr a = x.endpoint;
   uint64_t epoch = nodes[n].epoch;
   if (x.call)
-    calls[tokentext(x.token)] = x.call;
+    calls[token_text(x.token)] = x.call;
   if (on_endpoint_call)
     on_endpoint_call(n, x);
   if (nodes[n].epoch != epoch || nodes[n].dead)
-    return; /* the hook killed it before the call went out */
+    return; /* the hook killed the node before the call was sent */
   if (e == nullptr || e->dead) {
-    fail(n, x.xcall, MP_EPF_CONNECT, 0);
+    send_failure(n, x.xcall, MP_EPF_CONNECT, 0);
     return;
   }
   if (cut && cut(nodes[n].dc, e->dc))
-    return; /* no answer ever: the core must give up by itself */
+    return; /* never answered: the core has its own timeout */
   mp_Xcall copy = x;
   at(now + 1 * ms, [=, this] {
-    Engine *g = engineof(a);
+    Engine *g = engine_at(a);
     if (g->dead) {
-      fail(n, copy.xcall, MP_EPF_BROKEN, 0);
+      send_failure(n, copy.xcall, MP_EPF_BROKEN, 0);
       return;
     }
-    onengine(*g, [=, this] { begin(*engineof(a), n, copy, c, kv, partial); });
+    run_on_engine(
+        *g, [=, this] { start_work(*engine_at(a), n, copy, c, kv, partial); });
   });
 }
 
-void Sim::prefilled(mp_Addr a, uint64_t serial) {
-  Engine &e = *engineof(a);
-  onengine(e, [=, this] {
-    Engine &g = *engineof(a);
+void Sim::finish_prefill(mp_Addr a, uint64_t serial) {
+  Engine &e = *engine_at(a);
+  run_on_engine(e, [=, this] {
+    Engine &g = *engine_at(a);
     for (auto &w : g.works) {
       if (w->serial != serial || w->op != "prefill")
         continue;
@@ -619,11 +621,11 @@
       memset(&ev, 0, sizeof ev);
       ev.xcall = w->xcall;
       ev.what = MP_EP_DONE;
-      ev.life_ms = static_cast<uint32_t>(g.kvlife / ms);
+      ev.life_ms = static_cast<uint32_t>(g.kv_lifetime / ms);
       if (w->xcall)
-        event(w->node, ev, name, g.late);
-      at(now + g.kvlife, [=, this] {
-        auto &ws = engineof(a)->works;
+        send_endpoint_event(w->node, ev, name, g.late);
+      at(now + g.kv_lifetime, [=, this] {
+        auto &ws = engine_at(a)->works;
         for (size_t i = 0; i < ws.size(); i++) {
           if (ws[i]->serial == serial) {
             ws.erase(ws.begin() + static_cast<long>(i));
@@ -636,10 +638,10 @@
   });
 }
 
-void Sim::tokens(mp_Addr a, uint64_t serial) {
-  Engine &e = *engineof(a);
-  onengine(e, [=, this] {
-    Engine &g = *engineof(a);
+void Sim::generate_tokens(mp_Addr a, uint64_t serial) {
+  Engine &e = *engine_at(a);
+  run_on_engine(e, [=, this] {
+    Engine &g = *engine_at(a);
     for (size_t i = 0; i < g.works.size(); i++) {
       auto w = g.works[i];
       if (w->serial != serial || w->op != "decode")
@@ -654,16 +656,16 @@
         ev.index = w->sent;
         ev.tokens = 1;
         std::string text = answer(w->prompt, w->sent);
-        if (g.losepiece != w->sent + 1)
-          event(w->node, ev, text, g.late);
+        if (g.lost_piece != w->sent + 1)
+          send_endpoint_event(w->node, ev, text, g.late);
         if (g.dup) {
-          event(w->node, ev, text, g.late + 3 * ms);
-          event(w->node, ev, text, g.late + 45 * ms);
+          send_endpoint_event(w->node, ev, text, g.late + 3 * ms);
+          send_endpoint_event(w->node, ev, text, g.late + 45 * ms);
         }
         w->sent++;
       }
       if (w->made < all) {
-        at(now + g.pace, [=, this] { tokens(a, serial); });
+        at(now + g.pace, [=, this] { generate_tokens(a, serial); });
         return;
       }
       if (w->xcall) {
@@ -672,15 +674,15 @@
         ev.xcall = w->xcall;
         ev.what = MP_EP_DONE;
         ev.tokens = all;
-        event(w->node, ev, "", g.late);
+        send_endpoint_event(w->node, ev, "", g.late);
         g.works.erase(g.works.begin() + static_cast<long>(i));
       }
-      return; /* without a reader it stays, until it is cancelled */
+      return; /* without a reader it holds memory until it is cancelled */
     }
   });
 }
 
-void Sim::load(Engine &e, size_t n, uint64_t x) {
+void Sim::answer_load_query(Engine &e, size_t n, uint64_t x) {
   uint64_t epoch = nodes[n].epoch;
   auto holds = std::make_shared<std::vector<mp_HoldNews>>();
   auto l = std::make_shared<mp_LoadAnswer>();
@@ -699,7 +701,7 @@
   at(now + 1 * ms, [=, this] {
     if (nodes[n].epoch != epoch)
       return;
-    to(n, [=, this] {
+    run_on_node(n, [=, this] {
       mp_Event ev;
       memset(&ev, 0, sizeof ev);
       l->nhold = static_cast<unsigned>(holds->size());
@@ -713,9 +715,9 @@
   });
 }
 
-/* a call has reached the engine */
-void Sim::begin(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
-                const std::string &kv, const std::string &partial) {
+/* Carries out a call that has reached the engine. */
+void Sim::start_work(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
+                     const std::string &kv, const std::string &partial) {
   mp_Addr a = e.addr;
   char id[64];
   mp_token_text(&x.token, x.attempt, id);
@@ -724,13 +726,13 @@
   ev.xcall = x.xcall;
   ev.what = MP_EP_DONE;
   if (x.op == MP_X_LOAD) {
-    load(e, n, x.xcall);
+    answer_load_query(e, n, x.xcall);
     return;
   }
   if (x.op == MP_X_CANCEL) {
-    if (e.losecancel > 0) {
-      e.losecancel--;
-      fail(n, x.xcall, MP_EPF_BROKEN, 0);
+    if (e.lost_cancels > 0) {
+      e.lost_cancels--;
+      send_failure(n, x.xcall, MP_EPF_BROKEN, 0);
       return;
     }
     e.cancelled.insert(id);
@@ -742,38 +744,38 @@
       else
         i++;
     }
-    event(n, ev, "", 0);
+    send_endpoint_event(n, ev, "", 0);
     return;
   }
   if (x.op == MP_X_ORDER) {
     if (e.fences && x.fence < e.fence) {
       broken.push_back("order: an old fence reached an engine");
-      fail(n, x.xcall, MP_EPF_REFUSED, 0);
+      send_failure(n, x.xcall, MP_EPF_REFUSED, 0);
       return;
     }
     if (!e.works.empty()) {
-      fail(n, x.xcall, MP_EPF_REFUSED, 0);
+      send_failure(n, x.xcall, MP_EPF_REFUSED, 0);
       return;
     }
     e.fence = x.fence;
     e.role = x.role;
-    event(n, ev, "", 0);
+    send_endpoint_event(n, ev, "", 0);
     return;
   }
   if (x.op == MP_X_RESUME) {
-    auto w = find(e, x.token, x.attempt, "decode");
+    auto w = find_work(e, x.token, x.attempt, "decode");
     if (w == nullptr) {
-      fail(n, x.xcall, MP_EPF_REFUSED, 0);
+      send_failure(n, x.xcall, MP_EPF_REFUSED, 0);
       return;
     }
     w->xcall = x.xcall;
     w->node = n;
     w->sent = std::min(x.from_token, w->made);
-    tokens(a, w->serial);
+    generate_tokens(a, w->serial);
     return;
   }
   if (e.cancelled.count(id)) {
-    fail(n, x.xcall, MP_EPF_REFUSED, 0);
+    send_failure(n, x.xcall, MP_EPF_REFUSED, 0);
     return;
   }
   auto w = std::make_shared<Work>();
@@ -788,12 +790,12 @@
   if (x.op == MP_X_PREFILL) {
     w->op = "prefill";
     e.works.push_back(w);
-    ran(e, x.token, x.attempt, "prefill");
+    record_run(e, x.token, x.attempt, "prefill");
     mp_Time cost = static_cast<mp_Time>(w->prompt.size()) * sec / e.rate;
     e.busy_until = std::max(e.busy_until, now) + cost + 5 * ms;
-    at(e.busy_until, [=, this] { prefilled(a, serial); });
+    at(e.busy_until, [=, this] { finish_prefill(a, serial); });
   } else if (x.op == MP_X_IMPORT) {
-    Engine *src = engineof(x.kv_from);
+    Engine *src = engine_at(x.kv_from);
     std::string prompt;
     bool there = false;
     for (auto &k : src->works) {
@@ -808,25 +810,25 @@
     for (auto &k : e.works)
       used += k->op == "import" || k->op == "decode";
     if (!there || src->dead) {
-      fail(n, x.xcall, MP_EPF_REJECTED, 0);
+      send_failure(n, x.xcall, MP_EPF_REJECTED, 0);
       return;
     }
     if (used >= e.slots) {
-      fail(n, x.xcall, MP_EPF_REFUSED, 0);
+      send_failure(n, x.xcall, MP_EPF_REFUSED, 0);
       return;
     }
     w->op = "import";
-    arrived(e);
+    check_not_leaving(e);
     w->prompt = prompt;
     e.works.push_back(w);
-    if (e.stallimport > 0)
-      e.stallimport--;
+    if (e.stalled_imports > 0)
+      e.stalled_imports--;
     else
-      event(n, ev, "", 10 * ms + e.late);
+      send_endpoint_event(n, ev, "", 10 * ms + e.late);
   } else if (x.op == MP_X_DECODE) {
-    auto in = find(e, x.token, x.attempt, "import");
+    auto in = find_work(e, x.token, x.attempt, "import");
     if (in == nullptr) {
-      fail(n, x.xcall, MP_EPF_REFUSED, 0);
+      send_failure(n, x.xcall, MP_EPF_REFUSED, 0);
       return;
     }
     std::string expect;
@@ -840,17 +842,17 @@
     in->node = n;
     in->max_tokens = w->max_tokens;
     in->made = in->sent = x.from_token;
-    ran(e, x.token, x.attempt, "decode");
-    at(now + e.pace, [=, this] { tokens(a, serial); });
+    record_run(e, x.token, x.attempt, "decode");
+    at(now + e.pace, [=, this] { generate_tokens(a, serial); });
   } else {
-    ran(e, x.token, x.attempt, "plain");
+    record_run(e, x.token, x.attempt, "plain");
     ev.what = MP_EP_HEAD;
     ev.status = 200;
-    event(n, ev, "", 20 * ms + e.late);
+    send_endpoint_event(n, ev, "", 20 * ms + e.late);
     ev.what = MP_EP_PIECE;
-    event(n, ev, "plain:" + w->prompt, 21 * ms + e.late);
+    send_endpoint_event(n, ev, "plain:" + w->prompt, 21 * ms + e.late);
     ev.what = MP_EP_DONE;
-    event(n, ev, "", 22 * ms + e.late);
+    send_endpoint_event(n, ev, "", 22 * ms + e.late);
   }
 }
 
@@ -890,8 +892,8 @@
   d.dead = false;
   d.drained = false;
   d.start++;
-  d.woken = 0;
-  boot(n);
+  d.next_tick_at = 0;
+  start_node(n);
 }
 
 void Sim::pause(size_t n) {
@@ -899,8 +901,8 @@
     nodes[n].paused = true;
 }
 
-/* the process ends: who is still connected is cut off */
-void Sim::exits(size_t n) {
+/* The process of a drained node ends; no caller may be connected. */
+void Sim::finish_drain(size_t n) {
   uint64_t epoch = nodes[n].epoch;
   nodes[n].drained = true;
   for (auto &c : callers) {
@@ -922,11 +924,11 @@
   auto in = std::move(d.inbox);
   d.inbox.clear();
   for (auto &f : in)
-    to(n, f);
+    run_on_node(n, f);
 }
 
 void Sim::drain(size_t n) {
-  to(n, [this, n] {
+  run_on_node(n, [this, n] {
     mp_Event e;
     memset(&e, 0, sizeof e);
     e.kind = MP_EV_DRAIN;
@@ -934,19 +936,19 @@
   });
 }
 
-void Sim::killengine(size_t i) {
+void Sim::kill_engine(size_t i) {
   Engine &e = engines[i];
   e.dead = true;
   e.frozen = false;
   e.held.clear();
   for (auto &w : e.works) {
     if (w->xcall && !nodes[w->node].dead)
-      fail(w->node, w->xcall, MP_EPF_BROKEN, 0);
+      send_failure(w->node, w->xcall, MP_EPF_BROKEN, 0);
   }
   e.works.clear();
 }
 
-void Sim::reviveengine(size_t i) {
+void Sim::revive_engine(size_t i) {
   engines[i].dead = false;
   engines[i].cancelled.clear();
   engines[i].busy_until = now;
@@ -974,11 +976,11 @@
 ** ===================================================================
 */
 
-size_t Sim::keeperof(size_t node, mp_Addr endpoint) const {
+size_t Sim::keeper_index(size_t node, mp_Addr endpoint) const {
   mp_EndpointInfo e;
   for (unsigned i = 0; mp_endpoint(nodes[node].M, i, &e); i++) {
     if (e.addr == endpoint)
-      return nodeof(e.keeper);
+      return node_index(e.keeper);
   }
   return nodes.size();
 }
@@ -989,7 +991,7 @@
     for (auto &w : e.works) {
       if (w->op != "plain" && !e.dead)
         out.push_back(e.name + " holds " + w->op + " of " +
-                      tokentext(w->token));
+                      token_text(w->token));
     }
   }
   return out;
--- a/test/sim.h
+++ b/test/sim.h
@@ -1,8 +1,12 @@
 /*
-** sim.h
-** Small fakes around real decision cores, in virtual time
-** Instances are real mp_States; network, engines, platform and callers are
-** fakes at their interfaces. Every run with the same seed is the same.
+** sim.h Sim: real decision cores (mp_State) with fakes around them, in virtual
+** time
+**
+** Each node is an instance with a real core. The network, the engines, the
+** platform's store and the callers are fakes at the interfaces of the core. A
+** run depends on its seed alone. Times are in us of a virtual clock that
+** starts at 10 s. check() tests the promises of the README and adds a text for
+** each broken one to 'broken', beginning with the number of the promise.
 */
 
 #ifndef SIM_H
@@ -24,76 +28,82 @@
 const mp_Time ms = MP_MS;
 const mp_Time sec = MP_SEC;
 
-/* one caller and what it was told */
+/* One request of a caller, and what its caller received. */
 struct Caller {
   uint64_t call = 0;
-  size_t node = 0;
-  std::string key, prompt, kind;
+  size_t node = 0; /* index of the instance that it was sent to */
+  std::string key, prompt, kind; /* kind: the class given to request() */
   uint32_t max_tokens = 0;
-  bool once = false; /* class that may not be repeated */
-  bool gone = false; /* hung up, or its instance died */
+  bool once = false; /* its class must not be run twice */
+  bool gone = false; /* it hung up, or its instance ended */
   bool ended = false, failed = false;
   int endings = 0;
   std::string text;
   mp_Error error = MP_ERR_NONE;
   mp_Ran ran = MP_RAN_NO;
   int retry_s = 0;
+  /* times of the request, the first piece, and the end or error */
   mp_Time sent = 0, first = 0, last = 0;
 };
 
-/* one piece of work an engine began */
-struct Ran {
+/* One operation that an engine began. */
+struct RunRecord {
   std::string token; /* without the attempt */
   uint32_t attempt;
   std::string op, dc, engine;
   mp_Time at;
 };
 
-/* one hold of an engine */
+/* One operation that holds memory of an engine. */
 struct Work {
   mp_Token token;
   uint32_t attempt;
   std::string op; /* prefill, kv, import, decode, plain */
   std::string prompt;
   uint32_t max_tokens = 0, made = 0, sent = 0;
-  uint64_t xcall = 0; /* who reads it; 0: nobody */
+  uint64_t xcall = 0; /* call that reads it; 0: none */
   size_t node = 0;
   uint64_t serial = 0;
 };
 
+/* A fake endpoint: an engine or a plain service. */
 struct Engine {
   mp_Addr addr = 0;
   std::string name, dc, service;
   mp_Role role = MP_ROLE_PREFILL;
-  uint32_t slots = 4, rate = 20000;
-  mp_Time pace = 20 * ms, kvlife = 4 * sec;
+  uint32_t slots = 4, rate = 20000; /* decodes; prompt tokens per second */
+  mp_Time pace = 20 * ms, kv_lifetime = 4 * sec; /* pace: of one token */
   bool dead = false, frozen = false, leaving = false, fences = true;
-  bool dup = false;       /* pieces come twice, and some late */
-  uint32_t losepiece = 0; /* this piece (from 1) is lost */
-  int losecancel = 0;     /* cancels that are not heard */
-  int stallimport = 0;    /* imports that never end */
-  mp_Time late = 0;       /* answers come so much later */
-  mp_Time left_at = 0;    /* when it began to leave */
+  bool dup = false; /* each piece is sent three times, 3 and 45 ms later */
+  uint32_t lost_piece = 0; /* number (from 1) of the piece that is lost */
+  int lost_cancels = 0;    /* number of cancels that will be lost */
+  int stalled_imports = 0; /* number of imports that will never end */
+  mp_Time late = 0;        /* extra delay of answers */
+  mp_Time left_at = 0;     /* when it began to leave; 0: it has not */
   uint64_t fence = 0;
   std::vector<std::shared_ptr<Work>> works;
   std::set<std::string> cancelled;
-  std::deque<std::function<void()>> held; /* what waits for the thaw */
+  std::deque<std::function<void()>>
+      held; /* calls that wait while it is frozen */
   mp_Time busy_until = 0;
 };
 
+/* An instance. */
 struct Node {
   mp_State *M = nullptr;
   mp_Addr addr = 0;
   std::string dc;
   uint32_t start = 1;
   bool dead = false, paused = false, drained = false;
-  mp_Time ahead = 0;                       /* its clock jumped by so much */
+  mp_Time ahead = 0;                       /* offset of its clock */
   std::deque<std::function<void()>> inbox; /* while paused */
   uint64_t config = 0;
-  uint64_t epoch = 0; /* grows with every death: old events miss it */
-  mp_Time woken = 0;
+  uint64_t epoch =
+      0; /* grows with each kill; events of older ones are dropped */
+  mp_Time next_tick_at = 0;
 };
 
+/* An object of the platform's store. */
 struct Object {
   uint64_t version;
   std::string value;
@@ -106,65 +116,87 @@
   std::map<std::string, Object> store;
   uint64_t store_version = 0;
   bool store_down = false;
-  mp_Time store_slow = 0;
-  int store_lose = 0; /* writes whose reply is lost after the effect */
+  mp_Time store_extra_delay = 0;
+  int lost_store_replies =
+      0; /* number of writes that take effect but whose reply will be lost */
   uint64_t store_calls = 0, store_writes = 0;
   std::map<uint64_t, Caller> callers;
-  std::vector<Ran> ledger;
+  std::vector<RunRecord> ledger;         /* all that engines began */
   std::map<std::string, uint64_t> calls; /* token -> call */
-  std::vector<std::string> broken;       /* promises broken, as text */
-  /* is the way from one data centre (or "platform") to another cut? */
+  std::vector<std::string> broken;       /* promises broken */
+  /* Returns whether the network from one data centre to another (or to
+  ** "platform") is cut; empty: it is not. */
   std::function<bool(const std::string &, const std::string &)> cut;
-  /* is this datagram lost? */
+  /* Returns whether this datagram is lost; empty: it is not. */
   std::function<bool(mp_Addr, mp_Addr, const mp_Msg &)> drop;
-  /* called with every numbered event of every node */
-  std::function<void(size_t, const mp_Log &)> onlog;
-  /* called before an engine's event reaches a node */
-  std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)> onx;
+  /* Called with each log event of each node. */
+  std::function<void(size_t, const mp_Log &)> on_log_event;
+  /* Called before an engine's event reaches a node; 'call' is always 0. */
+  std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)>
+      on_endpoint_event;
+  /* Called before a call of a node goes to its endpoint; may kill the node. */
   std::function<void(size_t, const mp_Xcall &)> on_endpoint_call;
-  bool trace = false;
+  bool trace = false; /* prints log events */
 
   explicit Sim(uint64_t seed = 1);
   ~Sim();
   Sim(const Sim &) = delete;
   Sim &operator=(const Sim &) = delete;
 
-  size_t addnode(const std::string &dc);
-  size_t addengine(const std::string &dc, mp_Role role,
-                   const std::string &service);
-  /* nodes in these data centres, and engines in each of a, b and c */
+  /* Return the index of the new node or engine. */
+  size_t add_node(const std::string &dc);
+  size_t add_engine(const std::string &dc, mp_Role role,
+                    const std::string &service);
+  /*
+  ** Adds nodes in these data centres and these engines in each of a, b and c,
+  ** publishes the list and configuration 1, starts all and runs for 5 s.
+  */
   void build(const std::vector<const char *> &node_dcs,
              const std::vector<std::pair<mp_Role, const char *>> &engines);
-  /* put the instance list and a configuration into the platform */
-  void publishlist();
+  /* Write the instance list, or a configuration, to the store at once. */
+  void publish_instance_list();
   void publish(uint64_t version, const std::string &yaml);
-  /* the same, without the platform's check of the version before */
-  void startnodes();
+  void start_nodes();
 
-  /* a request; the class is "ask", "once", "plain" or "plainonce" */
+  /*
+  ** Sends a request; returns the number of the call. The class is "ask",
+  ** "once", "plain", "plainonce", or "tight" (class "ask" of the account with
+  ** a limit of 5 requests a second). An empty key: none.
+  */
   uint64_t request(size_t node, const std::string &cls, const std::string &key,
                    const std::string &prompt, uint32_t max_tokens = 8);
   void hangup(uint64_t call);
 
+  /* Handles all events up to this time; 'now' becomes it. */
   void run(mp_Time until);
+  /* Calls f at this time. */
   void at(mp_Time t, std::function<void()> f);
 
   void kill(size_t node);
-  void restart(size_t node); /* after kill, as a fresh instance */
+  void restart(size_t node); /* after kill(), with an empty memory */
   void pause(size_t node);
   void resume(size_t node);
   void drain(size_t node);
-  void killengine(size_t e);
-  void reviveengine(size_t e);
+  void kill_engine(size_t e);
+  void revive_engine(size_t e);
   void freeze(size_t e);
   void thaw(size_t e);
 
-  size_t nodeof(mp_Addr a) const; /* or nodes.size() */
-  Engine *engineof(mp_Addr a);
-  size_t keeperof(size_t node, mp_Addr endpoint) const;
-  /* engine memory held now, as text */
+  /* Returns the index of the node at this address, or nodes.size(). */
+  size_t node_index(mp_Addr a) const;
+  /* Returns the engine at this address, or NULL. */
+  Engine *engine_at(mp_Addr a);
+  /*
+  ** Returns the index of the node that keeps the load of this endpoint in the
+  ** view of 'node', or nodes.size().
+  */
+  size_t keeper_index(size_t node, mp_Addr endpoint) const;
+  /* Returns a text for each operation that holds engine memory now. */
   std::vector<std::string> held() const;
-  /* check all promises; adds to 'broken' */
+  /*
+  ** Checks all promises and adds to 'broken'; work may have run only in these
+  ** data centres.
+  */
   void check(const std::set<std::string> &allowed_dcs);
 
 private:
@@ -178,41 +210,43 @@
   };
   std::priority_queue<Later> queue_;
   uint64_t serial_ = 0, seed_;
-  uint64_t lastcall_ = 0;
-  std::map<std::pair<size_t, uint64_t>, bool> aborted_;
+  uint64_t last_call_ = 0;
+  std::map<std::pair<size_t, uint64_t>, bool> aborted_calls_;
 
-  void boot(size_t n);
-  void exits(size_t n);
+  void start_node(size_t n);
+  void finish_drain(size_t n);
   void feed(size_t n, const mp_Event &e);
-  void to(size_t n, std::function<void()> f); /* when not paused */
-  void perform(size_t n);
-  void wake(size_t n);
-  void send(size_t n, mp_Addr to, const mp_Msg &m);
-  void reply(size_t n, const mp_Reply &r);
-  void storecall(size_t n, const mp_StoreCall &s);
-  void storereply(size_t n, uint64_t op, mp_StoreStatus st, const Object *o);
-  void xcall(size_t n, const mp_Xcall &x);
-  void onengine(Engine &e, std::function<void()> f);
-  void begin(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
-             const std::string &kv, const std::string &partial);
-  void event(size_t n, mp_EndpointEvent ev, const std::string &text,
-             mp_Time wait);
-  void fail(size_t n, uint64_t xcall, mp_EndpointFail f, mp_Time wait);
-  void tokens(mp_Addr engine, uint64_t serial);
-  void prefilled(mp_Addr engine, uint64_t serial);
-  void arrived(const Engine &e);
-  void load(Engine &e, size_t n, uint64_t xcall);
-  std::shared_ptr<Work> find(Engine &e, const mp_Token &t, uint32_t attempt,
-                             const std::string &op);
-  void ran(Engine &e, const mp_Token &t, uint32_t attempt,
-           const std::string &op);
+  /* now, or when the node is resumed */
+  void run_on_node(size_t n, std::function<void()> f);
+  void perform_effects(size_t n);
+  void schedule_tick(size_t n);
+  void send_datagram(size_t n, mp_Addr to, const mp_Msg &m);
+  void deliver_reply(size_t n, const mp_Reply &r);
+  void handle_store_call(size_t n, const mp_StoreCall &s);
+  void send_store_reply(size_t n, uint64_t op, mp_StoreStatus st,
+                        const Object *o);
+  void handle_endpoint_call(size_t n, const mp_Xcall &x);
+  void run_on_engine(Engine &e, std::function<void()> f);
+  void start_work(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
+                  const std::string &kv, const std::string &partial);
+  void send_endpoint_event(size_t n, mp_EndpointEvent ev,
+                           const std::string &text, mp_Time wait);
+  void send_failure(size_t n, uint64_t xcall, mp_EndpointFail f, mp_Time wait);
+  void generate_tokens(mp_Addr engine, uint64_t serial);
+  void finish_prefill(mp_Addr engine, uint64_t serial);
+  void check_not_leaving(const Engine &e);
+  void answer_load_query(Engine &e, size_t n, uint64_t xcall);
+  std::shared_ptr<Work> find_work(Engine &e, const mp_Token &t,
+                                  uint32_t attempt, const std::string &op);
+  void record_run(Engine &e, const mp_Token &t, uint32_t attempt,
+                  const std::string &op);
 };
 
-/* what the engines answer to a prompt */
+/* The text of token i of an answer, and the number of its tokens. */
 std::string answer(const std::string &prompt, uint32_t i);
 uint32_t length(const std::string &prompt, uint32_t max);
 
-/* the configuration that the tests use, with policy switches to change */
+/* Returns the configuration of the tests with this YAML text appended. */
 std::string config(const std::string &changes = "");
 
 } // namespace sim
--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -1,6 +1,12 @@
 /*
 ** test_promises.cc
-** Promises whose failure needs its own setting, one by one
+** Promises that only particular faults can break, one by one
+**
+** Each test sets up its faults; the promises themselves are checked at its end
+*by
+** Sim::check(), which finds what was answered twice, run twice, run in a
+** forbidden data centre, left in memory or not ended. The numbers of the
+** sections are those of the promises.
 */
 
 #include <gtest/gtest.h>
@@ -13,9 +19,9 @@
 
 namespace {
 
-struct World : ::testing::Test {
+struct SimTest : ::testing::Test {
   Sim s;
-  std::set<std::string> places = {"a", "b"};
+  std::set<std::string> allowed_dcs = {"a", "b"};
 
   void SetUp() override {
     s.build({"a", "a", "b", "b", "c", "c"}, {{MP_ROLE_PREFILL, "llm"},
@@ -24,17 +30,20 @@
   }
 
   void TearDown() override {
-    s.check(places);
+    s.check(allowed_dcs);
     for (auto &b : s.broken)
       ADD_FAILURE() << b;
   }
 
-  const Caller &at(uint64_t call) {
+  const Caller &caller(uint64_t call) {
     return s.callers[call];
   }
 
-  /* the instance that is asked for the claim of this key */
-  size_t homeof(const std::string &key, uint64_t *call) {
+  /*
+  ** Sends a request with this key to instance 0; returns the home of the key:
+  ** the instance that its claim is asked from.
+  */
+  size_t home_of(const std::string &key, uint64_t *call) {
     mp_Addr home = 0;
     s.drop = [&home](mp_Addr, mp_Addr to, const mp_Msg &m) {
       if (m.kind == MP_MSG_CLAIM && !m.reply)
@@ -44,16 +53,19 @@
     *call = s.request(0, "ask", key, "hello");
     s.run(s.now + 3 * sec);
     s.drop = nullptr;
-    return s.nodeof(home);
+    return s.node_index(home);
   }
 
-  /* a key whose home is not 'but', already answered once at instance 0 */
-  std::string answeredkey(size_t but, size_t *home) {
+  /*
+  ** Returns a key whose request was answered at instance 0, and whose home is
+  ** neither 'but' nor instance 0.
+  */
+  std::string answered_key(size_t but, size_t *home) {
     for (int i = 0;; i++) {
       std::string key = "key" + std::to_string(i);
       uint64_t call;
-      *home = homeof(key, &call);
-      EXPECT_TRUE(at(call).ended);
+      *home = home_of(key, &call);
+      EXPECT_TRUE(caller(call).ended);
       if (*home != but && *home < s.nodes.size() && *home != 0)
         return key;
     }
@@ -62,13 +74,13 @@
 
 /*
 ** {==================================================================
-** 2. Nothing is answered twice
+** Promise 2: nothing is answered twice
 ** ===================================================================
 */
 
-TEST_F(World, NewHomeHearsTheHoldersBeforeItGrants) {
+TEST_F(SimTest, NewHomeAsksTheHoldersBeforeItGrants) {
   size_t home;
-  std::string key = answeredkey(0, &home);
+  std::string key = answered_key(0, &home);
   s.kill(home);
   for (int i = 0; i < 120; i++) {
     s.request(0, "ask", key, "hello");
@@ -78,46 +90,49 @@
   s.run(s.now + 10 * sec); /* 'answered twice' is checked at the end */
 }
 
-TEST_F(World, AnswerIsRememberedAfterTheHomeDied) {
+TEST_F(SimTest, AnsweredIdIsKnownAfterTheHomeWasKilled) {
   size_t home;
-  std::string key = answeredkey(0, &home);
+  std::string key = answered_key(0, &home);
   s.kill(home);
   s.run(s.now + 8 * sec);
   auto b = s.request(1, "ask", key, "hello");
   s.run(s.now + 8 * sec);
-  EXPECT_EQ(at(b).error, MP_ERR_DUPLICATE);
+  EXPECT_EQ(caller(b).error, MP_ERR_DUPLICATE);
 }
 
-TEST_F(World, DrainedHomeHandsItsIdsOver) {
+TEST_F(SimTest, DrainedHomeHandsOverItsIds) {
   size_t home;
-  std::string key = answeredkey(0, &home);
-  s.kill(0); /* the holder can't announce it any more */
+  std::string key = answered_key(0, &home);
+  s.kill(0); /* so that the holder can't announce the ID */
   s.run(s.now + 4 * sec);
   s.drain(home);
   s.run(s.now + 10 * sec);
   EXPECT_TRUE(s.nodes[home].drained);
   auto b = s.request(1, "ask", key, "hello");
   s.run(s.now + 8 * sec);
-  EXPECT_EQ(at(b).error, MP_ERR_DUPLICATE);
+  EXPECT_EQ(caller(b).error, MP_ERR_DUPLICATE);
 }
 
-/* home and another stand still together; others have moved the ID on */
-struct Paused : World, ::testing::WithParamInterface<size_t> {};
+/*
+** The home and instance 1 are paused together until the ID has been forgotten
+** by all others; on return the home must not grant claims from its old state.
+*/
+struct PausedHome : SimTest, ::testing::WithParamInterface<size_t> {};
 
-TEST_P(Paused, HomeDoesNotGrantFromWhatItKnew) {
+TEST_P(PausedHome, DoesNotGrantClaimsFromItsOldState) {
   size_t home = 0;
   uint64_t first;
   std::string key;
   for (int i = 0; home == 0 || s.nodes[home].dc == "a"; i++) {
     key = "fresh" + std::to_string(i);
-    home = homeof(key, &first);
+    home = home_of(key, &first);
   }
   s.pause(home);
   s.pause(1);
-  s.run(s.now + 100 * sec);  /* the ID is forgotten everywhere else */
+  s.run(s.now + 100 * sec);  /* the others forget the ID */
   s.callers[first].key = ""; /* so it may run again, once */
   s.request(GetParam(), "ask", key, "hello");
-  s.request(1, "ask", key, "hello"); /* waits at the paused one */
+  s.request(1, "ask", key, "hello"); /* waits at the paused instance */
   s.run(s.now + 5 * sec);
   s.resume(1);
   s.resume(home);
@@ -128,44 +143,45 @@
   s.run(s.now + 10 * sec);
 }
 
-INSTANTIATE_TEST_SUITE_P(Each, Paused, ::testing::Range(size_t(0), size_t(6)));
+INSTANTIATE_TEST_SUITE_P(Each, PausedHome,
+                         ::testing::Range(size_t(0), size_t(6)));
 
 /* }================================================================== */
 
 /*
 ** {==================================================================
-** 3. The whole answer, to its own caller
+** Promise 3: the whole answer, to its own caller
 ** ===================================================================
 */
 
-TEST_F(World, LostLastPieceIsNoCleanEnd) {
+TEST_F(SimTest, LostLastPieceIsNotACompleteAnswer) {
   for (auto &e : s.engines)
-    e.losepiece = length("hello", 8);
+    e.lost_piece = length("hello", 8);
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 30 * sec);
-  EXPECT_FALSE(at(a).ended);
-  EXPECT_TRUE(at(a).failed);
-  EXPECT_NE(at(a).ran, MP_RAN_NO);
+  EXPECT_FALSE(caller(a).ended);
+  EXPECT_TRUE(caller(a).failed);
+  EXPECT_NE(caller(a).ran, MP_RAN_NO);
 }
 
-TEST_F(World, LostPieceIsResumed) {
+TEST_F(SimTest, LostPieceIsSentAgain) {
   for (auto &e : s.engines)
-    e.losepiece = 3;
+    e.lost_piece = 3;
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 100 * ms);
   for (auto &e : s.engines)
-    e.losepiece = 0;
+    e.lost_piece = 0;
   s.run(s.now + 10 * sec);
-  EXPECT_TRUE(at(a).ended);
+  EXPECT_TRUE(caller(a).ended);
 }
 
-TEST_F(World, FrozenStreamMovesToAnotherEngine) {
+TEST_F(SimTest, FrozenStreamMovesToAnotherEngine) {
   mp_Time begun = s.now;
-  bool struck = false;
-  s.onx = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
-    if (e.what != MP_EP_PIECE || e.index != 2 || struck)
+  bool is_frozen = false;
+  s.on_endpoint_event = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
+    if (e.what != MP_EP_PIECE || e.index != 2 || is_frozen)
       return;
-    struck = true;
+    is_frozen = true;
     for (size_t i = 0; i < s.engines.size(); i++) {
       if (!s.engines[i].works.empty() && s.engines[i].works[0]->op == "decode")
         s.freeze(i);
@@ -173,9 +189,9 @@
   };
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 25 * sec);
-  EXPECT_TRUE(struck);
-  EXPECT_TRUE(at(a).ended) << mp_error_name(at(a).error);
-  EXPECT_LT(at(a).last - begun, 10 * sec);
+  EXPECT_TRUE(is_frozen);
+  EXPECT_TRUE(caller(a).ended) << mp_error_name(caller(a).error);
+  EXPECT_LT(caller(a).last - begun, 10 * sec);
   for (size_t i = 0; i < s.engines.size(); i++)
     s.thaw(i);
   s.run(s.now + 10 * sec);
@@ -185,14 +201,15 @@
 
 /*
 ** {==================================================================
-** 5. At most once
+** Promise 5: at most once
 ** ===================================================================
 */
 
-TEST_F(World, TwoHomesAtOnceClaimOnce) {
-  /* the halves of every data centre lose each other: two homes each */
+TEST_F(SimTest, TwoHomesAtOnceGrantOneClaim) {
+  /* one half of each data centre cannot reach the other: two homes for a key
+   */
   s.drop = [this](mp_Addr from, mp_Addr to, const mp_Msg &) {
-    return s.nodeof(from) % 2 != s.nodeof(to) % 2;
+    return s.node_index(from) % 2 != s.node_index(to) % 2;
   };
   s.run(s.now + 8 * sec);
   for (int i = 0; i < 6; i++) {
@@ -209,10 +226,10 @@
   s.run(s.now + 8 * sec);
 }
 
-TEST_F(World, DurableClaimOutlivesHomeAndHolder) {
+TEST_F(SimTest, DurableClaimIsKnownAfterAllInstancesWereKilled) {
   auto a = s.request(0, "plainonce", "k", "claim");
   s.run(s.now + 3 * sec);
-  EXPECT_TRUE(at(a).ended);
+  EXPECT_TRUE(caller(a).ended);
   for (size_t i = 0; i < s.nodes.size(); i++)
     s.kill(i);
   for (size_t i = 0; i < s.nodes.size(); i++)
@@ -220,27 +237,27 @@
   s.run(s.now + 8 * sec);
   auto b = s.request(3, "plainonce", "k", "claim");
   s.run(s.now + 8 * sec);
-  EXPECT_EQ(at(b).error, MP_ERR_DUPLICATE);
-  EXPECT_NE(at(b).ran, MP_RAN_NO);
+  EXPECT_EQ(caller(b).error, MP_ERR_DUPLICATE);
+  EXPECT_NE(caller(b).ran, MP_RAN_NO);
 }
 
-TEST_F(World, RefusedClaimCanComeBackWithTheSameId) {
+TEST_F(SimTest, RefusedRequestMayBeRetriedWithTheSameId) {
   for (size_t i = 0; i < s.engines.size(); i++)
-    s.killengine(i);
+    s.kill_engine(i);
   s.run(s.now + 2 * sec);
   auto a = s.request(0, "plainonce", "k", "claim");
   s.run(s.now + 10 * sec);
-  EXPECT_TRUE(at(a).failed);
-  EXPECT_EQ(at(a).ran, MP_RAN_NO);
+  EXPECT_TRUE(caller(a).failed);
+  EXPECT_EQ(caller(a).ran, MP_RAN_NO);
   for (size_t i = 0; i < s.engines.size(); i++)
-    s.reviveengine(i);
+    s.revive_engine(i);
   s.run(s.now + 35 * sec);
   auto b = s.request(2, "plainonce", "k", "claim");
   s.run(s.now + 5 * sec);
-  EXPECT_TRUE(at(b).ended) << mp_error_name(at(b).error);
+  EXPECT_TRUE(caller(b).ended) << mp_error_name(caller(b).error);
 }
 
-TEST_F(World, ManyClaimsGoInOneWrite) {
+TEST_F(SimTest, ManyClaimsShareAWrite) {
   uint64_t before = s.store_writes;
   for (int i = 0; i < 100; i++)
     s.request(static_cast<size_t>(i % 6), "plainonce", "g" + std::to_string(i),
@@ -257,13 +274,15 @@
 
 /*
 ** {==================================================================
-** 6. Leaving endpoints
+** Promise 6: leaving endpoints
 ** ===================================================================
 */
 
-TEST_F(World, LeavingEndpointGetsNothingNewWithTheListStale) {
+TEST_F(SimTest, LeavingEndpointGetsNothingNewWhileTheListIsStale) {
   s.store_down = true;
-  for (size_t i : {size_t(0), size_t(1)}) { /* prefill and decode of a */
+  for (size_t i :
+       {size_t(0),
+        size_t(1)}) { /* prefill and decode engine of data centre a */
     s.engines[i].leaving = true;
     s.engines[i].left_at = s.now;
   }
@@ -278,20 +297,20 @@
 
 /*
 ** {==================================================================
-** 7. Planned stops
+** Promise 7: planned stops
 ** ===================================================================
 */
 
-TEST_F(World, DrainFinishesWhatIsInFlight) {
+TEST_F(SimTest, DrainFinishesRequestsInFlight) {
   auto a = s.request(0, "ask", "", "hello", 400); /* streams for 4 s */
   s.run(s.now + 500 * ms);
   s.drain(0);
   s.run(s.now + 30 * sec);
-  EXPECT_TRUE(at(a).ended);
+  EXPECT_TRUE(caller(a).ended);
   EXPECT_TRUE(s.nodes[0].drained);
 }
 
-TEST_F(World, DrainedDataCentreFinishesAndGetsNothingNew) {
+TEST_F(SimTest, DrainedDataCentreFinishesRequestsAndGetsNothingNew) {
   std::vector<uint64_t> calls;
   for (size_t i = 0; i < 4; i++)
     calls.push_back(s.request(i, "ask", "", "hello", 200));
@@ -303,7 +322,7 @@
     calls.push_back(s.request(i, "ask", "", "later"));
   s.run(s.now + 10 * sec);
   for (auto c : calls)
-    EXPECT_TRUE(at(c).ended) << mp_error_name(at(c).error);
+    EXPECT_TRUE(caller(c).ended) << mp_error_name(caller(c).error);
   for (size_t i = before; i < s.ledger.size(); i++)
     EXPECT_EQ(s.ledger[i].dc, "b");
 }
@@ -312,7 +331,7 @@
 
 /*
 ** {==================================================================
-** 8. Configuration
+** Promise 8: configuration
 ** ===================================================================
 */
 
@@ -322,7 +341,7 @@
   return st.config_version;
 }
 
-TEST_F(World, NewConfigurationIsEverywhereWithinThreeSeconds) {
+TEST_F(SimTest, NewConfigurationIsEverywhereWithinThreeSeconds) {
   for (uint64_t v = 2; v < 8; v++) {
     s.publish(v, config("drained: [x" + std::to_string(v) + "]\n"));
     s.run(s.now + 3 * sec);
@@ -331,9 +350,9 @@
   }
 }
 
-TEST_F(World, RelaysKilledAtTheChange) {
+TEST_F(SimTest, ChangeReachesAllWhenRelaysAreKilled) {
   s.publish(2, config("drained: [x]\n"));
-  s.run(s.now + 3 * ms); /* the relays have just been told */
+  s.run(s.now + 3 * ms); /* the relays have just received it */
   s.kill(0);
   s.kill(2);
   s.run(s.now + 3 * sec);
@@ -341,7 +360,7 @@
     EXPECT_EQ(version(s, n), 2u);
 }
 
-TEST_F(World, AnOlderManifestIsNeverTaken) {
+TEST_F(SimTest, OlderManifestIsNotTaken) {
   s.publish(5, config("drained: [x]\n"));
   s.run(s.now + 3 * sec);
   s.publish(4, config("drained: [y]\n")); /* the platform was restored */
@@ -350,7 +369,7 @@
     EXPECT_EQ(version(s, n), 5u);
 }
 
-TEST_F(World, HealedCutTakesTheNewerSide) {
+TEST_F(SimTest, NewerConfigurationWinsAfterANetworkCut) {
   s.cut = [](const std::string &from, const std::string &to) {
     return (from == "b") != (to == "b");
   };
@@ -358,14 +377,14 @@
   s.run(s.now + 10 * sec);
   EXPECT_EQ(version(s, 0), 2u);
   EXPECT_EQ(version(s, 2), 1u);
-  s.store_down = true; /* from its peers alone */
+  s.store_down = true; /* so that it comes from peers alone */
   s.cut = nullptr;
   s.run(s.now + 3 * sec);
   for (size_t n = 0; n < s.nodes.size(); n++)
     EXPECT_EQ(version(s, n), 2u);
 }
 
-TEST_F(World, FreshInstanceInAnOutageAsksItsPeers) {
+TEST_F(SimTest, InstanceStartedInAnOutageAsksItsPeers) {
   s.store_down = true;
   s.kill(3);
   s.run(s.now + 1 * sec);
@@ -374,10 +393,10 @@
   EXPECT_EQ(version(s, 3), 1u);
   auto a = s.request(3, "ask", "", "hello");
   s.run(s.now + 5 * sec);
-  EXPECT_TRUE(at(a).ended) << mp_error_name(at(a).error);
+  EXPECT_TRUE(caller(a).ended) << mp_error_name(caller(a).error);
 }
 
-TEST_F(World, InvalidConfigurationIsRefusedWhole) {
+TEST_F(SimTest, InvalidConfigurationIsNotTakenInPart) {
   s.publish(2, "data_centres: [{name: a, region: r}]\n");
   s.run(s.now + 3 * sec);
   for (size_t n = 0; n < s.nodes.size(); n++)
@@ -388,7 +407,7 @@
     EXPECT_EQ(version(s, n), 3u);
 }
 
-TEST_F(World, RuleThatChangesUnderWayHoldsAtTheNextDispatch) {
+TEST_F(SimTest, ChangedRuleHoldsAtTheNextDispatch) {
   std::string only_b = config();
   size_t at_rule = only_b.find("{class: ask, run_in: [a, b]");
   only_b.replace(at_rule, 27, "{class: ask, run_in: [b]");
@@ -407,11 +426,11 @@
 
 /*
 ** {==================================================================
-** Strangers, limits
+** Messages from strangers, and limits
 ** ===================================================================
 */
 
-TEST_F(World, MessageFromOutsideTheInstanceSetIsNotObeyed) {
+TEST_F(SimTest, MessageFromOutsideTheInstanceSetIsNotObeyed) {
   mp_Msg m;
   memset(&m, 0, sizeof m);
   mp_Event e;
@@ -430,8 +449,8 @@
     EXPECT_NE(fx.kind, MP_FX_SEND);
 }
 
-/* a long upload has the prefill engine; a lookup is sent there at once */
-TEST_F(World, ShortPromptDoesNotWaitBehindALongOne) {
+/* A short prompt is sent to a prefill engine that works on a long one. */
+TEST_F(SimTest, ShortPromptDoesNotWaitBehindALongOne) {
   std::map<uint32_t, mp_Time> begun;
   s.on_endpoint_call = [&](size_t, const mp_Xcall &x) {
     if (x.op == MP_X_PREFILL)
@@ -439,19 +458,19 @@
   };
   for (auto &e : s.engines)
     e.rate = 10000;
-  s.run(s.now + 1 * sec); /* the keepers have seen the rate */
+  s.run(s.now + 1 * sec); /* the keepers have learned the rate */
   auto a = s.request(0, "ask", "", std::string(15000, 'x'));
   auto b = s.request(0, "ask", "", std::string(15000, 'y'));
   s.run(s.now + 300 * ms);
   mp_Time sent = s.now;
   auto c = s.request(0, "ask", "", "short");
   s.run(s.now + 20 * sec);
-  EXPECT_TRUE(at(a).ended || at(b).ended);
-  EXPECT_TRUE(at(c).ended) << mp_error_name(at(c).error);
+  EXPECT_TRUE(caller(a).ended || caller(b).ended);
+  EXPECT_TRUE(caller(c).ended) << mp_error_name(caller(c).error);
   EXPECT_LT(begun[3] - sent, 20 * ms);
 }
 
-TEST_F(World, AccountLimitHoldsOverAllInstances) {
+TEST_F(SimTest, AccountLimitHoldsOverAllInstances) {
   mp_Time begun = s.now;
   for (int i = 0; i < 400; i++) {
     s.request(static_cast<size_t>(i % 6), "tight", "", "hi", 1);
@@ -464,7 +483,10 @@
     ended += c.second.ended;
     quota += c.second.error == MP_ERR_QUOTA;
   }
-  /* 5 a second and 5 at once, over ten seconds; slices may be in hand */
+  /*
+  ** 5 a second for 10 s and a burst of 5; each of the 6 instances may hold a
+  ** slice of the quota besides.
+  */
   double secs = static_cast<double>(400 * 25 * ms) / sec;
   EXPECT_LE(ended, 5 * secs + 5 + 6 * 3);
   EXPECT_GE(ended, 5 * secs * 0.6);
