--- a/test/sim.cc
+++ b/test/sim.cc
@@ -571,7 +571,7 @@
 
 void Sim::run_on_engine(Engine &e, std::function<void()> f) {
   if (e.frozen)
-    e.held.push_back(std::move(f));
+    e.waiting_calls.push_back(std::move(f));
   else
     f();
 }
@@ -940,7 +940,7 @@
   Engine &e = engines[i];
   e.dead = true;
   e.frozen = false;
-  e.held.clear();
+  e.waiting_calls.clear();
   for (auto &w : e.works) {
     if (w->xcall && !nodes[w->node].dead)
       send_failure(w->node, w->xcall, MP_EPF_BROKEN, 0);
@@ -962,9 +962,9 @@
 void Sim::thaw(size_t i) {
   Engine &e = engines[i];
   e.frozen = false;
-  auto held = std::move(e.held);
-  e.held.clear();
-  for (auto &f : held)
+  auto calls_now = std::move(e.waiting_calls);
+  e.waiting_calls.clear();
+  for (auto &f : calls_now)
     f();
 }
 
--- a/test/sim.h
+++ b/test/sim.h
@@ -1,12 +1,22 @@
 /*
-** sim.h Sim: real decision cores (mp_State) with fakes around them, in virtual
-** time
+** sim.h
+** Sim: real decision cores with fakes around them, in virtual time
 **
-** Each node is an instance with a real core. The network, the engines, the
-** platform's store and the callers are fakes at the interfaces of the core. A
-** run depends on its seed alone. Times are in us of a virtual clock that
-** starts at 10 s. check() tests the promises of the README and adds a text for
-** each broken one to 'broken', beginning with the number of the promise.
+** Each node is an instance with a real core (mp_State). The network, the
+** engines, the platform's store and the callers are fakes at the interfaces
+** of the core. A run depends on its seed alone. Times are in us of a virtual
+** clock that starts at 10 s.
+**
+** Each broken promise becomes a text in 'broken' that begins with its number:
+**   0  nothing runs in a forbidden data centre
+**   1  engines hold no memory that nobody uses
+**   2  nothing is answered twice
+**   3  each caller gets the whole answer to its own request, and one end
+**   4  "not run" is told only if nothing was run
+**   5  a request that must not be repeated runs at most once
+**   6  an endpoint gets nothing new later than 4 s after it began to leave
+**   7  planned stops cut off nothing
+**   8  a configuration never goes back
 */
 
 #ifndef SIM_H
@@ -58,7 +68,7 @@
 struct Work {
   mp_Token token;
   uint32_t attempt;
-  std::string op; /* prefill, kv, import, decode, plain */
+  std::string op; /* prefill, kv (held after it), import or decode */
   std::string prompt;
   uint32_t max_tokens = 0, made = 0, sent = 0;
   uint64_t xcall = 0; /* call that reads it; 0: none */
@@ -83,24 +93,24 @@
   uint64_t fence = 0;
   std::vector<std::shared_ptr<Work>> works;
   std::set<std::string> cancelled;
-  std::deque<std::function<void()>>
-      held; /* calls that wait while it is frozen */
+  /* calls that wait while it is frozen */
+  std::deque<std::function<void()>> waiting_calls;
   mp_Time busy_until = 0;
 };
 
 /* An instance. */
 struct Node {
-  mp_State *M = nullptr;
+  mp_State *M = nullptr; /* its core; freed by Sim */
   mp_Addr addr = 0;
   std::string dc;
-  uint32_t start = 1;
+  uint32_t start = 1; /* grows with each restart */
   bool dead = false, paused = false, drained = false;
   mp_Time ahead = 0;                       /* offset of its clock */
-  std::deque<std::function<void()>> inbox; /* while paused */
-  uint64_t config = 0;
-  uint64_t epoch =
-      0; /* grows with each kill; events of older ones are dropped */
-  mp_Time next_tick_at = 0;
+  std::deque<std::function<void()>> inbox; /* events, while it is paused */
+  uint64_t config = 0; /* last version seen, for promise 8 */
+  /* grows with each kill; events of older epochs are dropped */
+  uint64_t epoch = 0;
+  mp_Time next_tick_at = 0; /* when its next tick is queued; 0: none is */
 };
 
 /* An object of the platform's store. */
@@ -117,15 +127,17 @@
   uint64_t store_version = 0;
   bool store_down = false;
   mp_Time store_extra_delay = 0;
-  int lost_store_replies =
-      0; /* number of writes that take effect but whose reply will be lost */
+  /* number of writes that will take effect but whose reply will be lost */
+  int lost_store_replies = 0;
   uint64_t store_calls = 0, store_writes = 0;
   std::map<uint64_t, Caller> callers;
   std::vector<RunRecord> ledger;         /* all that engines began */
   std::map<std::string, uint64_t> calls; /* token -> call */
   std::vector<std::string> broken;       /* promises broken */
-  /* Returns whether the network from one data centre to another (or to
-  ** "platform") is cut; empty: it is not. */
+  /*
+  ** Returns whether the network from one data centre to another (or to
+  ** "platform") is cut; empty: it is not.
+  */
   std::function<bool(const std::string &, const std::string &)> cut;
   /* Returns whether this datagram is lost; empty: it is not. */
   std::function<bool(mp_Addr, mp_Addr, const mp_Msg &)> drop;
@@ -165,6 +177,7 @@
   */
   uint64_t request(size_t node, const std::string &cls, const std::string &key,
                    const std::string &prompt, uint32_t max_tokens = 8);
+  /* The caller closes its connection, unless the call has ended. */
   void hangup(uint64_t call);
 
   /* Handles all events up to this time; 'now' becomes it. */
@@ -200,15 +213,15 @@
   void check(const std::set<std::string> &allowed_dcs);
 
 private:
-  struct Later {
+  struct ScheduledEvent {
     mp_Time t;
     uint64_t n;
     std::function<void()> f;
-    bool operator<(const Later &o) const {
+    bool operator<(const ScheduledEvent &o) const {
       return t != o.t ? t > o.t : n > o.n;
     }
   };
-  std::priority_queue<Later> queue_;
+  std::priority_queue<ScheduledEvent> queue_;
   uint64_t serial_ = 0, seed_;
   uint64_t last_call_ = 0;
   std::map<std::pair<size_t, uint64_t>, bool> aborted_calls_;
--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -2,11 +2,9 @@
 ** test_promises.cc
 ** Promises that only particular faults can break, one by one
 **
-** Each test sets up its faults; the promises themselves are checked at its end
-*by
-** Sim::check(), which finds what was answered twice, run twice, run in a
-** forbidden data centre, left in memory or not ended. The numbers of the
-** sections are those of the promises.
+** Each test sets up its faults. At its end Sim::check() finds what was
+** answered twice, run twice, run in a forbidden data centre, left in memory or
+** not ended. The numbers of the sections are those of the promises in sim.h.
 */
 
 #include <gtest/gtest.h>
@@ -19,7 +17,7 @@
 
 namespace {
 
-struct SimTest : ::testing::Test {
+struct Promises : ::testing::Test {
   Sim s;
   std::set<std::string> allowed_dcs = {"a", "b"};
 
@@ -78,7 +76,7 @@
 ** ===================================================================
 */
 
-TEST_F(SimTest, NewHomeAsksTheHoldersBeforeItGrants) {
+TEST_F(Promises, NewHomeAsksTheHoldersBeforeItGrants) {
   size_t home;
   std::string key = answered_key(0, &home);
   s.kill(home);
@@ -90,7 +88,7 @@
   s.run(s.now + 10 * sec); /* 'answered twice' is checked at the end */
 }
 
-TEST_F(SimTest, AnsweredIdIsKnownAfterTheHomeWasKilled) {
+TEST_F(Promises, AnsweredIdIsKnownAfterTheHomeWasKilled) {
   size_t home;
   std::string key = answered_key(0, &home);
   s.kill(home);
@@ -100,7 +98,7 @@
   EXPECT_EQ(caller(b).error, MP_ERR_DUPLICATE);
 }
 
-TEST_F(SimTest, DrainedHomeHandsOverItsIds) {
+TEST_F(Promises, DrainedHomeHandsOverItsIds) {
   size_t home;
   std::string key = answered_key(0, &home);
   s.kill(0); /* so that the holder can't announce the ID */
@@ -117,7 +115,7 @@
 ** The home and instance 1 are paused together until the ID has been forgotten
 ** by all others; on return the home must not grant claims from its old state.
 */
-struct PausedHome : SimTest, ::testing::WithParamInterface<size_t> {};
+struct PausedHome : Promises, ::testing::WithParamInterface<size_t> {};
 
 TEST_P(PausedHome, DoesNotGrantClaimsFromItsOldState) {
   size_t home = 0;
@@ -154,7 +152,7 @@
 ** ===================================================================
 */
 
-TEST_F(SimTest, LostLastPieceIsNotACompleteAnswer) {
+TEST_F(Promises, LostLastPieceIsNotACompleteAnswer) {
   for (auto &e : s.engines)
     e.lost_piece = length("hello", 8);
   auto a = s.request(0, "ask", "", "hello");
@@ -164,7 +162,7 @@
   EXPECT_NE(caller(a).ran, MP_RAN_NO);
 }
 
-TEST_F(SimTest, LostPieceIsSentAgain) {
+TEST_F(Promises, LostPieceIsSentAgain) {
   for (auto &e : s.engines)
     e.lost_piece = 3;
   auto a = s.request(0, "ask", "", "hello");
@@ -175,7 +173,7 @@
   EXPECT_TRUE(caller(a).ended);
 }
 
-TEST_F(SimTest, FrozenStreamMovesToAnotherEngine) {
+TEST_F(Promises, FrozenStreamMovesToAnotherEngine) {
   mp_Time begun = s.now;
   bool is_frozen = false;
   s.on_endpoint_event = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
@@ -205,9 +203,8 @@
 ** ===================================================================
 */
 
-TEST_F(SimTest, TwoHomesAtOnceGrantOneClaim) {
-  /* one half of each data centre cannot reach the other: two homes for a key
-   */
+TEST_F(Promises, TwoHomesAtOnceGrantOneClaim) {
+  /* the halves of each data centre are cut off: each key has two homes */
   s.drop = [this](mp_Addr from, mp_Addr to, const mp_Msg &) {
     return s.node_index(from) % 2 != s.node_index(to) % 2;
   };
@@ -226,7 +223,7 @@
   s.run(s.now + 8 * sec);
 }
 
-TEST_F(SimTest, DurableClaimIsKnownAfterAllInstancesWereKilled) {
+TEST_F(Promises, DurableClaimIsKnownAfterAllInstancesWereKilled) {
   auto a = s.request(0, "plainonce", "k", "claim");
   s.run(s.now + 3 * sec);
   EXPECT_TRUE(caller(a).ended);
@@ -241,7 +238,7 @@
   EXPECT_NE(caller(b).ran, MP_RAN_NO);
 }
 
-TEST_F(SimTest, RefusedRequestMayBeRetriedWithTheSameId) {
+TEST_F(Promises, RefusedRequestMayBeRetriedWithTheSameId) {
   for (size_t i = 0; i < s.engines.size(); i++)
     s.kill_engine(i);
   s.run(s.now + 2 * sec);
@@ -257,7 +254,7 @@
   EXPECT_TRUE(caller(b).ended) << mp_error_name(caller(b).error);
 }
 
-TEST_F(SimTest, ManyClaimsShareAWrite) {
+TEST_F(Promises, ManyClaimsShareAWrite) {
   uint64_t before = s.store_writes;
   for (int i = 0; i < 100; i++)
     s.request(static_cast<size_t>(i % 6), "plainonce", "g" + std::to_string(i),
@@ -278,11 +275,10 @@
 ** ===================================================================
 */
 
-TEST_F(SimTest, LeavingEndpointGetsNothingNewWhileTheListIsStale) {
+TEST_F(Promises, LeavingEndpointGetsNothingNewWhileTheListIsStale) {
   s.store_down = true;
-  for (size_t i :
-       {size_t(0),
-        size_t(1)}) { /* prefill and decode engine of data centre a */
+  /* prefill and decode engine of data centre a */
+  for (size_t i : {size_t(0), size_t(1)}) {
     s.engines[i].leaving = true;
     s.engines[i].left_at = s.now;
   }
@@ -301,7 +297,7 @@
 ** ===================================================================
 */
 
-TEST_F(SimTest, DrainFinishesRequestsInFlight) {
+TEST_F(Promises, DrainFinishesRequestsInFlight) {
   auto a = s.request(0, "ask", "", "hello", 400); /* streams for 4 s */
   s.run(s.now + 500 * ms);
   s.drain(0);
@@ -310,7 +306,7 @@
   EXPECT_TRUE(s.nodes[0].drained);
 }
 
-TEST_F(SimTest, DrainedDataCentreFinishesRequestsAndGetsNothingNew) {
+TEST_F(Promises, DrainedDataCentreFinishesRequestsAndGetsNothingNew) {
   std::vector<uint64_t> calls;
   for (size_t i = 0; i < 4; i++)
     calls.push_back(s.request(i, "ask", "", "hello", 200));
@@ -341,7 +337,7 @@
   return st.config_version;
 }
 
-TEST_F(SimTest, NewConfigurationIsEverywhereWithinThreeSeconds) {
+TEST_F(Promises, NewConfigurationIsEverywhereWithinThreeSeconds) {
   for (uint64_t v = 2; v < 8; v++) {
     s.publish(v, config("drained: [x" + std::to_string(v) + "]\n"));
     s.run(s.now + 3 * sec);
@@ -350,7 +346,7 @@
   }
 }
 
-TEST_F(SimTest, ChangeReachesAllWhenRelaysAreKilled) {
+TEST_F(Promises, ChangeReachesAllWhenRelaysAreKilled) {
   s.publish(2, config("drained: [x]\n"));
   s.run(s.now + 3 * ms); /* the relays have just received it */
   s.kill(0);
@@ -360,7 +356,7 @@
     EXPECT_EQ(version(s, n), 2u);
 }
 
-TEST_F(SimTest, OlderManifestIsNotTaken) {
+TEST_F(Promises, OlderManifestIsNotTaken) {
   s.publish(5, config("drained: [x]\n"));
   s.run(s.now + 3 * sec);
   s.publish(4, config("drained: [y]\n")); /* the platform was restored */
@@ -369,7 +365,7 @@
     EXPECT_EQ(version(s, n), 5u);
 }
 
-TEST_F(SimTest, NewerConfigurationWinsAfterANetworkCut) {
+TEST_F(Promises, NewerConfigurationWinsAfterANetworkCut) {
   s.cut = [](const std::string &from, const std::string &to) {
     return (from == "b") != (to == "b");
   };
@@ -384,7 +380,7 @@
     EXPECT_EQ(version(s, n), 2u);
 }
 
-TEST_F(SimTest, InstanceStartedInAnOutageAsksItsPeers) {
+TEST_F(Promises, InstanceStartedInAnOutageAsksItsPeers) {
   s.store_down = true;
   s.kill(3);
   s.run(s.now + 1 * sec);
@@ -396,7 +392,7 @@
   EXPECT_TRUE(caller(a).ended) << mp_error_name(caller(a).error);
 }
 
-TEST_F(SimTest, InvalidConfigurationIsNotTakenInPart) {
+TEST_F(Promises, InvalidConfigurationIsNotTakenInPart) {
   s.publish(2, "data_centres: [{name: a, region: r}]\n");
   s.run(s.now + 3 * sec);
   for (size_t n = 0; n < s.nodes.size(); n++)
@@ -407,7 +403,7 @@
     EXPECT_EQ(version(s, n), 3u);
 }
 
-TEST_F(SimTest, ChangedRuleHoldsAtTheNextDispatch) {
+TEST_F(Promises, ChangedRuleHoldsAtTheNextDispatch) {
   std::string only_b = config();
   size_t at_rule = only_b.find("{class: ask, run_in: [a, b]");
   only_b.replace(at_rule, 27, "{class: ask, run_in: [b]");
@@ -430,7 +426,7 @@
 ** ===================================================================
 */
 
-TEST_F(SimTest, MessageFromOutsideTheInstanceSetIsNotObeyed) {
+TEST_F(Promises, MessageFromOutsideTheInstanceSetIsNotObeyed) {
   mp_Msg m;
   memset(&m, 0, sizeof m);
   mp_Event e;
@@ -450,7 +446,7 @@
 }
 
 /* A short prompt is sent to a prefill engine that works on a long one. */
-TEST_F(SimTest, ShortPromptDoesNotWaitBehindALongOne) {
+TEST_F(Promises, ShortPromptDoesNotWaitBehindALongOne) {
   std::map<uint32_t, mp_Time> begun;
   s.on_endpoint_call = [&](size_t, const mp_Xcall &x) {
     if (x.op == MP_X_PREFILL)
@@ -470,7 +466,7 @@
   EXPECT_LT(begun[3] - sent, 20 * ms);
 }
 
-TEST_F(SimTest, AccountLimitHoldsOverAllInstances) {
+TEST_F(Promises, AccountLimitHoldsOverAllInstances) {
   mp_Time begun = s.now;
   for (int i = 0; i < 400; i++) {
     s.request(static_cast<size_t>(i % 6), "tight", "", "hi", 1);
--- a/test/test_relays.cc
+++ b/test/test_relays.cc
@@ -303,7 +303,7 @@
 ** start) that knows nothing either counts as a failure of the store: of the
 ** calls at 0, 0.1, 0.3, 0.7 and 1.5 s every second one goes to a seed, and the
 ** backoff grows after it. A store that listens just after the call at 0.3 s is
-** then asked at 1.5 s (6 of 24 runs).
+** then asked at 1.5 s (6 of 24 runs with a store that starts 0.3 s late).
 */
 TEST(Seeds, WithoutKnowledgeDoNotDelayCallsToTheStore) {
   static const mp_Addr seeds[] = {11, 12};
