--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -11,14 +11,14 @@
 
 namespace rates {
 
-/* between two steps: about the time of a datagram and its handling */
+/* step of the virtual clock: about the time of a datagram and its handling */
 static constexpr gint64 time_step = 5 * ms;
 /* more instances than this use summaries (RELAY_FULL_MESH_MAX) */
 static constexpr unsigned full_mesh_max = 30;
 /* as in io/load_exchange.c: minimum interval of digests, for each receiver */
 static constexpr gint64 digest_interval_per_peer = 700;
 static constexpr gint64 plain_interval_min = 25 * ms;
-/* an instance counts as disturbed for this long after a fault ends */
+/* an instance counts as disturbed for this long after a fault or its end */
 static constexpr gint64 disturbance_time = 3 * second;
 static constexpr gint64 refresh_interval = 500 * ms;
 static constexpr gint64 summary_interval = 200 * ms;
--- a/test/test_crash_fleet.cc
+++ b/test/test_crash_fleet.cc
@@ -2,7 +2,7 @@
 ** test_crash_fleet.cc
 ** Crashing requests at several instances under faults: a request that has
 ** crashed three engines is run few times more, and no harmless request is
-** refused as its suspect
+** refused because of it
 */
 
 #include <gtest/gtest.h>
@@ -111,14 +111,14 @@
 }
 
 /*
-** Guards against a crashing request that runs eight times where six are the
-** most. It came about when a broken run counted against its request only once
-** the crash was proved. Connections to crashed engines time out here, so the
-** list of endpoints proves a crash, 3.5 s after it (proof=gone). Two crashes
-** were proved; in the 1.45 s until the third was, four instances sent the
-** request to one more engine each. Where crashed engines refuse connections,
-** crashes are proved within milliseconds, and the same callers crash three
-** engines.
+** Guards against a crashing request that runs eight times where six runs are
+** the most. It comes about when a broken run counts against its request only
+** once the crash is proved. Connections to crashed engines time out here, so
+** the list of endpoints proves a crash, 3.5 s after it (proof=gone). Two
+** crashes were proved; in the 1.45 s until the third was, four instances sent
+** the request to one more engine each. Where crashed engines refuse
+** connections, crashes are proved within milliseconds, and the same callers
+** crash three engines.
 */
 TEST(SuspectedCrashes, CountBeforeTheyAreProved) {
   for (unsigned seed = 1; seed <= 12; seed++) {
--- a/test/test_endpoint_rates.cc
+++ b/test/test_endpoint_rates.cc
@@ -1,6 +1,6 @@
 /*
 ** test_endpoint_rates.cc
-** Endpoints that name the rate they take of all instances together
+** Endpoints that name the rate they accept from all instances together
 **
 ** Guards against instances that together send more than the rate that an
 ** endpoint names: two of three plain endpoints, overloaded, named 5.3 and 4.3
