--- a/test/crash_fleet.cc
+++ b/test/crash_fleet.cc
@@ -279,7 +279,7 @@
 void Fleet::exchange_crash_news() {
   for (unsigned i = 0; i < instances.size(); i++) {
     Instance &from = instances[i];
-    mp_CrashNews news;
+    mp_CrashUpdate news;
     if (router_crash_version(from.world->router) == from.crash_version_sent &&
         now - from.crash_news_sent_at < crash_news_interval)
       continue;
--- a/test/matrix.cc
+++ b/test/matrix.cc
@@ -307,7 +307,7 @@
       reach_step(it->second);
   }
 
-  void on_endpoint_call(size_t n, const mp_Xcall &x) {
+  void on_endpoint_call(size_t n, const mp_EndpointCall &x) {
     if (n != entry || x.token.seq != 1 || x.token.start != 1)
       return;
     if (x.op == MP_X_PREFILL)
@@ -319,15 +319,15 @@
     xcalls[x.xcall] = x.op;
   }
 
-  std::map<uint64_t, mp_XcallOp> xcalls;
+  std::map<uint64_t, mp_EndpointOp> xcalls;
 
   void on_endpoint_event(size_t n, const mp_EndpointEvent &e) {
     if (n != entry || !xcalls.count(e.xcall))
       return;
-    mp_XcallOp op = xcalls[e.xcall];
+    mp_EndpointOp op = xcalls[e.xcall];
     if (op == MP_X_PREFILL && e.what == MP_EP_DONE)
       reach_step(STEP_KV);
-    if (op == MP_X_DECODE && e.what == MP_EP_PIECE && e.index == 2)
+    if (op == MP_X_DECODE && e.what == MP_EP_CHUNK && e.index == 2)
       reach_step(STEP_STREAM);
     if (op == MP_X_DECODE && e.what == MP_EP_DONE)
       reach_step(STEP_LAST);
@@ -336,7 +336,7 @@
   Outcome run() {
     const char *cls = c.kind == KIND_ASK ? "ask" : "once";
     s.on_log_event = [this](size_t n, const mp_Log &l) { on_log_event(n, l); };
-    s.on_endpoint_call = [this](size_t n, const mp_Xcall &x) {
+    s.on_endpoint_call = [this](size_t n, const mp_EndpointCall &x) {
       on_endpoint_call(n, x);
     };
     s.on_endpoint_event = [this](size_t n, uint64_t,
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -330,7 +330,7 @@
   return count;
 }
 
-void Fleet::send_news(unsigned from, unsigned to, const mp_RateNews &news) {
+void Fleet::send_news(unsigned from, unsigned to, const mp_RateUpdate &news) {
   messages++;
   if (has_rate_news && is_delivered(from, to))
     rate_news_in_flight.push_back(
@@ -352,7 +352,7 @@
 /* Sends rates when they have changed, and unchanged ones each 500 ms. */
 void Fleet::send_rates(unsigned i) {
   Instance &instance = instances[i];
-  mp_RateNews news = {};
+  mp_RateUpdate news = {};
   guint64 version = router_rates_version(instance.world->router);
   gint64 interval = digest_interval_per_peer * direct_peer_count(i);
   if (now - instance.rates_sent_at <
@@ -370,7 +370,7 @@
 
 void Fleet::send_rate_sums(unsigned i) {
   Instance &instance = instances[i];
-  mp_RateNews news = {};
+  mp_RateUpdate news = {};
   if (now - instance.rate_sums_sent_at < rate_sums_interval_min)
     return;
   instance.rate_sums_sent_at = now;
@@ -422,8 +422,8 @@
   instance.summary_sent_at = now;
   for (unsigned k = 0; k < instances.size(); k++) {
     if (instances[k].zone != instance.zone && is_delivered(i, k))
-      router_zone_load(instances[k].world->router, instance.sequence, &summary,
-                       now);
+      router_receive_summary(instances[k].world->router, instance.sequence,
+                             &summary, now);
   }
 }
 
--- a/test/rate_fleet.h
+++ b/test/rate_fleet.h
@@ -174,7 +174,7 @@
     gint64 due;
     unsigned to;
     mp_Addr from;
-    mp_RateNews news;
+    mp_RateUpdate news;
   };
   struct Instance {
     std::unique_ptr<World> world;
@@ -222,7 +222,7 @@
   FleetOptions options;
   std::mt19937 random;
   std::vector<Instance> instances;
-  void send_news(unsigned from, unsigned to, const mp_RateNews &news);
+  void send_news(unsigned from, unsigned to, const mp_RateUpdate &news);
   void deliver_news();
   std::deque<Run> runs;
   std::deque<RateNewsInFlight> rate_news_in_flight;
--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -215,7 +215,7 @@
 void World::send_heartbeat(Instance &from, mp_Addr to, gint64 asked) {
   if (from.cut_from_all)
     return;
-  mp_RelayBeat heartbeat = {};
+  mp_RelayHeartbeat heartbeat = {};
   mp_Addr address = from.address;
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
     heartbeat.changed[kind] = from.source[kind].follower.changed;
--- a/test/sim.cc
+++ b/test/sim.cc
@@ -29,7 +29,7 @@
 }
 
 static std::string sha(const std::string &s) {
-  char d[MP_DIGEST + 1];
+  char d[MP_SHA256_HEX + 1];
   mp_digest(s.data(), s.size(), d);
   return d;
 }
@@ -227,7 +227,7 @@
 
 void Sim::schedule_tick(size_t n) {
   Node &d = nodes[n];
-  mp_Time t = mp_wake(d.M) - d.ahead;
+  mp_Time t = mp_next_tick(d.M) - d.ahead;
   uint64_t epoch = d.epoch;
   if (t == INT64_MAX - d.ahead ||
       (d.next_tick_at > now && d.next_tick_at <= t))
@@ -267,15 +267,15 @@
   nodes[n].config = s.config_version;
   /* a hook may kill the node in between */
   while (nodes[n].epoch == epoch && !nodes[n].dead &&
-         mp_take(nodes[n].M, &fx)) {
+         mp_next_effect(nodes[n].M, &fx)) {
     switch (fx.kind) {
     case MP_FX_SEND:
       send_datagram(n, fx.u.send.to, fx.u.send.msg);
       break;
-    case MP_FX_XCALL:
+    case MP_FX_ENDPOINT_CALL:
       handle_endpoint_call(n, fx.u.xcall);
       break;
-    case MP_FX_XABORT:
+    case MP_FX_ENDPOINT_ABORT:
       aborted_calls_[{n, fx.u.xabort}] = true;
       for (auto &e : engines) {
         for (auto &w : e.works) {
@@ -479,7 +479,7 @@
   switch (r.what) {
   case MP_REPLY_HEAD:
     break;
-  case MP_REPLY_PIECE:
+  case MP_REPLY_CHUNK:
     if (c.first == 0)
       c.first = now;
     c.text.append(r.text, r.len);
@@ -560,7 +560,8 @@
   });
 }
 
-void Sim::send_failure(size_t n, uint64_t x, mp_EndpointFail f, mp_Time wait) {
+void Sim::send_failure(size_t n, uint64_t x, mp_EndpointFailure f,
+                       mp_Time wait) {
   mp_EndpointEvent ev;
   memset(&ev, 0, sizeof ev);
   ev.xcall = x;
@@ -576,7 +577,7 @@
     f();
 }
 
-void Sim::handle_endpoint_call(size_t n, const mp_Xcall &x) {
+void Sim::handle_endpoint_call(size_t n, const mp_EndpointCall &x) {
   Engine *e = engine_at(x.endpoint);
   std::string kv = x.kv ? x.kv : "", partial = x.partial ? x.partial : "";
   const Caller *c =
@@ -595,7 +596,7 @@
   }
   if (cut && cut(nodes[n].dc, e->dc))
     return; /* never answered: the core has its own timeout */
-  mp_Xcall copy = x;
+  mp_EndpointCall copy = x;
   at(now + 1 * ms, [=, this] {
     Engine *g = engine_at(a);
     if (g->dead) {
@@ -652,7 +653,7 @@
         mp_EndpointEvent ev;
         memset(&ev, 0, sizeof ev);
         ev.xcall = w->xcall;
-        ev.what = MP_EP_PIECE;
+        ev.what = MP_EP_CHUNK;
         ev.index = w->sent;
         ev.tokens = 1;
         std::string text = answer(w->prompt, w->sent);
@@ -684,9 +685,9 @@
 
 void Sim::answer_load_query(Engine &e, size_t n, uint64_t x) {
   uint64_t epoch = nodes[n].epoch;
-  auto holds = std::make_shared<std::vector<mp_HoldNews>>();
-  auto l = std::make_shared<mp_LoadAnswer>();
-  memset(l.get(), 0, sizeof(mp_LoadAnswer));
+  auto holds = std::make_shared<std::vector<mp_HoldReport>>();
+  auto l = std::make_shared<mp_LoadReport>();
+  memset(l.get(), 0, sizeof(mp_LoadReport));
   for (auto &w : e.works) {
     if (w->op != "plain")
       holds->push_back({w->token, w->attempt});
@@ -716,8 +717,9 @@
 }
 
 /* Carries out a call that has reached the engine. */
-void Sim::start_work(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
-                     const std::string &kv, const std::string &partial) {
+void Sim::start_work(Engine &e, size_t n, const mp_EndpointCall &x,
+                     const Caller *c, const std::string &kv,
+                     const std::string &partial) {
   mp_Addr a = e.addr;
   char id[64];
   mp_token_text(&x.token, x.attempt, id);
@@ -849,7 +851,7 @@
     ev.what = MP_EP_HEAD;
     ev.status = 200;
     send_endpoint_event(n, ev, "", 20 * ms + e.late);
-    ev.what = MP_EP_PIECE;
+    ev.what = MP_EP_CHUNK;
     send_endpoint_event(n, ev, "plain:" + w->prompt, 21 * ms + e.late);
     ev.what = MP_EP_DONE;
     send_endpoint_event(n, ev, "", 22 * ms + e.late);
--- a/test/sim.h
+++ b/test/sim.h
@@ -147,7 +147,7 @@
   std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)>
       on_endpoint_event;
   /* Called before a call of a node goes to its endpoint; may kill the node. */
-  std::function<void(size_t, const mp_Xcall &)> on_endpoint_call;
+  std::function<void(size_t, const mp_EndpointCall &)> on_endpoint_call;
   bool trace = false; /* prints log events */
 
   explicit Sim(uint64_t seed = 1);
@@ -238,13 +238,15 @@
   void handle_store_call(size_t n, const mp_StoreCall &s);
   void send_store_reply(size_t n, uint64_t op, mp_StoreStatus st,
                         const Object *o);
-  void handle_endpoint_call(size_t n, const mp_Xcall &x);
+  void handle_endpoint_call(size_t n, const mp_EndpointCall &x);
   void run_on_engine(Engine &e, std::function<void()> f);
-  void start_work(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
-                  const std::string &kv, const std::string &partial);
+  void start_work(Engine &e, size_t n, const mp_EndpointCall &x,
+                  const Caller *c, const std::string &kv,
+                  const std::string &partial);
   void send_endpoint_event(size_t n, mp_EndpointEvent ev,
                            const std::string &text, mp_Time wait);
-  void send_failure(size_t n, uint64_t xcall, mp_EndpointFail f, mp_Time wait);
+  void send_failure(size_t n, uint64_t xcall, mp_EndpointFailure f,
+                    mp_Time wait);
   void generate_tokens(mp_Addr engine, uint64_t serial);
   void finish_prefill(mp_Addr engine, uint64_t serial);
   void check_not_leaving(const Engine &e);
--- a/test/test_config_proof.cc
+++ b/test/test_config_proof.cc
@@ -36,9 +36,9 @@
     config_proof_clear(&proof);
   }
   /* a heartbeat sent at this time of ours */
-  mp_RelayBeat beat(gint64 sent, guint32 proof_ms = 100, guint64 changed = 10,
-                    gint64 asked = 0) const {
-    mp_RelayBeat out = {};
+  mp_RelayHeartbeat beat(gint64 sent, guint32 proof_ms = 100,
+                         guint64 changed = 10, gint64 asked = 0) const {
+    mp_RelayHeartbeat out = {};
     out.changed[STORE_CONFIGURATION] =
         at_revision(static_cast<gint64>(changed));
     out.sent_us = static_cast<guint64>(sent + relay_ahead);
@@ -46,7 +46,7 @@
     out.asked_us = static_cast<guint64>(asked);
     return out;
   }
-  void hear(const mp_RelayBeat &heard) {
+  void hear(const mp_RelayHeartbeat &heard) {
     config_proof_apply_heartbeat(&proof, relay, &heard, now);
   }
   /* asked now, answered after 2 ms */
@@ -111,7 +111,7 @@
 TEST_F(Proof, ARelayOfAnotherEraProvesNothing) {
   bound_clock();
   gint64 before = proof.at;
-  mp_RelayBeat other = beat(now, 0, 5);
+  mp_RelayHeartbeat other = beat(now, 0, 5);
   now += 500 * ms;
   other.sent_us += 500 * ms;
   other.changed[STORE_CONFIGURATION].era = 1;
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -251,7 +251,7 @@
 
 /* more than a digest holds take turns */
 TEST_F(LeavingWorld, OfManyEachIsTold) {
-  constexpr unsigned many = 3 * MP_DIGEST_LEAVING + 1;
+  constexpr unsigned many = 3 * MP_LOAD_DIGEST_LEAVING + 1;
   EndpointSignals said = routing::signals_leaving();
   std::set<guint32> told;
   for (unsigned i = 0; i < many; i++) {
@@ -263,7 +263,8 @@
   for (int i = 0; i < 5; i++) {
     mp_LoadDigest digest = {};
     router_load_digest(world.router, &digest, world.now);
-    ASSERT_LE(digest.leaving_count, static_cast<unsigned>(MP_DIGEST_LEAVING));
+    ASSERT_LE(digest.leaving_count,
+              static_cast<unsigned>(MP_LOAD_DIGEST_LEAVING));
     told.insert(digest.leaving, digest.leaving + digest.leaving_count);
     world.advance(500 * ms);
   }
--- a/test/test_held.cc
+++ b/test/test_held.cc
@@ -20,7 +20,7 @@
   }
   /* other instances tell of so many ends under the request with this digest */
   void hear_ends(unsigned count, guint64 content = 77) {
-    mp_CrashNews news = {};
+    mp_CrashUpdate news = {};
     news.n = 1;
     news.row[0].request = content;
     news.row[0].n = count;
--- a/test/test_large_configuration.cc
+++ b/test/test_large_configuration.cc
@@ -198,7 +198,7 @@
 TEST(Relays, RelayThatLacksAnAnnouncedChangeIsNotFresh) {
   RelayTiming times = {watch_wait, apply_bound};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
-  mp_RelayBeat heartbeat = {};
+  mp_RelayHeartbeat heartbeat = {};
   gint64 now = 10 * second;
   relay_group_advance_held(group, STORE_CONFIGURATION, at_revision(100), now);
   relay_group_advance_held(group, STORE_ENDPOINTS, at_revision(100), now);
--- a/test/test_news_source.cc
+++ b/test/test_news_source.cc
@@ -64,7 +64,7 @@
     store_reply_clear(&reply);
   }
   void hear(guint64 revision) {
-    mp_RelayBeat told = {};
+    mp_RelayHeartbeat told = {};
     told.changed[STORE_CONFIGURATION] =
         store_position(0, static_cast<gint64>(revision));
     relay_group_receive_heartbeat(group, relay, &told, now);
--- a/test/test_orders.cc
+++ b/test/test_orders.cc
@@ -32,7 +32,7 @@
     c.replace(c.find("role_orders: false"), 18, "role_orders: true ");
     c.replace(c.find("refuse_early: true"), 18, "refuse_early: false");
     s.publish(1, c);
-    s.on_endpoint_call = [this](size_t n, const mp_Xcall &x) {
+    s.on_endpoint_call = [this](size_t n, const mp_EndpointCall &x) {
       if (x.op != MP_X_ORDER)
         return;
       sent++;
--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -177,7 +177,7 @@
   mp_Time begun = s.now;
   bool is_frozen = false;
   s.on_endpoint_event = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
-    if (e.what != MP_EP_PIECE || e.index != 2 || is_frozen)
+    if (e.what != MP_EP_CHUNK || e.index != 2 || is_frozen)
       return;
     is_frozen = true;
     for (size_t i = 0; i < s.engines.size(); i++) {
@@ -437,18 +437,18 @@
   e.u.msg.from = 0xc0a80001ULL << 16 | 7000; /* 192.168.0.1 */
   e.u.msg.msg = &m;
   mp_Effect fx;
-  while (mp_take(s.nodes[0].M, &fx))
+  while (mp_next_effect(s.nodes[0].M, &fx))
     ;
   mp_feed(s.nodes[0].M, s.now, &e);
   EXPECT_EQ(mp_counter(s.nodes[0].M, MP_C_STRANGERS), 1u);
-  while (mp_take(s.nodes[0].M, &fx))
+  while (mp_next_effect(s.nodes[0].M, &fx))
     EXPECT_NE(fx.kind, MP_FX_SEND);
 }
 
 /* A short prompt is sent to a prefill engine that works on a long one. */
 TEST_F(Promises, ShortPromptDoesNotWaitBehindALongOne) {
   std::map<uint32_t, mp_Time> begun;
-  s.on_endpoint_call = [&](size_t, const mp_Xcall &x) {
+  s.on_endpoint_call = [&](size_t, const mp_EndpointCall &x) {
     if (x.op == MP_X_PREFILL)
       begun[x.token.seq] = s.now;
   };
--- a/test/test_quarantine.cc
+++ b/test/test_quarantine.cc
@@ -167,7 +167,7 @@
 }
 
 TEST_F(Table, NewsFitIntoOneDatagramWithTheGravestFirst) {
-  mp_CrashNews news;
+  mp_CrashUpdate news;
   for (guint64 content = 100; content < 200; content++)
     strike(content, 1);
   strike(150, 2);
@@ -181,7 +181,7 @@
 }
 
 TEST_F(Table, ItTellsWhatItSawForSomeSecondsAndWhatItHeardOnlyWhenAsked) {
-  mp_CrashNews news;
+  mp_CrashUpdate news;
   strike(7, 1);
   hear(8, {1, 2});
   quarantine_write_news(table, FALSE, &news, now);
@@ -268,7 +268,7 @@
       quarantine_add_strike(tables[random() % 5], &one, crash, now);
     }
     for (int round = 0; round < 200; round++) {
-      mp_CrashNews news;
+      mp_CrashUpdate news;
       quarantine_write_news(tables[random() % 5], TRUE, &news, now);
       Quarantine *to = tables[random() % 5];
       for (unsigned i = 0; i < news.n; i++) {
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -31,17 +31,18 @@
   }
   void hear(double rate, guint32 age_ms, guint32 sent = 0, guint32 zone = 0,
             mp_Addr from = peer) {
-    mp_RateNews news = {};
+    mp_RateUpdate news = {};
     news.zone = zone;
     news.relay = from;
     news.n = 1;
     news.row[0] = {endpoint,
-                   rate < 0 ? MP_RATE_ANY : static_cast<guint32>(rate * 1000),
+                   rate < 0 ? MP_RATE_UNLIMITED
+                            : static_cast<guint32>(rate * 1000),
                    age_ms, sent};
     rate_limits_receive(limits, from, &news, &alone, now);
   }
   mp_RateRow told(bool sums = false) {
-    mp_RateNews news = {};
+    mp_RateUpdate news = {};
     if (sums)
       rate_limits_write_summary(limits, &news, now);
     else
@@ -117,7 +118,7 @@
   EXPECT_EQ(told().rate, 4000u);
   now += second;
   rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
-  EXPECT_EQ(told().rate, MP_RATE_ANY);
+  EXPECT_EQ(told().rate, MP_RATE_UNLIMITED);
   EXPECT_EQ(told().endpoint, endpoint);
   now += 6 * second;
   EXPECT_EQ(told().endpoint, 0u);
@@ -304,17 +305,17 @@
   served("/stream/x", 50);
   served("/stream/x", 50);
   world.advance(5 * second);
-  mp_RateNews before = {};
+  mp_RateUpdate before = {};
   router_report_rates(world.router, FALSE, &before, world.now);
   world.request("/stream/x");
   ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
-  mp_RateNews reserved = {};
+  mp_RateUpdate reserved = {};
   router_report_rates(world.router, FALSE, &reserved, world.now);
   world.prefilled(world.last().number);
   ASSERT_EQ(world.last().kind, DISPATCH_RUN);
-  mp_RateNews sent = {};
+  mp_RateUpdate sent = {};
   router_report_rates(world.router, FALSE, &sent, world.now);
-  auto sum = [](const mp_RateNews &news) {
+  auto sum = [](const mp_RateUpdate &news) {
     guint32 all = 0;
     for (unsigned i = 0; i < news.n; i++)
       all += news.row[i].sent;
--- a/test/test_relays.cc
+++ b/test/test_relays.cc
@@ -402,7 +402,7 @@
     g_array_append_val(near, member);
   }
   relay_group_set_members(group, near, far, now);
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   told.age_ms = 50;
   told.changed[STORE_CONFIGURATION] = store_position(1, 900);
   for (mp_Addr i = 1; i < 10; i++)
--- a/test/test_stages.cc
+++ b/test/test_stages.cc
@@ -280,7 +280,7 @@
   for (const auto &name : names)
     world.endpoint({name.c_str(), "llm", "a", STAGE_PREFILL});
   auto reports = asked();
-  EXPECT_LE(reports.size(), static_cast<size_t>(MP_DIGEST_CHANGING));
+  EXPECT_LE(reports.size(), static_cast<size_t>(MP_LOAD_DIGEST_CHANGING));
   for (const auto &report : reports) {
     world.reported(report.number, STAGE_PREFILL, 0);
     world.outcome(sent(DISPATCH_ORDER).back().number, OUTCOME_ANSWER, 202);
--- a/test/test_summaries.cc
+++ b/test/test_summaries.cc
@@ -54,11 +54,11 @@
 TEST_F(Summaries, WhatAnotherDataCentreHasOpenTakesRoom) {
   mp_LoadSummary full = full_engines(relay_one, 9000);
   mp_LoadSummary empty = full_engines(relay_one, 0);
-  router_zone_load(world.router, 100, &full, world.now);
+  router_receive_summary(world.router, 100, &full, world.now);
   EXPECT_FALSE(has_room());
-  router_zone_load(world.router, 99, &empty, world.now); /* overtaken */
+  router_receive_summary(world.router, 99, &empty, world.now); /* overtaken */
   EXPECT_FALSE(has_room());
-  router_zone_load(world.router, 101, &empty, world.now);
+  router_receive_summary(world.router, 101, &empty, world.now);
   EXPECT_TRUE(has_room());
 }
 
@@ -86,14 +86,14 @@
 TEST_F(Summaries, OfOneDataCentreTheRelayHeardLastCounts) {
   mp_LoadSummary full = full_engines(relay_one, 9000);
   mp_LoadSummary empty = full_engines(relay_two, 0);
-  router_zone_load(world.router, 100, &full, world.now);
-  router_zone_load(world.router, 5, &empty, world.now);
+  router_receive_summary(world.router, 100, &full, world.now);
+  router_receive_summary(world.router, 5, &empty, world.now);
   EXPECT_TRUE(has_room());
 }
 
 TEST_F(Summaries, ASilentDataCentreHasNothingOpen) {
   mp_LoadSummary full = full_engines(relay_one, 9000);
-  router_zone_load(world.router, 100, &full, world.now);
+  router_receive_summary(world.router, 100, &full, world.now);
   world.now += 2 * second;
   router_tick(world.router, world.now);
   EXPECT_TRUE(has_room());
@@ -105,7 +105,7 @@
   mp_LoadSummary out;
   near.waiting = 2;
   near.in_time = 1;
-  router_zone_load(world.router, 100, &far, world.now);
+  router_receive_summary(world.router, 100, &far, world.now);
   router_peer_load(world.router, 0x0a00000000010001, 4, &near, world.now);
   router_peer_load(world.router, 0x0a00000000020001, 4, &near, world.now);
   router_load_summary(world.router, &out, world.now);
@@ -121,13 +121,13 @@
   mp_LoadSummary out;
   for (guint32 peer = 0; peer < 4; peer++) {
     mp_LoadDigest digest = {};
-    for (digest.n = 0; digest.n < MP_DIGEST_ROWS; digest.n++)
+    for (digest.n = 0; digest.n < MP_LOAD_DIGEST_ROWS; digest.n++)
       digest.row[digest.n] = {1000 * peer + digest.n, 500, 1, 0};
     router_peer_load(world.router, 0x0a00000000010001 + peer, 1, &digest,
                      world.now);
   }
   router_load_summary(world.router, &out, world.now);
-  EXPECT_EQ(out.loads.n, unsigned(MP_DIGEST_ROWS));
+  EXPECT_EQ(out.loads.n, unsigned(MP_LOAD_DIGEST_ROWS));
 }
 
 /* data centres whose instances hear each other each 100 ms, and of the other
@@ -169,7 +169,8 @@
       summary.zone = zone + 1;
       for (unsigned to = 0; to < all.size(); to++) {
         if (to / each != zone)
-          router_zone_load(all[to]->router, sequence, &summary, all[to]->now);
+          router_receive_summary(all[to]->router, sequence, &summary,
+                                 all[to]->now);
       }
     }
   }
@@ -253,7 +254,7 @@
   }
   void tell(mp_Addr relay, guint32 extras) {
     mp_LoadSummary summary = totals(relay, 1000, extras);
-    router_zone_load(world.router, ++sequence, &summary, world.now);
+    router_receive_summary(world.router, ++sequence, &summary, world.now);
   }
   bool retries() {
     guint64 request = world.request("/unsafe/x");
--- a/test/test_suspicions.cc
+++ b/test/test_suspicions.cc
@@ -123,8 +123,8 @@
 
 /* what others suspect counts as well, by its age */
 TEST_F(SuspicionWorld, OtherInstancesTellTheirs) {
-  mp_CrashNews news = {};
-  mp_CrashNews own = {};
+  mp_CrashUpdate news = {};
+  mp_CrashUpdate own = {};
   break_off(2);
   world.advance(300 * ms);
   router_report_crashes(world.router, FALSE, &own, world.now);
