--- a/test/router_world.cc
+++ b/test/router_world.cc
@@ -1,6 +1,6 @@
 /*
 ** router_world.cc
-** A router with a host that writes down what it asks for
+** World: one real Router with a fake host, in virtual time, for tests
 */
 
 #include <algorithm>
@@ -86,14 +86,14 @@
 
 void World::on_lease_call(void *data, const StoreCall *call) {
   auto *world = static_cast<World *>(data);
-  LeaseCallRecord asked;
-  asked.operation = call->operation;
-  asked.revision = call->position.revision;
+  LeaseCallRecord record;
+  record.operation = call->operation;
+  record.revision = call->position.revision;
   if (call->lease != nullptr) {
-    asked.holder = call->lease->holder;
-    asked.term = call->lease->term;
+    record.holder = call->lease->holder;
+    record.term = call->lease->term;
   }
-  world->lease_calls.push_back(asked);
+  world->lease_calls.push_back(record);
 }
 
 World::World(guint32 slack, double ratio, gint64 lease_length,
@@ -165,8 +165,8 @@
     account->plain_tokens = 200;
     account->rate = client.rate;
     account->burst = client.burst;
-    for (const char *one : client.keys)
-      route_table_add_key(table, one);
+    for (const char *client_key : client.keys)
+      route_table_add_key(table, client_key);
   }
   for (guint i = 0; i < table->routes->len; i++)
     static_cast<Route *>(table->routes->pdata[i])->objective = objective;
@@ -272,12 +272,12 @@
 }
 
 void World::signal(guint64 dispatch, const EndpointSignals &signals) {
-  const SentDispatch &one = sent(dispatch);
-  router_endpoint_signals(router, one.endpoint.c_str(), one.life, &signals,
-                          now);
+  const SentDispatch &target = sent(dispatch);
+  router_endpoint_signals(router, target.endpoint.c_str(), target.life,
+                          &signals, now);
 }
 
-static bool is_last(OutcomeKind kind) {
+static bool is_final_outcome(OutcomeKind kind) {
   return kind != OUTCOME_STREAM_HEAD && kind != OUTCOME_STREAM_PIECE;
 }
 
@@ -287,7 +287,7 @@
   outcome.kind = kind;
   outcome.status = status;
   for (auto &sent : dispatches) {
-    if (sent.number == dispatch && is_last(kind))
+    if (sent.number == dispatch && is_final_outcome(kind))
       sent.ended = true;
   }
   router_outcome(router, &outcome, now);
