--- a/test/test_follower.cc
+++ b/test/test_follower.cc
@@ -1,6 +1,7 @@
 /*
 ** test_follower.cc
-** Following the store: pages, watches, lost history, outages
+** Tests of the follower, which keeps a copy of the store's objects of one
+** kind: paged lists, watches, lost history, outages, and answers to peers
 */
 
 #include <gtest/gtest.h>
@@ -16,26 +17,27 @@
 
 namespace {
 
-/* what an instance answers another one */
-void answer_of(const Follower *follower, StorePosition since, gboolean in_full,
-               StoreReply *out) {
+/* Asks a follower what an instance asks a peer; the caller clears *out. */
+void ask_follower(const Follower *follower, StorePosition since,
+                  gboolean in_full, StoreReply *out) {
   FollowerQuery query = {since, in_full, 0};
   follower_answer(follower, &query, out);
 }
 
-struct Follow : ::testing::Test {
+struct FollowerTest : ::testing::Test {
   Follower follower;
   std::map<std::string, std::string> objects;
   int lists = 0;
   int lost = 0;
   int regained = 0;
   gint64 now = 1000000;
-  guint64 era = 0; /* of what the store answers */
-  /* the earliest next call that was seen from within the host's hooks */
-  gint64 next_within = G_MAXINT64;
+  guint64 era = 0; /* of the store's answers */
+  /* the earliest time of the next call that a hook of the host has seen */
+  gint64 next_call_seen_in_hooks = G_MAXINT64;
 
-  void look() {
-    next_within = std::min(next_within, follower_next_call_time(&follower));
+  void note_next_call() {
+    next_call_seen_in_hooks =
+        std::min(next_call_seen_in_hooks, follower_next_call_time(&follower));
   }
 
   void SetUp() override {
@@ -47,17 +49,17 @@
   }
 
   static void on_object(void *data, StoreKind, const StoreObject *object) {
-    auto *self = static_cast<Follow *>(data);
-    self->look();
+    auto *self = static_cast<FollowerTest *>(data);
+    self->note_next_call();
     if (object->gone)
       self->objects.erase(object->name);
     else
       self->objects[object->name] = object->text;
   }
   static void on_listed(void *data, StoreKind, GHashTable *names) {
-    auto *self = static_cast<Follow *>(data);
+    auto *self = static_cast<FollowerTest *>(data);
     self->lists++;
-    self->look();
+    self->note_next_call();
     for (auto it = self->objects.begin(); it != self->objects.end();) {
       if (g_hash_table_contains(names, it->first.c_str()))
         ++it;
@@ -66,12 +68,12 @@
     }
   }
   static void on_lost(void *data, StoreKind) {
-    static_cast<Follow *>(data)->look();
-    static_cast<Follow *>(data)->lost++;
+    static_cast<FollowerTest *>(data)->note_next_call();
+    static_cast<FollowerTest *>(data)->lost++;
   }
   static void on_regained(void *data, StoreKind) {
-    static_cast<Follow *>(data)->look();
-    static_cast<Follow *>(data)->regained++;
+    static_cast<FollowerTest *>(data)->note_next_call();
+    static_cast<FollowerTest *>(data)->regained++;
   }
 
   struct Row {
@@ -103,7 +105,7 @@
   }
 };
 
-TEST_F(Follow, ReadsEveryPageThenWatchesFromTheFirstOnesRevision) {
+TEST_F(FollowerTest, ListsAllPagesThenWatchesFromTheFirstPagesRevision) {
   EXPECT_EQ(call().operation, STORE_LIST);
   answer(STORE_OK, 10, {{"a", 1, "1"}, {"b", 2, "2"}}, true);
   EXPECT_EQ(lists, 0);
@@ -118,8 +120,8 @@
   EXPECT_EQ(watch.position.revision, 10);
 }
 
-/* an object may be hidden in what could not be read */
-TEST_F(Follow, AListThatMayHideObjectsRemovesNoneAndIsReadAgain) {
+/* An entry that cannot be read may be any object, so its list is partial. */
+TEST_F(FollowerTest, PartialListRemovesNoObjectAndIsRepeated) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}, {"b", 2, "2"}, {"c", 3, "3"}});
   EXPECT_EQ(lists, 1);
@@ -128,7 +130,7 @@
   EXPECT_EQ(call().operation, STORE_LIST);
   answer(STORE_OK, 20, {{"a", 1, "1"}}, true, true);
   EXPECT_EQ(call().operation, STORE_LIST);
-  answer(STORE_OK, 20, {{"c", 3, "3"}}); /* any page may hide one */
+  answer(STORE_OK, 20, {{"c", 3, "3"}}); /* one page makes the list partial */
   EXPECT_EQ(lists, 1);
   EXPECT_EQ(call().operation, STORE_WATCH);
   now += 2 * MP_SEC;
@@ -146,16 +148,13 @@
 }
 
 /*
-** What was seen: an instance that started beside five others counted five of
-** six of them for a minute.
-** Order of events: its list of instances was taken from another one; telling
-** who they are made it look for its next call, before the list was taken
-** whole, so it listed again; the first page of that (five names, more to come)
-** was then read as the events of a watch, and nobody asked for the next page.
-** Evidence: its log has a list of three, then five within two milliseconds,
-** and no other call that brought instances; the store gives five names a page.
+** Guards against an incomplete list of instances: one that starts beside five
+** others counts five of the six for a minute. It comes about when a hook that
+** runs while a list is applied finds a next call due and lists again. The
+** first page of that list (five names, the store's page size, with more to
+** come) is then read as events of a watch, and nobody requests the next page.
 */
-TEST_F(Follow, NoCallBeginsWhileAReplyIsTaken) {
+TEST_F(FollowerTest, NoCallIsDueWhileAReplyIsBeingHandled) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}, {"b", 2, "2"}}, true);
   call();
@@ -166,11 +165,11 @@
   answer(STORE_FAILED);
   call();
   answer(STORE_OK, 13, {{"e", 13, "5"}});
-  EXPECT_EQ(next_within, G_MAXINT64);
+  EXPECT_EQ(next_call_seen_in_hooks, G_MAXINT64);
   EXPECT_LE(follower_next_call_time(&follower), now + 150 * MP_MS);
 }
 
-TEST_F(Follow, EventsTakeEffectAndMoveTheRevision) {
+TEST_F(FollowerTest, WatchEventsAreAppliedAndAdvanceTheRevision) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
   call();
@@ -181,7 +180,7 @@
   EXPECT_EQ(objects.count("a"), 0u);
 }
 
-TEST_F(Follow, AnOlderRevisionNeverTakesEffect) {
+TEST_F(FollowerTest, OlderRevisionIsIgnored) {
   call();
   answer(STORE_OK, 10, {{"a", 9, "new"}});
   call();
@@ -189,7 +188,7 @@
   EXPECT_EQ(objects["a"], "new");
 }
 
-TEST_F(Follow, LostHistoryIsListedAnewAndWhatIsGoneIsForgotten) {
+TEST_F(FollowerTest, LostHistoryCausesANewListThatRemovesMissingObjects) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}, {"b", 2, "2"}});
   call();
@@ -200,20 +199,20 @@
   EXPECT_EQ(call().position.revision, 40);
 }
 
-TEST_F(Follow, WhatIsGoneComesBackOnlyByAnAnswerAsNew) {
+TEST_F(FollowerTest, DeletedObjectIsNotRestoredByAnOlderAnswer) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
   call();
   answer(STORE_OK, 13, {{"a", 13, nullptr}});
   call();
-  answer(STORE_OK, 12, {{"a", 1, "1"}}); /* of somebody who lags behind */
+  answer(STORE_OK, 12, {{"a", 1, "1"}}); /* from a peer that lags behind */
   EXPECT_EQ(objects.count("a"), 0u);
   call();
   answer(STORE_OK, 14, {{"a", 1, "1"}});
   EXPECT_EQ(objects["a"], "1");
 }
 
-TEST_F(Follow, GoneAndBackInOneAnswerIsBack) {
+TEST_F(FollowerTest, ObjectDeletedAndRecreatedInOneAnswerExists) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
   call();
@@ -221,7 +220,7 @@
   EXPECT_EQ(objects["a"], "2");
 }
 
-TEST_F(Follow, AListOlderThanWhatIsKnownTakesNoEffect) {
+TEST_F(FollowerTest, ListOlderThanTheKnownRevisionIsIgnored) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
   call();
@@ -236,27 +235,27 @@
   EXPECT_EQ(objects.count("b"), 0u);
 }
 
-TEST_F(Follow, OthersAreAnsweredAsTheStoreWould) {
+TEST_F(FollowerTest, PeersGetTheStoresObjectsAndChanges) {
   StoreReply out;
-  answer_of(&follower, store_position_none(), FALSE, &out);
-  EXPECT_EQ(out.status, STORE_FAILED); /* it knows nothing yet */
+  ask_follower(&follower, store_position_none(), FALSE, &out);
+  EXPECT_EQ(out.status, STORE_FAILED); /* it has read nothing yet */
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}, {"b", 2, "2"}});
   call();
   answer(STORE_OK, 14, {{"a", 13, nullptr}, {"c", 14, "3"}});
-  answer_of(&follower, store_position_none(), FALSE, &out);
+  ask_follower(&follower, store_position_none(), FALSE, &out);
   EXPECT_EQ(out.at.revision, 14);
   EXPECT_EQ(out.objects->len, 2u); /* b and c */
   store_reply_clear(&out);
-  answer_of(&follower, store_position(0, 10), FALSE, &out);
+  ask_follower(&follower, store_position(0, 10), FALSE, &out);
   EXPECT_EQ(out.objects->len, 2u); /* a is gone, c is new */
   store_reply_clear(&out);
-  answer_of(&follower, store_position(0, 14), FALSE, &out);
+  ask_follower(&follower, store_position(0, 14), FALSE, &out);
   EXPECT_EQ(out.objects->len, 0u);
   store_reply_clear(&out);
 }
 
-TEST_F(Follow, AnOutageIsToldOnceAndWaitsGrow) {
+TEST_F(FollowerTest, OutageIsReportedOnceAndRetryDelaysGrow) {
   call();
   answer(STORE_FAILED);
   gint64 first = follower_next_call_time(&follower) - now;
@@ -275,7 +274,7 @@
   EXPECT_EQ(regained, 1);
 }
 
-TEST_F(Follow, AFailedWatchGoesOnFromWhereItWas) {
+TEST_F(FollowerTest, FailedWatchIsRepeatedFromTheSameRevision) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
   call();
@@ -285,7 +284,7 @@
   EXPECT_EQ(again.position.revision, 10);
 }
 
-TEST_F(Follow, NewsThatComeTogetherCostOneCall) {
+TEST_F(FollowerTest, WatchWaitsAfterAnEventSoThatChangesAreBatched) {
   call();
   answer(STORE_OK, 10, {{"a", 1, "1"}});
   EXPECT_EQ(follower_next_call_time(&follower), now);
@@ -293,31 +292,31 @@
   answer(STORE_OK, 11, {{"b", 11, "2"}});
   EXPECT_EQ(follower_next_call_time(&follower), now + 150 * MP_MS);
   call();
-  answer(STORE_OK, 11); /* a watch that waited in vain */
+  answer(STORE_OK, 11); /* the watch timed out without events */
   EXPECT_EQ(follower_next_call_time(&follower), now);
 }
 
-TEST_F(Follow, AfterAFailureTheNextWatchIsShort) {
+TEST_F(FollowerTest, WatchAfterAFailureHasAShortTimeout) {
   call();
   answer(STORE_OK, 10);
   EXPECT_EQ(call().wait, 3 * MP_SEC);
   answer(STORE_FAILED);
-  EXPECT_LE(call().wait, 500 * MP_MS); /* it may be lost as well */
+  EXPECT_LE(call().wait, 500 * MP_MS); /* this call may fail as well */
   answer(STORE_OK, 10);
   EXPECT_EQ(call().wait, 3 * MP_SEC);
 }
 
-TEST_F(Follow, OneCallIsOpenAtATime) {
+TEST_F(FollowerTest, NoSecondCallIsDueWhileOneIsOpen) {
   call();
   EXPECT_EQ(follower_next_call_time(&follower), G_MAXINT64);
 }
 
-/* another follower, outside of a test of its own */
-struct Member : Follow {
-  Member() {
+/* A second follower with its own objects, used inside a test. */
+struct StandaloneFollower : FollowerTest {
+  StandaloneFollower() {
     SetUp();
   }
-  ~Member() override {
+  ~StandaloneFollower() override {
     TearDown();
   }
   void TestBody() override {
@@ -325,37 +324,37 @@
 };
 
 /*
-** What may be seen: an endpoint that has left the store gets requests for
-** seconds. A relay starts anew after the endpoint has gone, and lists the
-** store; a member that knew the endpoint asks that relay what has changed.
-** The relay never knew the endpoint, so it names nothing, yet vouches for all
-** changes up to now; the member then asks for later ones alone.
+** Guards against requests that go for seconds to an endpoint that has left the
+** store. A relay that restarts after the endpoint has gone lists the store
+** without it. If a member that knew the endpoint asks for changes only, the
+** relay cannot name the deletion, yet its answer covers all revisions so far,
+** and the member asks for later ones alone. The answer must be complete.
 */
-TEST_F(Follow, WhatIsGoneBeforeTheFirstListIsVouchedForByNobody) {
-  Member member;
+TEST_F(FollowerTest, DeletionBeforeTheRelaysFirstListReachesMembers) {
+  StandaloneFollower member;
   StoreReply told;
   member.call();
   member.answer(STORE_OK, 30, {{"left", 10, "x"}, {"stays", 20, "x"}});
-  call(); /* the relay starts after "left" has gone */
+  call(); /* the relay starts after the deletion of "left" */
   answer(STORE_OK, 50, {{"stays", 20, "x"}, {"new", 40, "x"}});
   StoreCall asked = member.call();
-  answer_of(&follower, asked.position, FALSE, &told);
+  ask_follower(&follower, asked.position, FALSE, &told);
   follower_handle_reply(&member.follower, &told, now);
   store_reply_clear(&told);
   EXPECT_EQ(member.objects.count("left"), 0u);
   EXPECT_EQ(member.objects.count("stays"), 1u);
   EXPECT_EQ(member.objects.count("new"), 1u);
-  /* and the member in its turn vouches for no more than it was told */
-  answer_of(&member.follower, store_position(0, 30), FALSE, &told);
+  /* The member itself answers with changes only from where it has them all. */
+  ask_follower(&member.follower, store_position(0, 30), FALSE, &told);
   EXPECT_TRUE(told.whole);
   store_reply_clear(&told);
-  answer_of(&member.follower, store_position(0, 50), FALSE, &told);
+  ask_follower(&member.follower, store_position(0, 50), FALSE, &told);
   EXPECT_FALSE(told.whole);
   store_reply_clear(&told);
 }
 
-/* an answer from a relay that is behind takes nothing newer away */
-TEST_F(Follow, AnOlderWholeAnswerRemovesNothing) {
+/* A relay that lags behind cannot remove objects that are newer. */
+TEST_F(FollowerTest, OlderCompleteAnswerRemovesNoObject) {
   StoreReply told = {STORE_OK, store_objects_new(),
                      FALSE,    store_position(0, 40),
                      TRUE,     0,
@@ -369,15 +368,16 @@
   EXPECT_EQ(call().position.revision, 50);
 }
 
-/* one that asks another instance: its texts are long */
-struct Changes : Follow {
+/* A follower that asks a relay for an object with a long text. */
+struct FollowerPatchTest : FollowerTest {
   Follower relay;
-  std::string older = numbers() + "1";
-  std::string newer = numbers() + "2";
+  std::string older = incompressible_text() + "1";
+  std::string newer = incompressible_text() + "2";
   std::string other = std::string(6000, 'b');
 
-  /* a long text that no patch holds whole */
-  static std::string numbers() {
+  /* Returns a long text, too varied for a patch to hold it whole: a patch has
+  ** to refer to the earlier text. */
+  static std::string incompressible_text() {
     std::string text;
     for (unsigned i = 1; i < 1000; i++)
       text += std::to_string(i * 2654435761u) + " ";
@@ -389,17 +389,17 @@
                          [](void *, StoreKind, const StoreObject *) {},
                          [](void *, StoreKind, GHashTable *) {},
                          [](void *, StoreKind) {}, [](void *, StoreKind) {}};
-    Follow::SetUp();
+    FollowerTest::SetUp();
     follower_init(&relay, STORE_ENDPOINTS, 3 * MP_SEC, 0, &none);
-    tell(&relay, 10, older, 10);
-    tell(&relay, 12, newer, 12);
+    feed_object(&relay, 10, older, 10);
+    feed_object(&relay, 12, newer, 12);
   }
   void TearDown() override {
     follower_clear(&relay);
-    Follow::TearDown();
+    FollowerTest::TearDown();
   }
-  void tell(Follower *to, gint64 revision, const std::string &text,
-            gint64 at) {
+  void feed_object(Follower *to, gint64 revision, const std::string &text,
+                   gint64 at) {
     StoreReply reply = {STORE_OK, store_objects_new(),
                         FALSE,    store_position(0, at),
                         FALSE,    0,
@@ -412,12 +412,12 @@
     follower_handle_reply(to, &reply, now);
     store_reply_clear(&reply);
   }
-  /* asks the relay; were changes told in place of the text? */
-  bool ask() {
+  /* Asks the relay; returns whether it sent a patch instead of the text. */
+  bool ask_relay_and_get_patch() {
     StoreCall call;
     StoreReply told;
     follower_begin_call(&follower, TRUE, &call);
-    answer_of(&relay, call.position, call.in_full, &told);
+    ask_follower(&relay, call.position, call.in_full, &told);
     bool changed = g_array_index(told.objects, StoreObject, 0).changes;
     follower_handle_reply(&follower, &told, now);
     store_reply_clear(&told);
@@ -425,50 +425,52 @@
   }
 };
 
-/* others would lack it who know all up to its own revision */
-TEST_F(Changes, AreNamedByTheirOwnRevisionHoweverNewTheAnswerIs) {
-  tell(&relay, 14, older, 30); /* by a watch */
+/* A patch named by the answer's revision would not be sent to peers that know
+** everything up to the revision of the text itself. */
+TEST_F(FollowerPatchTest, RevisionIsThatOfTheTextNotOfTheAnswer) {
+  feed_object(&relay, 14, older, 30); /* as a watch does */
   EXPECT_EQ(relay.changed.revision, 14);
   EXPECT_EQ(relay.known.revision, 30);
 }
 
-TEST_F(Changes, TravelInPlaceOfALongText) {
-  tell(&follower, 10, older, 10);
-  EXPECT_TRUE(ask());
+TEST_F(FollowerPatchTest, PatchReplacesALongText) {
+  feed_object(&follower, 10, older, 10);
+  EXPECT_TRUE(ask_relay_and_get_patch());
   EXPECT_TRUE(objects["a"] == newer);
   EXPECT_EQ(follower.known.revision, 12);
 }
 
-TEST_F(Changes, ThatDoNotFitTheTextTakeNoEffectAndItIsAskedForInFull) {
-  tell(&follower, 10, other, 10);
-  EXPECT_TRUE(ask());
+TEST_F(FollowerPatchTest, MismatchingPatchIsIgnoredAndTheTextFetchedInFull) {
+  feed_object(&follower, 10, other, 10);
+  EXPECT_TRUE(ask_relay_and_get_patch());
   EXPECT_TRUE(objects["a"] == other);
   EXPECT_EQ(follower.known.revision, 10);
-  EXPECT_EQ(lost, 0); /* the store did not fail */
-  EXPECT_FALSE(ask());
+  EXPECT_EQ(lost, 0); /* this is no failure of the store */
+  EXPECT_FALSE(ask_relay_and_get_patch());
   EXPECT_TRUE(objects["a"] == newer);
   EXPECT_EQ(follower.known.revision, 12);
   EXPECT_FALSE(follower.in_full);
 }
 
-TEST_F(Changes, OfATextThatIsNotHeldAreAskedForInFull) {
-  tell(&follower, 11, older, 11); /* the relay has never seen this revision */
-  EXPECT_TRUE(ask());
+TEST_F(FollowerPatchTest, PatchOfAnUnknownBaseIsFetchedInFull) {
+  /* the relay has never seen this revision */
+  feed_object(&follower, 11, older, 11);
+  EXPECT_TRUE(ask_relay_and_get_patch());
   EXPECT_EQ(follower.known.revision, 11);
-  EXPECT_FALSE(ask());
+  EXPECT_FALSE(ask_relay_and_get_patch());
   EXPECT_TRUE(objects["a"] == newer);
 }
 
 /*
 ** {==================================================================
-** A store that comes back from an older copy
+** A store that is restored from an older copy
 ** ===================================================================
 */
 
-struct ReturnedStore : Follow {
-  /* known up to 40 of the first era; the store is away */
+struct FollowerRestoredStoreTest : FollowerTest {
+  /* Everything up to revision 40 of era 1 is known; the store is down. */
   void SetUp() override {
-    Follow::SetUp();
+    FollowerTest::SetUp();
     era = 1;
     call();
     answer(STORE_OK, 40, {{"a", 38, "1"}, {"b", 20, "1"}, {"c", 21, "1"}});
@@ -476,8 +478,8 @@
     answer(STORE_FAILED);
     now += MP_SEC;
   }
-  /* the store is back, without what it wrote since 29 */
-  void restored() {
+  /* The store is restored, without the revisions after 29. */
+  void restore_store() {
     era = 2;
     call();
     answer(STORE_HISTORY_GONE);
@@ -485,8 +487,8 @@
   }
 };
 
-TEST_F(ReturnedStore, AListOfANewerEraCountsThoughItsRevisionIsLower) {
-  restored();
+TEST_F(FollowerRestoredStoreTest, ListOfANewerEraWithALowerRevisionIsApplied) {
+  restore_store();
   answer(STORE_OK, 31, {{"a", 30, "2"}, {"b", 31, "leaving"}, {"c", 21, "1"}});
   EXPECT_EQ(objects["a"], "2");
   EXPECT_EQ(objects["b"], "leaving");
@@ -496,17 +498,17 @@
   EXPECT_EQ(watch.position.era, 2u);
 }
 
-TEST_F(ReturnedStore, AWatchThatEndsInANewerEraIsFollowedByAList) {
+TEST_F(FollowerRestoredStoreTest, WatchThatEndsInANewerEraCausesAList) {
   era = 2;
   EXPECT_EQ(call().operation, STORE_WATCH);
-  answer(STORE_OK, 42, {{"c", 41, "2"}}); /* and what was changed at 35? */
+  answer(STORE_OK, 42, {{"c", 41, "2"}}); /* lacks the change at 35 */
   EXPECT_EQ(call().operation, STORE_LIST);
   answer(STORE_OK, 42, {{"a", 35, "2"}, {"b", 20, "1"}, {"c", 41, "2"}});
   EXPECT_EQ(objects["a"], "2");
 }
 
-TEST_F(ReturnedStore, AnAnswerOfAnOlderEraHasNoEffect) {
-  restored();
+TEST_F(FollowerRestoredStoreTest, AnswerOfAnOlderEraIsIgnored) {
+  restore_store();
   answer(STORE_OK, 31, {{"a", 30, "2"}, {"b", 20, "1"}, {"c", 21, "1"}});
   call();
   era = 1;
@@ -515,8 +517,8 @@
   EXPECT_EQ(follower.known.revision, 31);
 }
 
-TEST_F(ReturnedStore, WhatItsFirstListLacksIsGoneOnceTheSecondLacksIt) {
-  restored();
+TEST_F(FollowerRestoredStoreTest, ObjectIsRemovedOnlyOnceASecondListLacksIt) {
+  restore_store();
   answer(STORE_OK, 31, {{"a", 30, "2"}});
   EXPECT_EQ(objects.size(), 3u);
   now += 3 * MP_SEC;
@@ -528,7 +530,8 @@
   EXPECT_EQ(objects.count("c"), 0u);
 }
 
-TEST_F(ReturnedStore, AHistoryThatIsAlwaysGoneIsNotAskedForWithoutAPause) {
+TEST_F(FollowerRestoredStoreTest,
+       RepeatedlyLostHistoryIsNotPolledInABusyLoop) {
   unsigned calls = 0;
   gint64 until = now + MP_SEC;
   for (; now < until; now += MP_MS) {
@@ -543,18 +546,20 @@
   EXPECT_LE(calls, 24u);
 }
 
-/* others, who know all up to there, would never be told of it otherwise */
-TEST_F(ReturnedStore, WhatHadGoneIsBackAtOnceIfItsFirstListNamesIt) {
+/* Peers that know everything up to that revision would otherwise never be told
+** of the object. */
+TEST_F(FollowerRestoredStoreTest,
+       DeletedObjectReturnsWithTheFirstListThatNamesIt) {
   call();
   answer(STORE_OK, 44, {{"b", 44, nullptr}});
   now += MP_SEC;
-  restored();
+  restore_store();
   answer(STORE_OK, 31, {{"a", 30, "2"}, {"b", 20, "1"}, {"c", 21, "1"}});
   EXPECT_EQ(objects.count("b"), 1u);
 }
 
-TEST_F(ReturnedStore, PagesOfTwoErasAreNoList) {
-  restored();
+TEST_F(FollowerRestoredStoreTest, PagesOfTwoErasAreNotCombined) {
+  restore_store();
   answer(STORE_OK, 31, {{"a", 30, "2"}}, true);
   EXPECT_STREQ(call().after, "a");
   era = 3;
@@ -565,9 +570,10 @@
   EXPECT_EQ(objects.size(), 3u);
 }
 
-/* an old list may be from before the era that its answer names */
-TEST_F(ReturnedStore, AListThatMayBeOlderThanItsEraIsNotBelievedForGood) {
-  Member fresh;
+/* A stale list may come from before the era that its answer names. */
+TEST_F(FollowerRestoredStoreTest,
+       StaleListIsReplacedByALaterOneWithALowerRevision) {
+  StandaloneFollower fresh;
 
   fresh.era = 2;
   fresh.call();
@@ -578,13 +584,13 @@
   EXPECT_EQ(fresh.call().operation, STORE_LIST);
   fresh.answer(STORE_OK, 31, {{"a", 30, "2"}});
   EXPECT_EQ(fresh.objects["a"], "2");
-  EXPECT_EQ(fresh.objects.count("b"), 1u); /* not written again yet, perhaps */
+  EXPECT_EQ(fresh.objects.count("b"), 1u); /* may still be written again */
   EXPECT_EQ(fresh.follower.known.revision, 31);
 }
 
-/* a relay that has read the new era tells members all of it */
-TEST_F(ReturnedStore, AMemberHearsOfItFromARelay) {
-  Member member;
+/* A relay that has read the new era sends members all of its objects. */
+TEST_F(FollowerRestoredStoreTest, RelayPassesTheNewEraToMembers) {
+  StandaloneFollower member;
   StoreReply told;
   StoreCall asked;
 
@@ -592,17 +598,16 @@
   member.call();
   member.answer(STORE_OK, 41,
                 {{"a", 38, "1"}, {"b", 20, "1"}, {"d", 41, "1"}});
-  restored();
+  restore_store();
   answer(STORE_OK, 31, {{"a", 30, "2"}, {"b", 31, "leaving"}, {"c", 21, "1"}});
   follower_begin_call(&member.follower, TRUE, &asked);
-  answer_of(&follower, asked.position, FALSE, &told);
+  ask_follower(&follower, asked.position, FALSE, &told);
   follower_handle_reply(&member.follower, &told, now);
   store_reply_clear(&told);
   EXPECT_EQ(member.objects["a"], "2");
   EXPECT_EQ(member.objects["b"], "leaving");
   EXPECT_EQ(member.objects.count("c"), 1u);
-  EXPECT_EQ(member.objects.count("d"),
-            1u); /* not written again yet, perhaps */
+  EXPECT_EQ(member.objects.count("d"), 1u); /* may still be written again */
   EXPECT_EQ(member.follower.known.era, 2u);
 }
 
--- a/test/test_lease.cc
+++ b/test/test_lease.cc
@@ -1,6 +1,7 @@
 /*
 ** test_lease.cc
-** The lease on giving orders: who holds it, from when, until when
+** Tests of the lease that allows one instance at a time to send orders to
+** engines: who holds it, from when, and until when
 */
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
 constexpr gint64 second = MP_SEC;
 constexpr gint64 length = 3 * second;
 
-struct Leased : ::testing::Test {
+struct LeaseTest : ::testing::Test {
   Lease lease;
   StoreCall call;
   LeaseRecord record;
@@ -36,7 +37,8 @@
     lease_clear(&lease);
   }
 
-  /* the next call, waited for if need be; -1 when none comes in 30 s */
+  /* Advances the clock until a call is due; returns its operation, or -1 when
+  ** none is due within 30 s. */
   int next() {
     for (int i = 0; i < 300; i++, now += second / 10) {
       if (lease_begin_call(&lease, &call, &record, now))
@@ -54,18 +56,18 @@
     reply.record.term = term;
     lease_handle_reply(&lease, &reply, now);
   }
-  bool held() const {
+  bool is_held() const {
     return lease_is_held(&lease, 0, now);
   }
 };
 
-/* another writer spoilt it: it is waited for like another holder's, not for
- * good */
-TEST_F(Leased, OneThatCannotBeReadIsTakenOnceItHasLapsed) {
+/* A lease that another writer has corrupted must expire like that of another
+** holder, instead of blocking for good. */
+TEST_F(LeaseTest, UnreadableLeaseIsTakenOnceItHasExpired) {
   gint64 began = now;
   ASSERT_EQ(next(), STORE_READ);
   answer(STORE_OK, 7, nullptr, 0);
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
   while (next() == STORE_READ)
     answer(STORE_OK, 7, nullptr, 0);
   EXPECT_EQ(call.operation, STORE_REPLACE);
@@ -73,32 +75,32 @@
   EXPECT_GE(now - began, length);
   EXPECT_LE(now - began, 4 * length);
   answer(STORE_OK, 8);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
 }
 
-TEST_F(Leased, IsCreatedWhereThereIsNone) {
+TEST_F(LeaseTest, MissingLeaseIsCreated) {
   ASSERT_EQ(next(), STORE_READ);
   answer(STORE_NOT_FOUND);
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
   ASSERT_EQ(next(), STORE_CREATE);
   EXPECT_STREQ(call.lease->holder, "me");
   answer(STORE_OK, 7);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
   EXPECT_EQ(lease.position.revision, 7);
 }
 
-TEST_F(Leased, LapsesCountedFromTheCallNotFromItsAnswer) {
+TEST_F(LeaseTest, LeaseRunsFromTheCallNotFromItsAnswer) {
   next();
   answer(STORE_NOT_FOUND);
   next();
   now += 2 * second; /* the store was slow */
   answer(STORE_OK, 7);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
   now += second;
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
 }
 
-TEST_F(Leased, AnothersIsTakenOnlyAfterItStoodStillForTwoLengths) {
+TEST_F(LeaseTest, LeaseOfAnotherHolderIsTakenAfterTwoUnchangedLengths) {
   gint64 seen;
   ASSERT_EQ(next(), STORE_READ);
   answer(STORE_OK, 40, "other", 5);
@@ -110,25 +112,25 @@
   EXPECT_EQ(call.lease->term, 6u);
   EXPECT_GE(now - seen, 2 * length);
   answer(STORE_OK, 41, "me", 6);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
 }
 
-TEST_F(Leased, AnotherHolderMakesItWaitAnew) {
+TEST_F(LeaseTest, ChangeOfHolderRestartsTheWait) {
   gint64 seen;
   next();
   answer(STORE_OK, 40, "other", 5);
   while (next() == STORE_READ)
     answer(STORE_OK, 40, "other", 5);
-  answer(STORE_CONFLICT, 44, "third", 6); /* somebody was faster */
+  answer(STORE_CONFLICT, 44, "third", 6); /* another instance was faster */
   seen = now;
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
   while (next() == STORE_READ)
     answer(STORE_OK, 44, "third", 6);
   EXPECT_EQ(call.position.revision, 44);
   EXPECT_GE(now - seen, 2 * length);
 }
 
-TEST_F(Leased, OnesOwnIsTakenAgainAtOnceUnderAHigherFence) {
+TEST_F(LeaseTest, OwnLeaseIsTakenAgainAtOnceWithAHigherFence) {
   gint64 first;
   next();
   answer(STORE_NOT_FOUND);
@@ -143,22 +145,22 @@
   EXPECT_EQ(lease.position.revision, 12);
 }
 
-TEST_F(Leased, ACallWithoutAnswerGivesNothingAndIsReadFirst) {
+TEST_F(LeaseTest, FailedWriteGrantsNothingAndIsFollowedByARead) {
   next();
   answer(STORE_NOT_FOUND);
   next();
-  answer(STORE_FAILED); /* it may have been done, or be done later */
-  EXPECT_FALSE(held());
+  answer(STORE_FAILED); /* the write may be executed, now or later */
+  EXPECT_FALSE(is_held());
   ASSERT_EQ(next(), STORE_READ);
   answer(STORE_OK, 9, "me", 1);
-  EXPECT_FALSE(held()); /* reading gives nothing either */
+  EXPECT_FALSE(is_held()); /* a read grants nothing either */
   ASSERT_EQ(next(), STORE_REPLACE);
   EXPECT_EQ(call.position.revision, 9);
   answer(STORE_OK, 11, "me", 2);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
 }
 
-TEST_F(Leased, OneThatIsLostIsNotHeldAndRests) {
+TEST_F(LeaseTest, GivenUpLeaseIsNotTakenForTwoLengths) {
   gint64 lost;
   next();
   answer(STORE_NOT_FOUND);
@@ -166,18 +168,18 @@
   answer(STORE_OK, 7);
   lease_give_up(&lease, now);
   lost = now;
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
   EXPECT_EQ(next(), STORE_READ);
   EXPECT_GE(now - lost, 2 * length);
 }
 
-TEST_F(Leased, WithoutALengthThereIsNoLease) {
+TEST_F(LeaseTest, LengthOfZeroDisablesTheLease) {
   lease_clear(&lease);
   lease_init(&lease, "me", 0, now);
   EXPECT_EQ(next(), -1);
 }
 
-TEST_F(Leased, OneCallAtATime) {
+TEST_F(LeaseTest, NoSecondCallBeginsWhileOneIsOpen) {
   next();
   EXPECT_EQ(next(), -1);
   EXPECT_EQ(lease_next_call_time(&lease), G_MAXINT64);
@@ -185,23 +187,23 @@
 
 /*
 ** {==================================================================
-** A store that comes back from an older copy
+** A store that is restored from an older copy
 ** ===================================================================
 */
 
-TEST_F(Leased, IsNotHeldOverAChangeOfEra) {
+TEST_F(LeaseTest, ChangeOfEraEndsTheLease) {
   era = 1;
   while (next() == STORE_READ)
     answer(STORE_NOT_FOUND);
   answer(STORE_OK, 40);
-  ASSERT_TRUE(held());
+  ASSERT_TRUE(is_held());
   lease_observe_era(&lease, 1, now);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
   lease_observe_era(&lease, 2, now);
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
 }
 
-TEST_F(Leased, OneThatWasLostIsTakenOnceEveryHoldersHasLapsed) {
+TEST_F(LeaseTest, LeaseLostByTheStoreIsTakenOnceEveryHolderHasExpired) {
   era = 1;
   next();
   answer(STORE_OK, 40, "other", 5);
@@ -213,10 +215,10 @@
   EXPECT_EQ(call.operation, STORE_CREATE);
   EXPECT_GE(now - heard, 2 * length);
   answer(STORE_OK, 12);
-  EXPECT_TRUE(held());
+  EXPECT_TRUE(is_held());
 }
 
-TEST_F(Leased, TheFenceGrowsThoughTheRevisionGoesBack) {
+TEST_F(LeaseTest, FenceGrowsWhenTheRevisionGoesBack) {
   era = 1;
   while (next() == STORE_READ)
     answer(STORE_NOT_FOUND);
@@ -230,8 +232,9 @@
   EXPECT_GT(lease_fence(&lease), before);
 }
 
-/* the object may be another holder's, whose revision was given out again */
-TEST_F(Leased, AWriteThatWasMadeInAnOlderEraGivesNone) {
+/* The object may belong to another holder, because the restored store assigns
+** the same revision again. */
+TEST_F(LeaseTest, WriteOfAnOlderEraGrantsNothing) {
   era = 1;
   while (next() == STORE_READ)
     answer(STORE_NOT_FOUND);
@@ -240,12 +243,12 @@
   ASSERT_EQ(next(), STORE_REPLACE);
   era = 2;
   answer(STORE_OK, 8);
-  EXPECT_FALSE(held());
+  EXPECT_FALSE(is_held());
   EXPECT_EQ(next(), STORE_READ);
 }
 
-/* it may have been lost by a store that was restored just before */
-TEST_F(Leased, AnInstanceThatJustStartedWaitsBeforeItCreatesOne) {
+/* A store that was restored shortly before may have lost another lease. */
+TEST_F(LeaseTest, RestartedInstanceWaitsBeforeItCreatesTheLease) {
   lease_clear(&lease);
   lease_init(&lease, "me", length, now);
   gint64 started = now;
@@ -256,13 +259,14 @@
 }
 
 /*
-** Three instances, one of which may be cut off, and a store that returns from
-** copies: whatever is lost or late, and whoever starts anew, no two hold the
-** lease within a length of each other, and the fence grows with each holder
+** A random schedule of three instances, each of which may be cut off or
+** restarted, and a store that may be restored from a snapshot. Whatever is
+** lost or late, no two instances hold the lease within one length of each
+** other, and the fence grows with each holder.
 */
 struct LeaseSchedule {
   static constexpr gint64 tick = second / 10;
-  static constexpr gint64 copy_age = 20 * second; /* at the most */
+  static constexpr gint64 snapshot_age_max = 20 * second;
   struct Object {
     gint64 revision = 0; /* 0: there is none */
     std::string holder;
@@ -271,27 +275,28 @@
   struct Instance {
     Lease lease = {};
     std::string name;
-    gint64 answer_at = 0; /* of the open call; 0: none is out */
-    gint64 carried_out_at = 0;
-    bool lost = false; /* its answer */
-    bool carried_out = false;
+    gint64 answer_at = 0; /* when the open call is answered; 0: none is open */
+    gint64 execute_at = 0;
+    bool lost = false; /* the answer is lost */
+    bool executed = false;
     LeaseReply reply = {};
     std::string holder_told;
     StoreCall call = {};
     guint64 term = 0;
-    bool cut = false;
+    bool is_cut_off = false;
   };
   std::mt19937 random;
   std::vector<std::unique_ptr<Instance>> all;
   Object object;
   gint64 revision = 100;
   guint64 era = 1;
-  std::map<gint64, std::pair<Object, gint64>> copies; /* by time */
+  /* by time; each with the revision of the store */
+  std::map<gint64, std::pair<Object, gint64>> snapshots;
   gint64 now = 1000 * second;
   const Instance *last = nullptr;
   gint64 last_held = 0;
   gint64 last_fence = 0;
-  unsigned takings = 0;
+  unsigned fence_changes = 0;
   std::string wrong;
 
   explicit LeaseSchedule(unsigned seed) : random(seed) {
@@ -312,23 +317,23 @@
     lease_clear(&one.lease);
     lease_init(&one.lease, one.name.c_str(), length, now);
     one.answer_at = 0;
-    last = last == &one ? nullptr : last; /* its lease went with it */
+    last = last == &one ? nullptr : last; /* it has lost its lease */
   }
   void restore() {
-    gint64 then = now - static_cast<gint64>(random() % copy_age);
-    auto copy = copies.upper_bound(then);
-    if (copy == copies.begin())
+    gint64 then = now - static_cast<gint64>(random() % snapshot_age_max);
+    auto copy = snapshots.upper_bound(then);
+    if (copy == snapshots.begin())
       return;
     --copy;
     object = copy->second.first;
     revision = copy->second.second;
-    copies.erase(std::next(copy), copies.end());
+    snapshots.erase(std::next(copy), snapshots.end());
     era++;
   }
-  void carry_out(Instance &one) {
+  void execute_call(Instance &one) {
     StoreOperation what = one.call.operation;
     bool fits = object.revision == one.call.position.revision;
-    one.carried_out = true;
+    one.executed = true;
     one.reply = {};
     one.reply.era = era;
     one.reply.status = object.revision > 0 ? STORE_OK : STORE_NOT_FOUND;
@@ -339,7 +344,7 @@
     else if (what == STORE_CREATE ||
              (what == STORE_REPLACE && object.revision > 0)) {
       object = {++revision, one.name, one.term};
-      copies[now] = {object, revision};
+      snapshots[now] = {object, revision};
       one.reply.status = STORE_OK;
     }
     one.reply.position = store_position(era, object.revision);
@@ -351,10 +356,10 @@
     if (!lease_begin_call(&one.lease, &one.call, &record, now))
       return;
     one.term = record.term;
-    one.carried_out = false;
-    one.lost = one.cut || chance(8);
-    /* a write without an answer may be carried out seconds later */
-    one.carried_out_at =
+    one.executed = false;
+    one.lost = one.is_cut_off || chance(8);
+    /* a write whose answer is lost may be executed seconds later */
+    one.execute_at =
         now + (one.lost ? static_cast<gint64>(random() % 60) * tick : tick);
     one.answer_at = now + (one.lost ? 10 : 2) * tick;
   }
@@ -363,7 +368,7 @@
       return;
     one.answer_at = 0;
     one.reply.record.holder = one.holder_told.data();
-    if (one.lost || !one.carried_out) {
+    if (one.lost || !one.executed) {
       one.reply = {};
       one.reply.status = STORE_FAILED;
     }
@@ -377,7 +382,7 @@
       wrong += one.name + " beside " + last->name + "; ";
     if (fence < last_fence)
       wrong += "fence " + std::to_string(fence) + " falls; ";
-    takings += fence != last_fence;
+    fence_changes += fence != last_fence;
     last_fence = fence;
     last_held = now;
     last = &one;
@@ -385,18 +390,19 @@
   void step() {
     if (chance(300))
       restore();
-    copies.erase(copies.begin(), copies.lower_bound(now - 2 * copy_age));
-    copies[now] = {object, revision};
+    snapshots.erase(snapshots.begin(),
+                    snapshots.lower_bound(now - 2 * snapshot_age_max));
+    snapshots[now] = {object, revision};
     for (auto &one : all) {
       if (chance(400))
         restart(*one);
       if (chance(200))
-        one->cut = !one->cut;
-      if (!one->cut && chance(10))
+        one->is_cut_off = !one->is_cut_off;
+      if (!one->is_cut_off && chance(10))
         lease_observe_era(&one->lease, era, now);
-      if (!one->carried_out && one->answer_at != 0 &&
-          now >= one->carried_out_at && !one->cut)
-        carry_out(*one);
+      if (!one->executed && one->answer_at != 0 && now >= one->execute_at &&
+          !one->is_cut_off)
+        execute_call(*one);
       end_call(*one);
       if (chance(3))
         begin_call(*one);
@@ -406,16 +412,17 @@
   }
 };
 
-TEST(LeaseReturns, NoTwoHoldItWithinALengthAndTheFenceNeverFalls) {
-  unsigned takings = 0;
+TEST(LeaseRandomSchedules, HoldersNeverOverlapAndTheFenceNeverFalls) {
+  unsigned fence_changes = 0;
   for (unsigned seed = 1; seed <= 300; seed++) {
     LeaseSchedule schedule(seed);
     for (int i = 0; i < 3000 && schedule.wrong.empty(); i++)
       schedule.step();
     EXPECT_EQ(schedule.wrong, "") << "seed " << seed;
-    takings += schedule.takings;
+    fence_changes += schedule.fence_changes;
   }
-  EXPECT_GE(takings, 10000u); /* or it shows nothing */
+  /* a lease that rarely changes hands would prove nothing */
+  EXPECT_GE(fence_changes, 10000u);
 }
 
 /* }================================================================== */
--- a/test/test_router.cc
+++ b/test/test_router.cc
@@ -1,6 +1,7 @@
 /*
 ** test_router.cc
-** Promises of routed requests, one by one, in virtual time
+** Tests of the router in virtual time: how often a request runs, what its
+** caller gets, and where it is sent. Each test guards one rule.
 */
 
 #include <gtest/gtest.h>
@@ -14,15 +15,16 @@
 
 namespace {
 
-struct Routed : ::testing::Test {
+struct RouterTest : ::testing::Test {
   World world;
 
   void SetUp() override {
     world.populate();
   }
 
-  /* a stream that has been prefilled and whose run is out */
-  guint64 running(const char *path) {
+  /* Starts a stream, completes its prefill and returns the request's number;
+  ** its run is then the last dispatch. */
+  guint64 start_prefilled_stream(const char *path) {
     guint64 request = world.request(path);
     EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
     world.prefilled(world.last().number);
@@ -30,7 +32,7 @@
     return request;
   }
 
-  guint64 counted(const std::string &name) {
+  guint64 counter_value(const std::string &name) {
     for (unsigned i = 0; router_counter_name(i) != nullptr; i++) {
       if (name == router_counter_name(i))
         return router_counter(world.router, i);
@@ -41,10 +43,10 @@
 };
 
 /*
-** At most once, and honest refusals
+** At most once execution, and refusals that say whether a request may have run
 */
 
-TEST_F(Routed, UnsafeIsNotSentAgainAfterABrokenRun) {
+TEST_F(RouterTest, UnsafeRequestIsNotRetriedAfterABrokenRun) {
   guint64 request = world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_BROKEN);
   EXPECT_EQ(world.runs(request), 1u);
@@ -52,7 +54,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OUTCOME_UNKNOWN);
 }
 
-TEST_F(Routed, UnsafeGoesElsewhereWhenItWasNotRun) {
+TEST_F(RouterTest, UnsafeRequestIsRetriedElsewhereWhenItDidNotRun) {
   guint64 request = world.request("/unsafe/x");
   std::string first = world.last().endpoint;
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
@@ -62,17 +64,17 @@
   EXPECT_EQ(world.end(request).answers, 1);
 }
 
-TEST_F(Routed, UnreachableCostsNoRetry) {
-  World strict(0, 0.0); /* no retry is allowed at all */
-  strict.populate();
-  guint64 request = strict.request("/unsafe/x");
-  std::string first = strict.last().endpoint;
-  strict.outcome(strict.last().number, OUTCOME_UNREACHABLE);
-  ASSERT_EQ(strict.runs(request), 2u);
-  EXPECT_NE(strict.last().endpoint, first);
+TEST_F(RouterTest, UnreachableEndpointSpendsNoRetryBudget) {
+  World no_retries(0, 0.0); /* the retry budget is empty */
+  no_retries.populate();
+  guint64 request = no_retries.request("/unsafe/x");
+  std::string first = no_retries.last().endpoint;
+  no_retries.outcome(no_retries.last().number, OUTCOME_UNREACHABLE);
+  ASSERT_EQ(no_retries.runs(request), 2u);
+  EXPECT_NE(no_retries.last().endpoint, first);
 }
 
-TEST_F(Routed, SafeIsSentToAsManyAsItsRouteAllows) {
+TEST_F(RouterTest, SafeRequestRunsNoMoreThanTheRouteAllows) {
   guint64 request = world.request("/safe/x");
   world.outcome(world.last().number, OUTCOME_BROKEN);
   ASSERT_EQ(world.runs(request), 2u);
@@ -81,7 +83,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OUTCOME_UNKNOWN);
 }
 
-TEST_F(Routed, NotRunIsNeverSaidOnceItMayHaveRun) {
+TEST_F(RouterTest, RefusalIsOutcomeUnknownOnceARunMayHaveHappened) {
   guint64 request = world.request("/safe/x");
   world.outcome(world.last().number, OUTCOME_BROKEN);
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
@@ -90,7 +92,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_OUTCOME_UNKNOWN);
 }
 
-TEST_F(Routed, AFailureOfASafeRequestIsTriedAgainOnceThenPassedOn) {
+TEST_F(RouterTest, Error500OfASafeRequestIsRetriedOnceThenForwarded) {
   guint64 request = world.request("/safe/x");
   world.outcome(world.last().number, OUTCOME_ANSWER, 500);
   ASSERT_EQ(world.runs(request), 2u);
@@ -99,7 +101,7 @@
   EXPECT_EQ(world.end(request).status, 500);
 }
 
-TEST_F(Routed, AFailureOfAnUnsafeRequestIsPassedOn) {
+TEST_F(RouterTest, Error500OfAnUnsafeRequestIsForwardedWithoutRetry) {
   guint64 request = world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_ANSWER, 500);
   EXPECT_EQ(world.runs(request), 1u);
@@ -110,15 +112,17 @@
 ** Routes and configuration
 */
 
-TEST_F(Routed, AnUnknownPathHasNoRoute) {
+TEST_F(RouterTest, UnknownPathIsRefusedAsNoRoute) {
   guint64 request = world.request("/elsewhere/x");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
   EXPECT_TRUE(world.dispatches.empty());
 }
 
-/* an instance that has lost the store and all relays cannot know of a route
-** that has come since; a caller would take its "no" for the last word */
-TEST_F(Routed, OldNewsSayNothingOfAnUnknownPath) {
+/*
+** An instance that has lost the store and all relays cannot know of a route
+** that was added since. A caller would take "no route" for a final answer.
+*/
+TEST_F(RouterTest, StaleConfigurationDoesNotRefuseAnUnknownPathAsNoRoute) {
   world.advance(news_age_max);
   guint64 request = world.request("/nowhere");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
@@ -131,7 +135,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
 }
 
-TEST_F(Routed, AnInstanceThatLacksAChangeDoesNotSayThatThereIsNoRoute) {
+TEST_F(RouterTest, MissingConfigurationChangeDoesNotRefuseAsNoRoute) {
   NewsState news = {};
   router_set_news_state(world.router, &news);
   news_state_advance_held(&news, store_position(0, 100), world.now);
@@ -144,14 +148,14 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ROUTE);
 }
 
-TEST(Unconfigured, ARequestIsRefusedAsNotRun) {
+TEST(RouterWithoutConfiguration, RequestIsRefusedAsNotRun) {
   World world;
   guint64 request = world.request("/safe/x");
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_CONFIGURATION);
   EXPECT_GT(world.end(request).retry_after_ms, 0);
 }
 
-TEST_F(Routed, AnOlderConfigurationNeverTakesEffect) {
+TEST_F(RouterTest, OlderConfigurationVersionIsIgnored) {
   world.configure(5, 3 * second);
   world.configure(4, 9 * second);
   guint64 request = world.request("/unsafe/x");
@@ -159,7 +163,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_TIMEOUT);
 }
 
-TEST_F(Routed, AnOpenRequestKeepsTheRouteItCameUnder) {
+TEST_F(RouterTest, OpenRequestKeepsTheTimeoutOfItsOriginalRoute) {
   guint64 request = world.request("/unsafe/x");
   world.configure(2, 1 * second);
   world.advance(5 * second);
@@ -168,7 +172,7 @@
   EXPECT_EQ(world.end(request).answers, 1);
 }
 
-TEST_F(Routed, ALeavingEndpointGetsNothingNew) {
+TEST_F(RouterTest, UnreadyOrRemovedEndpointGetsNoNewRequest) {
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, false);
   for (int i = 0; i < 20; i++) {
     world.request("/unsafe/x");
@@ -179,7 +183,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_NO_ENDPOINT);
 }
 
-TEST_F(Routed, AListForgetsWhatItDoesNotName) {
+TEST_F(RouterTest, EndpointAbsentFromTheListIsRemoved) {
   GHashTable *names = g_hash_table_new(g_str_hash, g_str_equal);
   g_hash_table_add(names, const_cast<char *>("app-2"));
   router_keep_endpoints(world.router, names, world.now);
@@ -192,7 +196,7 @@
 ** Time
 */
 
-TEST_F(Routed, TheRoutesTimeoutIsAnsweredAtOnce) {
+TEST_F(RouterTest, RouteTimeoutRefusesTheRequestAndCancelsItsRun) {
   world.configure(2, 2 * second);
   guint64 request = world.request("/unsafe/x");
   world.advance(2 * second);
@@ -200,7 +204,7 @@
   EXPECT_TRUE(world.dispatches[0].cancelled);
 }
 
-TEST_F(Routed, WhatIsLeftOfTheDeadlineIsHandedOn) {
+TEST_F(RouterTest, RetryPassesOnlyTheRemainingDeadline) {
   world.request("/safe/x", 4000);
   EXPECT_LE(world.last().deadline_ms, 4000);
   world.advance(1500 * ms);
@@ -209,7 +213,7 @@
   EXPECT_GT(world.last().deadline_ms, 2000);
 }
 
-TEST_F(Routed, AHangupCancelsTheRun) {
+TEST_F(RouterTest, CallerHangupCancelsTheRun) {
   guint64 request = world.request("/unsafe/x");
   world.hangup(request);
   EXPECT_TRUE(world.dispatches[0].cancelled);
@@ -218,14 +222,14 @@
   EXPECT_EQ(world.end(request).ends(), 0);
 }
 
-TEST_F(Routed, ASilentEndpointOfASafeRequestIsGivenUp) {
+TEST_F(RouterTest, SafeRequestLeavesASilentEndpoint) {
   guint64 request = world.request("/safe/x");
   world.advance(5 * second);
   EXPECT_EQ(world.runs(request), 2u);
   EXPECT_TRUE(world.dispatches[0].cancelled);
 }
 
-TEST_F(Routed, SilenceOfAnEndpointEndsNoUnsafeRequest) {
+TEST_F(RouterTest, UnsafeRequestStaysAtASilentEndpoint) {
   guint64 request = world.request("/unsafe/x");
   world.advance(9 * second);
   EXPECT_EQ(world.end(request).ends(), 0);
@@ -236,7 +240,7 @@
 ** Streams
 */
 
-TEST_F(Routed, APromptIsReadApartAndFetchedByItsHandle) {
+TEST_F(RouterTest, StreamPrefillsSeparatelyAndDecodesWithTheKvHandle) {
   guint64 request = world.request("/stream/x");
   EXPECT_EQ(world.last().endpoint, "pre-1");
   world.prefilled(world.last().number, "h7");
@@ -249,18 +253,18 @@
   EXPECT_EQ(world.end(request).answers, 1);
 }
 
-TEST_F(Routed, AHandleIsOfferedToASecondEngineAndNoThird) {
+TEST_F(RouterTest, KvHandleIsOfferedToTwoDecodeEnginesAtMost) {
   world.endpoint({"dec-3", "llm", "a", STAGE_DECODE});
-  running("/stream/x");
+  start_prefilled_stream("/stream/x");
   EXPECT_EQ(world.last().handle, "h1");
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
   EXPECT_EQ(world.last().handle, "h1");
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
-  EXPECT_EQ(world.last().kind, DISPATCH_RUN); /* it reads the prompt itself */
+  EXPECT_EQ(world.last().kind, DISPATCH_RUN); /* this engine prefills */
   EXPECT_EQ(world.last().handle, "");
 }
 
-TEST_F(Routed, AnEngineWhoseHandlesAreRefusedIsLeftAlone) {
+TEST_F(RouterTest, PrefillEngineWhoseHandlesAreRejectedIsAvoided) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   world.endpoint({"dec-3", "llm", "a", STAGE_DECODE});
   world.request("/stream/x");
@@ -276,21 +280,23 @@
   }
 }
 
-TEST_F(Routed, AHandleThatLapsedIsNotOffered) {
+TEST_F(RouterTest, ExpiredKvHandleIsReplacedByANewPrefill) {
   world.request("/stream/x");
   world.prefilled(world.last().number);
   std::string reader = world.dispatches[0].endpoint;
   world.advance(600 * ms);
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
-  EXPECT_EQ(world.last().kind, DISPATCH_PREFILL); /* it may be kept there */
+  /* its cache may still hold the prompt */
+  EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
   EXPECT_EQ(world.last().endpoint, reader);
   world.prefilled(world.last().number, "h2");
   EXPECT_EQ(world.last().kind, DISPATCH_RUN);
   EXPECT_EQ(world.last().handle, "h2");
 }
 
-/* all room is taken by others while the prompt is read */
-void fill(World &world, guint32 sequence, guint32 tokens) {
+/* A peer's digest: both decode engines have so many tokens in use (and three
+** requests open if any); it takes the capacity while a prompt is prefilled. */
+void report_decode_load(World &world, guint32 sequence, guint32 tokens) {
   mp_LoadDigest digest = {};
   const char *const engines[] = {"dec-1", "dec-2"};
   for (const char *engine : engines) {
@@ -303,56 +309,56 @@
                    &digest, world.now);
 }
 
-TEST_F(Routed, WithItsPromptReadARequestWaitsForRoomAndRunsByItsHandle) {
+TEST_F(RouterTest, PrefilledRequestWaitsForCapacityAndKeepsItsHandle) {
   guint64 request = world.request("/stream/x");
   guint64 prefill = world.last().number;
-  fill(world, 1, 9500);
+  report_decode_load(world, 1, 9500);
   world.prefilled(prefill, "h7");
-  EXPECT_EQ(world.runs(request), 0u); /* no full engine is asked */
+  EXPECT_EQ(world.runs(request), 0u); /* a full engine gets no request */
   world.advance(100 * ms);
-  fill(world, 2, 0);
+  report_decode_load(world, 2, 0);
   world.advance(10 * ms);
   ASSERT_EQ(world.runs(request), 1u);
   EXPECT_EQ(world.last().handle, "h7");
   EXPECT_EQ(world.dispatches.size(), 2u);
 }
 
-TEST_F(Routed, WithItsHandleLapsedAWaitingRequestIsReadAnew) {
+TEST_F(RouterTest, WaitingRequestIsPrefilledAgainOnceItsHandleExpires) {
   guint64 request = world.request("/stream/x");
-  fill(world, 1, 9500);
+  report_decode_load(world, 1, 9500);
   world.prefilled(world.last().number, "h7");
-  for (guint32 i = 2; i < 8; i++) { /* 600 ms: the handle lives 500 ms */
+  for (guint32 i = 2; i < 8; i++) { /* 600 ms; a handle lasts 500 ms */
     world.advance(100 * ms);
-    fill(world, i, 9500);
+    report_decode_load(world, i, 9500);
   }
   EXPECT_EQ(world.runs(request), 0u);
-  fill(world, 8, 0);
+  report_decode_load(world, 8, 0);
   world.advance(10 * ms);
   EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
   world.prefilled(world.last().number, "h8");
   EXPECT_EQ(world.last().handle, "h8");
 }
 
-TEST(Reading, AWaitingRequestIsReadAnewOnlyWithinTheRetryBudget) {
-  World strict(0, 0.0);
-  strict.populate();
-  guint64 request = strict.request("/stream/x");
-  fill(strict, 1, 9500);
-  strict.prefilled(strict.last().number, "h7");
+TEST(PrefillRetryBudget, WaitingRequestIsNotPrefilledAgainWithoutBudget) {
+  World no_retries(0, 0.0);
+  no_retries.populate();
+  guint64 request = no_retries.request("/stream/x");
+  report_decode_load(no_retries, 1, 9500);
+  no_retries.prefilled(no_retries.last().number, "h7");
   for (guint32 i = 2; i < 8; i++) {
-    strict.advance(100 * ms);
-    fill(strict, i, 9500);
+    no_retries.advance(100 * ms);
+    report_decode_load(no_retries, i, 9500);
   }
-  fill(strict, 8, 0);
-  strict.advance(10 * ms);
-  ASSERT_EQ(strict.runs(request), 1u); /* the decode engine reads it */
-  EXPECT_EQ(strict.last().kind, DISPATCH_RUN);
-  EXPECT_EQ(strict.last().handle, "");
+  report_decode_load(no_retries, 8, 0);
+  no_retries.advance(10 * ms);
+  ASSERT_EQ(no_retries.runs(request), 1u); /* the decode engine prefills it */
+  EXPECT_EQ(no_retries.last().kind, DISPATCH_RUN);
+  EXPECT_EQ(no_retries.last().handle, "");
 }
 
-TEST_F(Routed, AHandleOfAWaitingRequestIsFreedWhenItIsRefused) {
+TEST_F(RouterTest, RefusingAWaitingRequestReleasesItsHandle) {
   guint64 request = world.request("/stream/x");
-  fill(world, 1, 9500);
+  report_decode_load(world, 1, 9500);
   world.prefilled(world.last().number, "h7");
   router_stop_accepting(world.router, world.now);
   EXPECT_EQ(world.last().kind, DISPATCH_RELEASE);
@@ -360,90 +366,90 @@
   EXPECT_EQ(world.end(request).refusals, 1);
 }
 
-TEST_F(Routed, AHangupFreesTheHandle) {
-  guint64 request = running("/stream/x");
+TEST_F(RouterTest, CallerHangupReleasesTheHandle) {
+  guint64 request = start_prefilled_stream("/stream/x");
   world.hangup(request);
   EXPECT_EQ(world.last().kind, DISPATCH_RELEASE);
   EXPECT_EQ(world.last().handle, "h1");
 }
 
-TEST_F(Routed, APrefillThatFailsLeavesAFirstRunWithoutAHandle) {
+TEST_F(RouterTest, FailedPrefillLeadsToARunWithoutAHandle) {
   guint64 request = world.request("/stream/x");
   world.outcome(world.last().number, OUTCOME_BROKEN);
   EXPECT_EQ(world.runs(request), 1u);
   EXPECT_EQ(world.last().handle, "");
 }
 
-/* the run in its place would be one arrival too many */
-TEST_F(Routed, APromptThatIsLostWithoutARetryLeftIsRefused) {
+/* A run without a prefill would exceed the retry budget by one arrival. */
+TEST_F(RouterTest, LostPrefillIsRefusedWithoutBudget) {
   for (OutcomeKind kind : {OUTCOME_BROKEN, OUTCOME_NOT_RUN}) {
-    World strict(0, 0.0);
-    strict.populate();
-    strict.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
-    guint64 request = strict.request("/stream/x");
-    size_t sent = strict.dispatches.size();
-    strict.outcome(strict.last().number, kind, 503);
-    EXPECT_EQ(strict.dispatches.size(), sent);
-    EXPECT_EQ(strict.end(request).refusals, 1);
-    EXPECT_EQ(strict.end(request).refusal, REFUSAL_BUSY);
+    World no_retries(0, 0.0);
+    no_retries.populate();
+    no_retries.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
+    guint64 request = no_retries.request("/stream/x");
+    size_t sent = no_retries.dispatches.size();
+    no_retries.outcome(no_retries.last().number, kind, 503);
+    EXPECT_EQ(no_retries.dispatches.size(), sent);
+    EXPECT_EQ(no_retries.end(request).refusals, 1);
+    EXPECT_EQ(no_retries.end(request).refusal, REFUSAL_BUSY);
   }
 }
 
-/* nothing is gained by leaving an engine's queue for nowhere */
-TEST_F(Routed, ALatePromptWaitsOnWithoutARetryLeft) {
-  World strict(0, 0.0);
-  strict.populate();
-  strict.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
-  guint64 request = strict.request("/stream/x");
-  guint64 prefill = strict.last().number;
-  strict.advance(5 * second);
-  EXPECT_FALSE(strict.sent(prefill).cancelled);
-  EXPECT_EQ(strict.end(request).ends(), 0);
-  strict.prefilled(prefill);
-  EXPECT_EQ(strict.last().kind, DISPATCH_RUN);
-  EXPECT_EQ(strict.last().handle, "h1");
-}
-
-TEST_F(Routed, APromptGoesToAnotherPrefillEngineBeforeADecodeEngineReadsIt) {
-  World strict(0, 10.0);
-  strict.populate();
-  strict.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
-  strict.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
-  guint64 request = strict.request("/stream/x");
-  std::set<std::string> met;
+/* Without budget for another prefill, cancelling a slow one gains nothing. */
+TEST_F(RouterTest, SlowPrefillIsAwaitedWithoutBudget) {
+  World no_retries(0, 0.0);
+  no_retries.populate();
+  no_retries.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
+  guint64 request = no_retries.request("/stream/x");
+  guint64 prefill = no_retries.last().number;
+  no_retries.advance(5 * second);
+  EXPECT_FALSE(no_retries.sent(prefill).cancelled);
+  EXPECT_EQ(no_retries.end(request).ends(), 0);
+  no_retries.prefilled(prefill);
+  EXPECT_EQ(no_retries.last().kind, DISPATCH_RUN);
+  EXPECT_EQ(no_retries.last().handle, "h1");
+}
+
+TEST_F(RouterTest, PrefillTriesOtherPrefillEnginesBeforeADecodeEngine) {
+  World many_retries(0, 10.0);
+  many_retries.populate();
+  many_retries.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
+  many_retries.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
+  guint64 request = many_retries.request("/stream/x");
+  std::set<std::string> endpoints_used;
   for (OutcomeKind kind : {OUTCOME_UNREACHABLE, OUTCOME_NOT_RUN}) {
-    ASSERT_EQ(strict.last().kind, DISPATCH_PREFILL);
-    met.insert(strict.last().endpoint);
-    strict.outcome(strict.last().number, kind, 503);
+    ASSERT_EQ(many_retries.last().kind, DISPATCH_PREFILL);
+    endpoints_used.insert(many_retries.last().endpoint);
+    many_retries.outcome(many_retries.last().number, kind, 503);
   }
-  ASSERT_EQ(strict.last().kind, DISPATCH_PREFILL);
-  met.insert(strict.last().endpoint);
-  EXPECT_EQ(met.size(), 3u);
-  strict.prefilled(strict.last().number);
-  EXPECT_EQ(strict.last().kind, DISPATCH_RUN);
-  EXPECT_EQ(strict.last().handle, "h1");
-  EXPECT_EQ(strict.runs(request), 1u);
-}
-
-TEST_F(Routed, APrefillEngineOutOfReachCostsNoRetry) {
-  World strict(0, 0.0);
-  strict.populate();
-  strict.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
-  strict.request("/stream/x");
-  std::string first = strict.last().endpoint;
-  strict.outcome(strict.last().number, OUTCOME_UNREACHABLE);
-  EXPECT_EQ(strict.last().kind, DISPATCH_PREFILL);
-  EXPECT_NE(strict.last().endpoint, first);
-}
-
-TEST_F(Routed, APromptThatMayHaveBeenReadIsReadAgainWithinTheBudget) {
+  ASSERT_EQ(many_retries.last().kind, DISPATCH_PREFILL);
+  endpoints_used.insert(many_retries.last().endpoint);
+  EXPECT_EQ(endpoints_used.size(), 3u);
+  many_retries.prefilled(many_retries.last().number);
+  EXPECT_EQ(many_retries.last().kind, DISPATCH_RUN);
+  EXPECT_EQ(many_retries.last().handle, "h1");
+  EXPECT_EQ(many_retries.runs(request), 1u);
+}
+
+TEST_F(RouterTest, UnreachablePrefillEngineSpendsNoRetryBudget) {
+  World no_retries(0, 0.0);
+  no_retries.populate();
+  no_retries.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
+  no_retries.request("/stream/x");
+  std::string first = no_retries.last().endpoint;
+  no_retries.outcome(no_retries.last().number, OUTCOME_UNREACHABLE);
+  EXPECT_EQ(no_retries.last().kind, DISPATCH_PREFILL);
+  EXPECT_NE(no_retries.last().endpoint, first);
+}
+
+TEST_F(RouterTest, BrokenPrefillIsRetriedWithinTheBudget) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   world.request("/stream/x");
   world.outcome(world.last().number, OUTCOME_BROKEN);
   EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
 }
 
-TEST_F(Routed, AnEngineThatTurnsAPromptAwayIsAskedNoMoreForAWhile) {
+TEST_F(RouterTest, PrefillEngineThatRejectsAPromptIsAvoided) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   world.request("/stream/x");
   std::string bad = world.last().endpoint;
@@ -456,11 +462,11 @@
   }
 }
 
-TEST_F(Routed, AllPrefillEnginesSlowMakesPatienceLonger) {
+TEST_F(RouterTest, PrefillTimeoutGrowsWhenAllPrefillEnginesAreSlow) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   gint64 first = 0;
   gint64 later = 0;
-  for (int i = 0; i < 20; i++) { /* each takes too long, and is left */
+  for (int i = 0; i < 20; i++) { /* each prefill times out and is cancelled */
     guint64 request = world.request("/stream/x", 100000);
     guint64 prefill = world.last().number;
     gint64 from = world.now;
@@ -473,15 +479,15 @@
   EXPECT_GT(later, first * 3 / 2);
 }
 
-TEST_F(Routed, APrefillThatHangsIsGivenUp) {
+TEST_F(RouterTest, HangingPrefillIsCancelled) {
   guint64 request = world.request("/stream/x");
   world.advance(3 * second);
   EXPECT_TRUE(world.dispatches[0].cancelled);
   EXPECT_EQ(world.runs(request), 1u);
 }
 
-TEST_F(Routed, ABrokenStreamThatMayNotBeResumedIsBrokenOff) {
-  guint64 request = running("/stream/x");
+TEST_F(RouterTest, BrokenStreamOfANonResumableRouteIsBrokenOff) {
+  guint64 request = start_prefilled_stream("/stream/x");
   world.outcome(world.last().number, OUTCOME_STREAM_HEAD);
   world.piece(world.last().number, "1");
   world.outcome(world.last().number, OUTCOME_BROKEN);
@@ -489,18 +495,18 @@
   EXPECT_EQ(world.end(request).broken_off, 1);
 }
 
-TEST_F(Routed, ABrokenStreamIsResumedBehindItsLastEvent) {
-  guint64 request = running("/resume/x");
+TEST_F(RouterTest, BrokenStreamResumesAfterItsLastEvent) {
+  guint64 request = start_prefilled_stream("/resume/x");
   world.outcome(world.last().number, OUTCOME_STREAM_HEAD);
   world.piece(world.last().number, "1");
   world.piece(world.last().number, "2");
   world.outcome(world.last().number, OUTCOME_BROKEN);
   EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
-  EXPECT_EQ(world.last().endpoint, "pre-1"); /* it may keep the prompt */
+  EXPECT_EQ(world.last().endpoint, "pre-1"); /* it may cache the prompt */
   world.prefilled(world.last().number, "h2");
   ASSERT_EQ(world.runs(request), 2u);
   EXPECT_EQ(world.last().last_event, "2");
-  EXPECT_EQ(world.last().handle, "h2"); /* the first one is used up */
+  EXPECT_EQ(world.last().handle, "h2"); /* the first handle is used up */
   world.outcome(world.last().number, OUTCOME_STREAM_HEAD);
   world.piece(world.last().number, "3");
   world.outcome(world.last().number, OUTCOME_STREAM_END);
@@ -510,8 +516,8 @@
   EXPECT_EQ(world.end(request).answers, 1);
 }
 
-TEST_F(Routed, AResumedStreamThatGetsAFailureIsBrokenOff) {
-  guint64 request = running("/resume/x");
+TEST_F(RouterTest, ResumedStreamThatGetsAnErrorIsBrokenOff) {
+  guint64 request = start_prefilled_stream("/resume/x");
   world.outcome(world.last().number, OUTCOME_STREAM_HEAD);
   world.piece(world.last().number, "1");
   world.outcome(world.last().number, OUTCOME_BROKEN);
@@ -522,8 +528,8 @@
   EXPECT_EQ(world.end(request).answers, 0);
 }
 
-TEST_F(Routed, AStreamThatGoesSilentIsResumedElsewhere) {
-  guint64 request = running("/resume/x");
+TEST_F(RouterTest, SilentStreamIsResumedAtAnotherEndpoint) {
+  guint64 request = start_prefilled_stream("/resume/x");
   world.outcome(world.last().number, OUTCOME_STREAM_HEAD);
   world.piece(world.last().number, "1");
   guint64 first = world.last().number;
@@ -534,14 +540,14 @@
   EXPECT_NE(world.last().endpoint, world.sent(first).endpoint);
 }
 
-TEST_F(Routed, AResumedCallersPromptIsReadAtItsHomeWhateverTheLoad) {
+TEST_F(RouterTest, ResumedSessionIsPrefilledAtItsOwnEngineRegardlessOfLoad) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   world.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
   world.endpoint({"dec-3", "llm", "a", STAGE_DECODE});
   for (guint64 session = 1; session <= 9; session++) {
     guint64 first = world.resumption("/resume/x", session);
     std::string home = world.last().endpoint;
-    guint64 second = world.resumption("/resume/x", session); /* one more */
+    guint64 second = world.resumption("/resume/x", session);
     EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
     EXPECT_EQ(world.last().endpoint, home) << session;
     world.hangup(first);
@@ -549,7 +555,7 @@
   }
 }
 
-TEST_F(Routed, AReaderThatFailsTheSecondReadingIsNotAskedAThirdTime) {
+TEST_F(RouterTest, PrefillEngineIsNotUsedAThirdTimeAfterAFailedSecondPrefill) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   world.request("/resume/x");
   std::string reader = world.last().endpoint;
@@ -560,8 +566,8 @@
   EXPECT_NE(world.last().endpoint, reader);
 }
 
-TEST_F(Routed, APromptIsReadByADecodeEngineWhenItsReaderIsOutOfReach) {
-  guint64 request = running("/resume/x");
+TEST_F(RouterTest, DecodeEnginePrefillsWhenThePrefillEngineIsNotReady) {
+  guint64 request = start_prefilled_stream("/resume/x");
   guint64 first = world.last().number;
   world.outcome(first, OUTCOME_STREAM_HEAD);
   world.piece(first, "1");
@@ -571,37 +577,37 @@
   EXPECT_EQ(world.last().handle, "");
 }
 
-TEST(Reading, ASecondReadingNeedsTheRetryBudget) {
-  World strict(0, 1.5); /* one extra arrival: the second run's */
-  strict.populate();
-  guint64 request = strict.request("/resume/x");
-  strict.prefilled(strict.last().number);
-  strict.outcome(strict.last().number, OUTCOME_STREAM_HEAD);
-  strict.piece(strict.last().number, "1");
-  strict.outcome(strict.last().number, OUTCOME_BROKEN);
-  ASSERT_EQ(strict.runs(request), 2u);
-  EXPECT_EQ(strict.last().kind, DISPATCH_RUN);
-  EXPECT_EQ(strict.last().handle, "");
-}
-
-TEST(Silence, EndsNoStreamThatTheBudgetForbidsToResume) {
-  World strict(0, 0.0);
-  strict.populate();
-  guint64 request = strict.request("/resume/x");
-  strict.prefilled(strict.last().number);
-  guint64 run = strict.last().number;
-  strict.outcome(run, OUTCOME_STREAM_HEAD);
-  strict.piece(run, "1");
-  strict.advance(4 * second);
-  EXPECT_FALSE(strict.sent(run).cancelled);
-  EXPECT_EQ(strict.end(request).ends(), 0);
-  strict.outcome(run, OUTCOME_STREAM_END);
-  EXPECT_EQ(strict.end(request).answers, 1);
-}
-
-TEST_F(Routed, SilenceEndsNoStreamThatHasNowhereElseToGo) {
+TEST(PrefillRetryBudget, SecondPrefillNeedsBudget) {
+  World one_retry(0, 1.5); /* pays for one extra arrival, the second run */
+  one_retry.populate();
+  guint64 request = one_retry.request("/resume/x");
+  one_retry.prefilled(one_retry.last().number);
+  one_retry.outcome(one_retry.last().number, OUTCOME_STREAM_HEAD);
+  one_retry.piece(one_retry.last().number, "1");
+  one_retry.outcome(one_retry.last().number, OUTCOME_BROKEN);
+  ASSERT_EQ(one_retry.runs(request), 2u);
+  EXPECT_EQ(one_retry.last().kind, DISPATCH_RUN);
+  EXPECT_EQ(one_retry.last().handle, "");
+}
+
+TEST(StreamRetryBudget, SilentStreamThatCannotBeRetriedIsKept) {
+  World no_retries(0, 0.0);
+  no_retries.populate();
+  guint64 request = no_retries.request("/resume/x");
+  no_retries.prefilled(no_retries.last().number);
+  guint64 run = no_retries.last().number;
+  no_retries.outcome(run, OUTCOME_STREAM_HEAD);
+  no_retries.piece(run, "1");
+  no_retries.advance(4 * second);
+  EXPECT_FALSE(no_retries.sent(run).cancelled);
+  EXPECT_EQ(no_retries.end(request).ends(), 0);
+  no_retries.outcome(run, OUTCOME_STREAM_END);
+  EXPECT_EQ(no_retries.end(request).answers, 1);
+}
+
+TEST_F(RouterTest, SilentStreamWithoutAnotherEngineIsKept) {
   world.endpoint({"dec-2", "llm", "a", STAGE_DECODE}, true, true);
-  guint64 request = running("/resume/x");
+  guint64 request = start_prefilled_stream("/resume/x");
   guint64 run = world.last().number;
   world.outcome(run, OUTCOME_STREAM_HEAD);
   world.piece(run, "1");
@@ -613,12 +619,12 @@
 }
 
 /*
-** Room at the decode engines
+** Capacity of the decode engines
 */
 
-TEST_F(Routed, WithoutRoomARequestWaitsAndStartsOnceThereIsSome) {
+TEST_F(RouterTest, RequestWithoutCapacityWaitsUntilAnotherEnds) {
   std::vector<guint64> first;
-  for (int i = 0; i < 2; i++) /* one fills each engine */
+  for (int i = 0; i < 2; i++) /* each fills one engine */
     first.push_back(world.request("/stream/x", 10000, 9000));
   guint64 waiting = world.request("/stream/x", 10000, 9000);
   EXPECT_EQ(world.dispatches.size(), 2u);
@@ -627,7 +633,7 @@
   EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
 }
 
-TEST_F(Routed, OneThatCameBackLateGoesBehindThoseInTime) {
+TEST_F(RouterTest, LateRequestIsQueuedBehindRequestsInTime) {
   guint64 first = world.request("/stream/x", 10000, 9000);
   guint64 second = world.request("/stream/x", 10000, 9000);
   guint64 returned = world.request("/stream/x", 6000, 9000);
@@ -639,28 +645,30 @@
   router_count_waiting(world.router, world.now, &waiting, &in_time);
   EXPECT_EQ(waiting, 1u);
   EXPECT_EQ(in_time, 0u);
-  EXPECT_EQ(counted("requests_started_late"), 0u);
-  world.hangup(second); /* nobody in time waits any more */
+  EXPECT_EQ(counter_value("requests_started_late"), 0u);
+  world.hangup(second); /* only the late request waits */
   EXPECT_EQ(world.last().request, returned);
-  EXPECT_EQ(counted("requests_started"), 4u);
-  EXPECT_EQ(counted("requests_started_late"), 1u);
+  EXPECT_EQ(counter_value("requests_started"), 4u);
+  EXPECT_EQ(counter_value("requests_started_late"), 1u);
 }
 
-TEST_F(Routed, OneThatCameBackInTimeKeepsItsPlace) {
+TEST_F(RouterTest, RetryingCallerInTimeKeepsItsQueuePosition) {
   guint64 first = world.request("/stream/x", 10000, 9000);
   world.request("/stream/x", 10000, 9000);
   world.request("/stream/x", 10000, 9000);
   world.advance(100 * ms);
   guint64 returned =
-      world.request("/stream/x", 9600, 9000); /* tried 0.4 s ago */
+      world.request("/stream/x", 9600, 9000); /* first sent 0.4 s ago */
   world.hangup(first);
   world.advance(20 * ms);
   EXPECT_EQ(world.last().request, returned);
 }
 
-/* the room that a large one in time waits for is not taken by small late ones
- */
-TEST_F(Routed, OneThatIsLateStartsWhenNobodyInTimeWaits) {
+/*
+** A small request that is late must not take the capacity for which a large
+** request in time waits.
+*/
+TEST_F(RouterTest, LateRequestStartsOnlyWhenNoRequestInTimeWaits) {
   world.request("/stream/x", 10000, 9000);
   world.request("/stream/x", 10000, 6000);
   guint64 large = world.request("/stream/x", 10000, 9000);
@@ -674,11 +682,11 @@
   EXPECT_EQ(world.last().request, late);
 }
 
-/* room anywhere is for all that are in time, here and elsewhere */
-TEST_F(Routed, AFreshOneIsRefusedWhenManyInTimeWaitElsewhere) {
+/* All requests in time, here and at peers, compete for the same capacity. */
+TEST_F(RouterTest, NewRequestIsRefusedWhenManyInTimeWaitAtPeers) {
   mp_LoadDigest many = {};
-  for (int i = 0; i < 20; i++) { /* a stream ends each 0.1 s */
-    running("/stream/x");
+  for (int i = 0; i < 20; i++) { /* one stream ends every 0.1 s */
+    start_prefilled_stream("/stream/x");
     world.outcome(world.last().number, OUTCOME_STREAM_END);
     world.advance(100 * ms);
   }
@@ -692,15 +700,18 @@
                    world.now);
   guint64 last = world.request("/stream/x", 10000, 9000);
   EXPECT_EQ(world.end(last).refusal, REFUSAL_BUSY);
-  many.in_time = 0; /* those are late, and take what is left over */
+  many.in_time = 0; /* the peer's requests are late and rank behind */
   router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), 2, &many,
                    world.now);
   guint64 next = world.request("/stream/x", 10000, 9000);
   EXPECT_EQ(world.end(next).ends(), 0);
 }
 
-/* a caller with less time than the route allows is fresh where all are so */
-TEST_F(Routed, ImpatientCallersAreFreshAmongTheirLike) {
+/*
+** A caller with a shorter deadline than the route's timeout counts as in time
+** where all callers have such deadlines.
+*/
+TEST_F(RouterTest, ShortDeadlinesAreInTimeWhereAllDeadlinesAreShort) {
   guint64 first = world.request("/stream/x", 5000, 9000);
   world.request("/stream/x", 5000, 9000);
   world.request("/stream/x", 4000, 9000); /* late */
@@ -709,7 +720,7 @@
   EXPECT_EQ(world.last().request, fresh);
 }
 
-TEST_F(Routed, NobodyWaitsForRoomUntilTheCallerGivesUp) {
+TEST_F(RouterTest, WaitForCapacityEndsBeforeTheDeadline) {
   world.request("/stream/x", 10000, 9000);
   world.request("/stream/x", 10000, 9000);
   guint64 waiting = world.request("/stream/x", 10000, 9000);
@@ -719,7 +730,7 @@
   EXPECT_EQ(world.runs(waiting), 0u);
 }
 
-TEST_F(Routed, WhatOthersHaveOpenTakesRoom) {
+TEST_F(RouterTest, OpenRequestsOfPeersUseCapacity) {
   mp_LoadDigest own;
   World other;
   other.populate();
@@ -737,7 +748,7 @@
   EXPECT_EQ(world.dispatches.size(), 1u);
 }
 
-TEST_F(Routed, WhoWaitsLongerElsewhereGoesFirst) {
+TEST_F(RouterTest, RequestThatWaitsLongerAtAPeerGoesFirst) {
   mp_LoadDigest waiting = {};
   guint64 first = world.request("/stream/x", 10000, 9000);
   world.request("/stream/x", 10000, 9000);
@@ -748,17 +759,17 @@
   waiting.oldest_ms = 300;
   router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), 1, &waiting,
                    world.now);
-  world.hangup(first); /* room for one */
+  world.hangup(first); /* frees capacity for one request */
   EXPECT_EQ(world.dispatches.size(), before);
-  world.advance(10 * ms); /* nobody took it: our turn */
+  world.advance(10 * ms); /* no peer took the capacity */
   EXPECT_EQ(world.dispatches.size(), before + 1);
 }
 
-TEST_F(Routed, ASilentEngineIsDoubtedHereAndByTheOthers) {
+TEST_F(RouterTest, SilentEngineIsAvoidedHereAndByPeers) {
   mp_LoadDigest digest;
   World other;
   other.populate();
-  running("/stream/x");
+  start_prefilled_stream("/stream/x");
   std::string silent = world.last().endpoint;
   world.advance(600 * ms);
   router_load_digest(world.router, &digest, world.now);
@@ -774,7 +785,7 @@
   }
 }
 
-TEST_F(Routed, AnEndpointOutOfReachIsToldToTheOthers) {
+TEST_F(RouterTest, UnreachableEndpointIsAvoidedByPeers) {
   mp_LoadDigest digest;
   World other;
   other.populate();
@@ -790,8 +801,8 @@
   }
 }
 
-/* a digest that says: so many tokens at this decode engine */
-mp_LoadDigest load_at(const char *engine, guint32 tokens) {
+/* Returns a digest in which this decode engine has so many tokens in use. */
+mp_LoadDigest digest_with_load_at(const char *engine, guint32 tokens) {
   World other;
   mp_LoadDigest digest;
   other.configure();
@@ -803,24 +814,24 @@
   return digest;
 }
 
-TEST_F(Routed, ARoomThatOthersReservedTooIsLeftForAnotherEngine) {
-  std::set<std::string> met;
+TEST_F(RouterTest, ReservationThatPeersOverbookedMovesToAnotherEngine) {
+  std::set<std::string> endpoints_used;
   for (const char *full : {"dec-1", "dec-2"}) {
     World one;
     one.populate();
     one.request("/stream/x", 10000, 4000);
-    mp_LoadDigest digest = load_at(full, 9000);
+    mp_LoadDigest digest = digest_with_load_at(full, 9000);
     router_peer_load(one.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
                      one.now);
     one.prefilled(one.last().number);
     EXPECT_EQ(one.last().kind, DISPATCH_RUN);
     EXPECT_NE(one.last().endpoint, full);
-    met.insert(one.last().endpoint);
+    endpoints_used.insert(one.last().endpoint);
   }
-  EXPECT_EQ(met.size(), 2u);
+  EXPECT_EQ(endpoints_used.size(), 2u);
 }
 
-TEST_F(Routed, RoomThatIsReservedIsToldAtOnceUntilTheNextDigest) {
+TEST_F(RouterTest, ReservationNoteCountsUntilTheNextDigest) {
   const mp_Addr peer = mp_addr_parse("10.0.0.9:1");
   mp_LoadDigest digest;
   World other;
@@ -835,18 +846,19 @@
     router_peer_reservation(world.router, peer, &note);
   }
   guint64 first = world.request("/stream/x", 10000, 9000);
-  EXPECT_TRUE(world.dispatches.empty()); /* there is no room */
+  EXPECT_TRUE(world.dispatches.empty()); /* there is no capacity */
   world.hangup(first);
-  router_peer_load(world.router, peer, 8, &digest, world.now); /* all ended */
+  /* the next digest says that all requests have ended */
+  router_peer_load(world.router, peer, 8, &digest, world.now);
   for (mp_LoadNote note : other.notes) {
-    note.after = 7; /* overtaken by the digest */
+    note.after = 7; /* older than the digest */
     router_peer_reservation(world.router, peer, &note);
   }
   world.request("/stream/x", 10000, 9000);
   EXPECT_EQ(world.dispatches.size(), 1u);
 }
 
-TEST_F(Routed, AnOvertakenDigestChangesNothing) {
+TEST_F(RouterTest, OutOfOrderDigestIsIgnored) {
   mp_LoadDigest full;
   mp_LoadDigest empty = {};
   World other;
@@ -862,7 +874,7 @@
   EXPECT_EQ(world.dispatches.size(), 1u);
 }
 
-TEST_F(Routed, ASilentPeerHasNothingOpen) {
+TEST_F(RouterTest, LoadOfASilentPeerExpires) {
   mp_LoadDigest full;
   World other;
   other.populate();
@@ -877,7 +889,7 @@
   EXPECT_EQ(world.last().request, request);
 }
 
-TEST_F(Routed, APlannedStopRefusesWhoWaitsAndWhoComes) {
+TEST_F(RouterTest, DrainRefusesWaitingAndNewRequests) {
   world.request("/stream/x", 10000, 9000);
   guint64 running_one = world.request("/stream/x", 10000, 9000);
   guint64 waiting = world.request("/stream/x", 10000, 9000);
@@ -892,7 +904,7 @@
 ** The retry budget
 */
 
-TEST(Budget, AYoungInstanceHasNoShareOfTheSlack) {
+TEST(RetryBudget, NewInstanceHasNoShareOfTheSlack) {
   World world(100, 0.0);
   world.populate();
   guint64 request = world.request("/unsafe/x");
@@ -901,7 +913,7 @@
   EXPECT_EQ(world.end(request).refusal, REFUSAL_BUSY);
 }
 
-TEST(Budget, TheSlackIsSharedByTheInstances) {
+TEST(RetryBudget, SlackIsDividedAmongInstances) {
   World world(100, 0.0);
   world.populate();
   router_set_instances(world.router, 10, 10);
@@ -916,7 +928,7 @@
   EXPECT_LE(again, 10u);
 }
 
-/* 'count' worlds that hear each other every 100 ms */
+/* 'count' routers that exchange load digests every 100 ms */
 struct Instances {
   std::vector<std::unique_ptr<World>> all;
   guint32 sequence = 0;
@@ -942,8 +954,9 @@
     for (auto &world : all)
       world->advance(100 * ms);
   }
-  /* a request whose dispatches are all turned away: its extra arrivals */
-  unsigned rejected(size_t at) {
+  /* Sends a request whose dispatches are all rejected as not run; returns the
+  ** number of its retries. */
+  unsigned extra_arrivals_of_rejected(size_t at) {
     World &world = *all[at];
     guint64 request = world.request("/unsafe/x");
     while (world.end(request).ends() == 0)
@@ -952,21 +965,21 @@
   }
 };
 
-TEST(Budget, WhatOthersDoNotSpendServesTheOneInNeed) {
+TEST(RetryBudget, UnspentBudgetOfPeersIsAvailable) {
   Instances ten(10, 100, 0.2);
   unsigned extras = 0;
-  for (int i = 0; i < 200; i++) { /* 20 s: nobody is young any more */
+  for (int i = 0; i < 200; i++) { /* 20 s: all have their share of slack */
     for (size_t at = 1; at < 10; at++)
       ten.all[at]->request("/unsafe/x");
     if (i >= 150)
-      extras += ten.rejected(0);
+      extras += ten.extra_arrivals_of_rejected(0);
     ten.exchange();
   }
-  /* its own part would be 100 / 10 * 0.6 and 0.15 of its own requests */
+  /* Its own share alone is 100 / 10 * 0.6 and 0.15 of its own requests. */
   EXPECT_GT(extras, 25u);
 }
 
-TEST(Budget, HoldsOverAllInstancesThatMeetTheSameFailureAtOnce) {
+TEST(RetryBudget, HoldsWhenAllInstancesSeeTheSameFailure) {
   Instances ten(10, 50, 0.2);
   std::vector<unsigned> extras;
   std::vector<unsigned> requests;
@@ -975,7 +988,7 @@
     unsigned asked = 0;
     for (size_t at = 0; at < 10; at++, asked++) {
       if (i > 150)
-        now += ten.rejected(at);
+        now += ten.extra_arrivals_of_rejected(at);
       else
         ten.all[at]->request("/unsafe/x");
     }
@@ -986,7 +999,7 @@
   for (size_t end = 100; end <= extras.size(); end++) {
     unsigned sum = 0;
     unsigned of = 0;
-    for (size_t i = end - 100; i < end; i++) { /* 10 s */
+    for (size_t i = end - 100; i < end; i++) { /* a window of 10 s */
       sum += extras[i];
       of += requests[i];
     }
@@ -994,58 +1007,58 @@
   }
 }
 
-TEST(Budget, HoldsWhenAllInstancesFailBetweenTwoDigests) {
+TEST(RetryBudget, HoldsWhenAllInstancesRetryBetweenTwoDigests) {
   Instances ten(10, 50, 0.2);
   unsigned requests = 0;
   unsigned extras = 0;
   for (int i = 0; i < 150; i++) {
     for (auto &world : ten.all) {
       world->request("/unsafe/x");
-      requests += i >= 50; /* the last 10 s */
+      requests += i >= 50; /* those of the last 10 s count */
     }
     ten.exchange();
   }
-  for (size_t at = 0; at < 10; at++) { /* nobody hears of anybody */
+  for (size_t at = 0; at < 10; at++) { /* no digest is exchanged */
     for (int i = 0; i < 100; i++, requests++)
-      extras += ten.rejected(at);
+      extras += ten.extra_arrivals_of_rejected(at);
   }
   EXPECT_GT(extras, 0u);
   EXPECT_LE(extras, 0.2 * requests + 50);
 }
 
-TEST(Budget, OfSilentInstancesNothingIsSpent) {
+TEST(RetryBudget, BudgetOfSilentInstancesIsNotSpent) {
   Instances ten(10, 100, 0.0);
   unsigned extras = 0;
   for (int i = 0; i < 120; i++)
     ten.exchange();
   for (auto &world : ten.all)
-    world->advance(3 * second); /* cut off from each other */
+    world->advance(3 * second); /* no digest arrives */
   for (int i = 0; i < 50; i++)
-    extras += ten.rejected(0);
+    extras += ten.extra_arrivals_of_rejected(0);
   EXPECT_LE(extras, 10u);
 }
 
-TEST(Budget, ANewLifeOfAPeerIsCountedFromItsStart) {
+TEST(RetryBudget, RestartedPeerIsCountedFromZero) {
   World world(100, 0.0);
   mp_LoadDigest digest = {};
   world.populate();
   router_set_instances(world.router, 2, 2);
-  world.request("/unsafe/x"); /* the service is known */
+  world.request("/unsafe/x"); /* makes the service known to the router */
   world.now += 20 * second;
   router_load_digest(world.router, &digest, world.now);
   ASSERT_EQ(digest.retry_count, 1u);
-  for (guint32 extras : {40u, 45u, 30u}) { /* then it starts anew */
+  for (guint32 extras : {40u, 45u, 30u}) { /* 30: the peer has restarted */
     digest.retry[0].extras = extras;
     router_peer_load(world.router, 0x0a00000000010001,
                      extras == 30 ? 900 : extras, &digest, world.now);
   }
-  /* 75 of 60 are spent */
+  /* 75 are spent of a budget of 60. */
   guint64 request = world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
   EXPECT_EQ(world.runs(request), 1u);
 }
 
-TEST(Budget, HoldsInEverySlidingWindow) {
+TEST(RetryBudget, HoldsInEverySlidingWindow) {
   World world(0, 0.2);
   world.populate();
   std::vector<gint64> requests;
@@ -1072,8 +1085,9 @@
   }
 }
 
-/* objectives of 120 ms: what is in doubt is known before a time-out is over */
-struct QuickPlain : ::testing::Test {
+/* Objectives of 120 ms: a failing endpoint is detected before the route's
+** timeout of 800 ms expires. */
+struct ShortObjectiveTest : ::testing::Test {
   World world;
   static constexpr gint64 objective = 120 * ms;
 
@@ -1081,8 +1095,8 @@
     world.populate();
     world.configure(2, 800 * ms, objective);
   }
-  /* in percent, as the others hear it */
-  unsigned failing() {
+  /* Returns the highest failure rate, in percent, in the digest to peers. */
+  unsigned failing_percent() {
     mp_LoadDigest digest = {};
     unsigned most = 0;
     router_load_digest(world.router, &digest, world.now);
@@ -1092,7 +1106,7 @@
   }
 };
 
-TEST_F(QuickPlain, AConnectionIsWaitedForOneObjectiveWithinBounds) {
+TEST_F(ShortObjectiveTest, ConnectTimeoutIsTheObjectiveWithinBounds) {
   world.request("/unsafe/x");
   EXPECT_EQ(world.last().connect_timeout, objective);
   world.configure(3, 800 * ms, 20 * ms);
@@ -1103,13 +1117,13 @@
   EXPECT_EQ(world.last().connect_timeout, 400 * ms);
 }
 
-TEST_F(QuickPlain, AnEndpointThatHangsIsInDoubtBeforeTheTimeOut) {
+TEST_F(ShortObjectiveTest, HangingEndpointIsAvoidedBeforeTheRouteTimeout) {
   world.request("/unsafe/x");
   std::string first = world.last().endpoint;
   world.advance(2 * objective - 10 * ms);
-  EXPECT_EQ(failing(), 0u);
+  EXPECT_EQ(failing_percent(), 0u);
   world.advance(20 * ms);
-  EXPECT_GT(failing(), 0u);
+  EXPECT_GT(failing_percent(), 0u);
   size_t at_first = 0;
   for (int i = 0; i < 20; i++) {
     world.request("/unsafe/x");
@@ -1119,7 +1133,7 @@
   EXPECT_LT(at_first, 5u);
 }
 
-TEST_F(QuickPlain, ASilentRepeatableRequestGoesElsewhere) {
+TEST_F(ShortObjectiveTest, SilentSafeRequestIsRetriedElsewhere) {
   guint64 request = world.request("/safe/x");
   world.advance(2 * objective);
   EXPECT_EQ(world.runs(request), 1u);
