--- a/test/test_account_limits.cc
+++ b/test/test_account_limits.cc
@@ -1,7 +1,7 @@
 /*
 ** test_account_limits.cc
-** Limits of client accounts over many instances, in virtual time: what passes
-** in any window, and what is refused below the limit
+** Tests of the limits of client accounts over many instances, in virtual time:
+** how much is admitted in any window, and how much is refused below the limit
 */
 
 #include <gtest/gtest.h>
@@ -20,36 +20,37 @@
 
 constexpr gint64 ms = 1000;
 constexpr gint64 second = 1000 * ms;
-constexpr gint64 step = 5 * ms;
-constexpr double cost_of_one = 5300;
-constexpr double cost = cost_of_one;
-/* figures of a deployment with 88 instances: the least limit, and a large one
- */
-constexpr double small_rate = 36000;
+constexpr gint64 time_step = 5 * ms;
+constexpr double request_tokens = 5300;
+/* Tokens a second: the smallest limit and a large one of a deployment with 88
+** instances. */
+constexpr double least_rate = 36000;
 constexpr double large_rate = 185000;
-/* of that deployment, in tokens */
+/* The slack of that deployment, in tokens. */
 constexpr double slack = 140000;
-/* no sheet has accounts at 300 instances; there the slack of retries is 2.9
-** times as large as at 88, and so is this one taken to be */
-constexpr double slack_of_many = 400000;
+/* The slack with 300 instances. No deployment of that size has accounts; its
+** slack of retries is 2.9 times that of 88 instances, so this one is scaled
+** alike. */
+constexpr double slack_300_instances = 400000;
 constexpr gint64 window = 8 * second;
 
-struct One {
+struct Instance {
   AccountLimits *limits = nullptr;
   unsigned zone = 0;
-  unsigned side = 0; /* hears those of its own side alone */
-  bool frozen = false;
-  bool listed = true;
-  bool changed = false; /* something was spent since the last digest */
+  unsigned partition = 0; /* receives messages from its own partition alone */
+  bool is_frozen = false;
+  bool is_listed = true;
+  bool has_unreported = false; /* admitted something since its last digest */
   gint64 digest_at = 0;
   gint64 summary_at = 0;
-  std::vector<gint64> heard;      /* by instance of its zone */
-  std::vector<gint64> zone_heard; /* by zone */
+  std::vector<gint64> heard_at;      /* by instance of its zone */
+  std::vector<gint64> zone_heard_at; /* by zone */
 };
 
-/* what travels, as io/load_exchange.c and io/relays.c send it */
-struct World {
-  World(unsigned zones, unsigned instances, double rate, double slack_)
+/* Carries digests and summaries between instances as io/load_exchange.c and
+** io/relays.c do. */
+struct LimitCluster {
+  LimitCluster(unsigned zones, unsigned instances, double rate, double slack_)
       : tolerance{0.1, slack_, window}, zone_count(zones), all(instances),
         random(instances) {
     table = route_table_new();
@@ -58,12 +59,12 @@
       all[i].zone = i % zones;
       start(all[i]);
     }
-    run(10 * second, 0); /* old instances: buckets are full */
-    spent.clear();
+    run(10 * second, 0); /* all buckets are full */
+    admitted_at.clear();
   }
-  World(const World &) = delete;
-  World &operator=(const World &) = delete;
-  ~World() {
+  LimitCluster(const LimitCluster &) = delete;
+  LimitCluster &operator=(const LimitCluster &) = delete;
+  ~LimitCluster() {
     for (auto &one : all)
       account_limits_free(one.limits);
     route_table_unref(table);
@@ -82,325 +83,332 @@
         account_limits_configure(one.limits, table, now);
     }
   }
-  void start(One &one) {
+  void start(Instance &one) {
     if (one.limits != nullptr)
       account_limits_free(one.limits);
     one.limits = account_limits_new(&tolerance, now);
     account_limits_configure(one.limits, table, now);
-    one.heard.assign(all.size(), 0);
-    one.zone_heard.assign(zone_count, 0);
+    one.heard_at.assign(all.size(), 0);
+    one.zone_heard_at.assign(zone_count, 0);
   }
 
-  LimitSharers sharers(const One &one) const {
+  LimitSharers sharers(const Instance &one) const {
     LimitSharers out = {0, 1};
-    if (!one.listed)
+    if (!one.is_listed)
       return out;
     out.instances = static_cast<unsigned>(all.size());
     for (size_t i = 0; i < all.size(); i++) {
-      const One &other = all[i];
-      gint64 at =
-          other.zone == one.zone ? one.heard[i] : one.zone_heard[other.zone];
+      const Instance &other = all[i];
+      gint64 at = other.zone == one.zone ? one.heard_at[i]
+                                         : one.zone_heard_at[other.zone];
       out.heard += &other != &one && now - at < ACCOUNT_PEER_TIMEOUT;
     }
     return out;
   }
-  bool reaches(const One &from, const One &to) const {
-    return from.side == to.side && !from.frozen && !to.frozen;
+  bool can_reach(const Instance &from, const Instance &to) const {
+    return from.partition == to.partition && !from.is_frozen && !to.is_frozen;
   }
 
-  void tell_near(size_t from) {
+  void send_digest(size_t from) {
     mp_LoadDigest digest = {};
     all[from].digest_at = now;
-    all[from].changed = false;
+    all[from].has_unreported = false;
     account_limits_write(all[from].limits, &digest);
     for (auto &to : all) {
       if (&to == &all[from] || to.zone != all[from].zone ||
-          !reaches(all[from], to))
+          !can_reach(all[from], to))
         continue;
-      to.heard[from] = now;
+      to.heard_at[from] = now;
       LimitSharers who = sharers(to);
       account_limits_receive(to.limits, from + 1, &digest, &who, now);
     }
   }
-  void tell_far(size_t from) {
+  void send_summary(size_t from) {
     mp_LoadDigest digest = {};
     all[from].summary_at = now;
     account_limits_write_summary(all[from].limits, &digest);
     for (auto &to : all) {
-      if (to.zone == all[from].zone || !reaches(all[from], to))
+      if (to.zone == all[from].zone || !can_reach(all[from], to))
         continue;
-      to.zone_heard[all[from].zone] = now;
+      to.zone_heard_at[all[from].zone] = now;
       LimitSharers who = sharers(to);
       account_limits_receive_summary(to.limits, from + 1, &digest, &who, now);
     }
   }
-  /* the first instance of each zone on each side is the relay */
+  /* The first instance of each zone in each partition is the relay. */
   bool is_relay(size_t i) const {
     for (size_t k = 0; k < i; k++) {
-      if (all[k].zone == all[i].zone && all[k].side == all[i].side &&
-          !all[k].frozen)
+      if (all[k].zone == all[i].zone && all[k].partition == all[i].partition &&
+          !all[k].is_frozen)
         return false;
     }
-    return !all[i].frozen;
+    return !all[i].is_frozen;
   }
   void exchange() {
     for (size_t i = 0; i < all.size(); i++) {
-      gint64 least = static_cast<gint64>(700 * all.size() / zone_count);
-      bool due = now - all[i].digest_at >= (all[i].changed ? least : 500 * ms);
-      if (due && !all[i].frozen)
-        tell_near(i);
+      gint64 min_interval = static_cast<gint64>(700 * all.size() / zone_count);
+      bool is_due = now - all[i].digest_at >=
+                    (all[i].has_unreported ? min_interval : 500 * ms);
+      if (is_due && !all[i].is_frozen)
+        send_digest(i);
       if (!is_relay(i))
         continue;
       gint64 since = now - all[i].summary_at;
       if (since >= 200 * ms ||
           (since >= 30 * ms &&
            account_limits_unreported_share(all[i].limits) > 0.1))
-        tell_far(i);
+        send_summary(i);
     }
   }
-  bool request(One &one, double cost = cost_of_one) {
+  bool request(Instance &one, double tokens = request_tokens) {
     LimitSharers who = sharers(one);
     gint64 come_back = 0;
     std::uniform_real_distribution<double> draw(0, 1);
-    asked++;
-    if (!account_limits_admit(one.limits, account, cost, &who, draw(random),
+    requested++;
+    if (!account_limits_admit(one.limits, account, tokens, &who, draw(random),
                               now, &come_back)) {
       EXPECT_GE(come_back, 100 * ms);
       EXPECT_LE(come_back, 3 * second);
       return false;
     }
-    spent.push_back(now);
-    passed++;
-    one.changed = true;
+    admitted_at.push_back(now);
+    admitted++;
+    one.has_unreported = true;
     return true;
   }
-  /* 'demand': tokens a second that callers ask for, over all instances */
+  /* 'demand': tokens a second that callers request from all instances */
   void run(gint64 span, double demand) {
     std::poisson_distribution<int> arrivals(
-        std::max(demand / cost * step / second, 1e-12));
-    for (gint64 until = now + span; now < until; now += step) {
+        std::max(demand / request_tokens * time_step / second, 1e-12));
+    for (gint64 until = now + span; now < until; now += time_step) {
       for (int n = demand > 0 ? arrivals(random) : 0; n > 0; n--) {
-        One &one = all[random() % all.size()];
-        if (!one.frozen)
+        Instance &one = all[random() % all.size()];
+        if (!one.is_frozen)
           request(one);
       }
       exchange();
     }
   }
-  /* the most tokens that passed in a window */
-  double most() const {
+  /* Returns the most tokens that were admitted in any window. */
+  double most_admitted_in_a_window() const {
     double worst = 0;
     size_t first = 0;
-    for (size_t last = 0; last < spent.size(); last++) {
-      while (spent[first] <= spent[last] - tolerance.window)
+    for (size_t last = 0; last < admitted_at.size(); last++) {
+      while (admitted_at[first] <= admitted_at[last] - tolerance.window)
         first++;
-      worst = std::max(worst, cost * static_cast<double>(last - first + 1));
+      worst = std::max(worst,
+                       request_tokens * static_cast<double>(last - first + 1));
     }
     return worst;
   }
-  double bound(double rate) const {
+  double admission_bound(double rate) const {
     return (rate * 8 + rate) * (1 + tolerance.share) + tolerance.slack;
   }
 
   LimitTolerance tolerance;
   unsigned zone_count;
-  std::vector<One> all;
+  std::vector<Instance> all;
   std::mt19937 random;
   RouteTable *table = nullptr;
   Account *account = nullptr;
   gint64 now = 100 * second;
-  std::vector<gint64> spent;
-  unsigned asked = 0, passed = 0;
+  std::vector<gint64> admitted_at;
+  unsigned requested = 0, admitted = 0;
 };
 
-struct Case {
+struct LimitCase {
   unsigned zones, instances;
   double rate;
   double slack;
 };
 
-struct Limits : ::testing::TestWithParam<Case> {
-  std::unique_ptr<World> world =
-      std::make_unique<World>(GetParam().zones, GetParam().instances,
-                              GetParam().rate, GetParam().slack);
+struct AccountLimitClusterTest : ::testing::TestWithParam<LimitCase> {
+  std::unique_ptr<LimitCluster> cluster =
+      std::make_unique<LimitCluster>(GetParam().zones, GetParam().instances,
+                                     GetParam().rate, GetParam().slack);
   double rate = GetParam().rate;
 
-  void expect_within() {
-    EXPECT_LE(world->most(), world->bound(rate));
+  void expect_within_bound() {
+    EXPECT_LE(cluster->most_admitted_in_a_window(),
+              cluster->admission_bound(rate));
   }
 };
 
-TEST_P(Limits, BelowTheLimitNearlyAllPasses) {
-  world->run(12 * second, 0.56 * rate);
-  EXPECT_GE(world->passed, world->asked * 0.99);
+TEST_P(AccountLimitClusterTest, NearlyAllRequestsPassBelowTheLimit) {
+  cluster->run(12 * second, 0.56 * rate);
+  EXPECT_GE(cluster->admitted, cluster->requested * 0.99);
 }
 
-TEST_P(Limits, AFloodIsHeldToTheLimitAndGetsAllOfIt) {
-  world->run(12 * second, 6 * rate);
-  expect_within();
-  EXPECT_GE(world->passed * cost, 12 * rate * 0.9);
+TEST_P(AccountLimitClusterTest, OverloadIsHeldToTheLimitAndUsesAllOfIt) {
+  cluster->run(12 * second, 6 * rate);
+  expect_within_bound();
+  EXPECT_GE(cluster->admitted * request_tokens, 12 * rate * 0.9);
 }
 
-/* a bucket that large requests keep empty has room for small ones */
-TEST_P(Limits, SmallRequestsPassInAFloodOfLargeOnes) {
+/* A bucket that large requests keep empty still admits small ones. */
+TEST_P(AccountLimitClusterTest, SmallRequestsPassDuringAnOverloadOfLargeOnes) {
   constexpr double small = 200;
-  double owed = 0; /* tokens of small requests that are due */
-  unsigned asked = 0;
-  unsigned passed = 0;
-  world->run(4 * second, 6 * rate);
+  double owed = 0; /* tokens of small requests that are still to be sent */
+  unsigned requested = 0;
+  unsigned admitted = 0;
+  cluster->run(4 * second, 6 * rate);
   for (int i = 0; i < 2000; i++) {
-    world->run(step, 6 * rate);
-    for (owed += 0.3 * rate * step / second; owed >= small; owed -= small) {
-      One &one = world->all[world->random() % world->all.size()];
-      asked++;
-      passed += world->request(one, small);
+    cluster->run(time_step, 6 * rate);
+    for (owed += 0.3 * rate * time_step / second; owed >= small;
+         owed -= small) {
+      Instance &one = cluster->all[cluster->random() % cluster->all.size()];
+      requested++;
+      admitted += cluster->request(one, small);
     }
   }
-  EXPECT_GT(asked, 500u);
-  EXPECT_GE(passed, asked * 0.97);
+  EXPECT_GT(requested, 500u);
+  EXPECT_GE(admitted, requested * 0.97);
 }
 
-TEST_P(Limits, AFloodInABurstOfAllIsHeld) {
-  world->run(3 * second, 0.56 * rate);
-  world->run(6 * second, 10 * rate);
-  expect_within();
+TEST_P(AccountLimitClusterTest, OverloadAfterNormalTrafficIsHeldToTheLimit) {
+  cluster->run(3 * second, 0.56 * rate);
+  cluster->run(6 * second, 10 * rate);
+  expect_within_bound();
 }
 
-TEST_P(Limits, CutInTwoTheSidesShareIt) {
-  world->run(4 * second, 4 * rate);
-  for (auto &one : world->all)
-    one.side = one.zone == 0;
-  world->run(8 * second, 6 * rate);
-  expect_within();
-  for (auto &one : world->all)
-    one.side = 0;
-  world->run(1 * second, 6 * rate);
-  unsigned before = world->passed;
-  world->run(4 * second, 2 * rate);
-  expect_within();
-  /* what the others spent meanwhile is not paid back */
-  EXPECT_GE((world->passed - before) * cost, 4 * rate * 0.75);
+TEST_P(AccountLimitClusterTest, PartitionedHalvesTogetherAdmitOneLimit) {
+  cluster->run(4 * second, 4 * rate);
+  for (auto &one : cluster->all)
+    one.partition = one.zone == 0;
+  cluster->run(8 * second, 6 * rate);
+  expect_within_bound();
+  for (auto &one : cluster->all)
+    one.partition = 0;
+  cluster->run(1 * second, 6 * rate);
+  unsigned before = cluster->admitted;
+  cluster->run(4 * second, 2 * rate);
+  expect_within_bound();
+  /* what the other half admitted meanwhile is not charged afterwards */
+  EXPECT_GE((cluster->admitted - before) * request_tokens, 4 * rate * 0.75);
 }
 
-TEST_P(Limits, AThirdCutOffOneByOneSpendsItsShare) {
-  world->run(4 * second, 0.9 * rate);
-  for (size_t i = 0; i < world->all.size(); i += 3)
-    world->all[i].side = static_cast<unsigned>(i + 1);
-  world->run(10 * second, 6 * rate);
-  expect_within();
+TEST_P(AccountLimitClusterTest, IsolatedInstancesStayWithinTheLimit) {
+  cluster->run(4 * second, 0.9 * rate);
+  for (size_t i = 0; i < cluster->all.size(); i += 3)
+    cluster->all[i].partition = static_cast<unsigned>(i + 1);
+  cluster->run(10 * second, 6 * rate);
+  expect_within_bound();
 }
 
-TEST_P(Limits, AllKilledAtOnceInAFloodKeepIt) {
-  world->run(6 * second, 6 * rate);
-  world->now += 1 * second;
-  for (auto &one : world->all) {
-    world->start(one);
-    one.listed = false;
+TEST_P(AccountLimitClusterTest, SimultaneousRestartStaysWithinTheLimit) {
+  cluster->run(6 * second, 6 * rate);
+  cluster->now += 1 * second;
+  for (auto &one : cluster->all) {
+    cluster->start(one);
+    one.is_listed = false;
   }
-  world->run(600 * ms, 6 * rate);
-  for (auto &one : world->all)
-    one.listed = true;
-  world->run(8 * second, 6 * rate);
-  expect_within();
-  /* and serve again within two seconds */
-  unsigned before = world->passed;
-  world->run(4 * second, 2 * rate);
-  EXPECT_GE((world->passed - before) * cost, 4 * rate * 0.75);
+  cluster->run(600 * ms, 6 * rate);
+  for (auto &one : cluster->all)
+    one.is_listed = true;
+  cluster->run(8 * second, 6 * rate);
+  expect_within_bound();
+  /* They serve again within two seconds. */
+  unsigned before = cluster->admitted;
+  cluster->run(4 * second, 2 * rate);
+  EXPECT_GE((cluster->admitted - before) * request_tokens, 4 * rate * 0.75);
 }
 
-TEST_P(Limits, SomeFrozenAndThawedKeepIt) {
-  world->run(4 * second, 6 * rate);
-  for (size_t i = 0; i < world->all.size(); i += 4)
-    world->all[i].frozen = true;
-  world->run(4 * second, 6 * rate);
-  for (auto &one : world->all)
-    one.frozen = false;
-  world->run(8 * second, 6 * rate);
-  expect_within();
+TEST_P(AccountLimitClusterTest, FrozenInstancesThatResumeStayWithinTheLimit) {
+  cluster->run(4 * second, 6 * rate);
+  for (size_t i = 0; i < cluster->all.size(); i += 4)
+    cluster->all[i].is_frozen = true;
+  cluster->run(4 * second, 6 * rate);
+  for (auto &one : cluster->all)
+    one.is_frozen = false;
+  cluster->run(8 * second, 6 * rate);
+  expect_within_bound();
 }
 
-TEST_P(Limits, ALowerLimitBindsAfterOneWindow) {
-  world->run(4 * second, 0.56 * rate);
-  world->set_limit(rate / 5, rate / 5);
-  world->run(8 * second, 0.56 * rate);
-  world->spent.clear();
-  world->run(16 * second, 0.56 * rate);
-  EXPECT_LE(world->most(), world->bound(rate / 5));
-  world->set_limit(rate, rate); /* and a larger one is there at once */
-  world->run(2 * second, 0.3 * rate);
-  unsigned asked = world->asked;
-  unsigned passed = world->passed;
-  world->run(6 * second, 0.56 * rate);
-  EXPECT_GE(world->passed - passed, (world->asked - asked) * 0.95);
+TEST_P(AccountLimitClusterTest, LoweredLimitHoldsAfterOneWindow) {
+  cluster->run(4 * second, 0.56 * rate);
+  cluster->set_limit(rate / 5, rate / 5);
+  cluster->run(8 * second, 0.56 * rate);
+  cluster->admitted_at.clear();
+  cluster->run(16 * second, 0.56 * rate);
+  EXPECT_LE(cluster->most_admitted_in_a_window(),
+            cluster->admission_bound(rate / 5));
+  cluster->set_limit(rate, rate); /* a raised limit takes effect at once */
+  cluster->run(2 * second, 0.3 * rate);
+  unsigned requested = cluster->requested;
+  unsigned admitted = cluster->admitted;
+  cluster->run(6 * second, 0.56 * rate);
+  EXPECT_GE(cluster->admitted - admitted,
+            (cluster->requested - requested) * 0.95);
 }
 
-TEST_P(Limits, InstancesStartedOneByOneKeepIt) {
-  for (size_t i = 0; i < world->all.size(); i++) {
-    world->start(world->all[i]);
-    world->run(100 * ms, 6 * rate);
+TEST_P(AccountLimitClusterTest, RollingRestartStaysWithinTheLimit) {
+  for (size_t i = 0; i < cluster->all.size(); i++) {
+    cluster->start(cluster->all[i]);
+    cluster->run(100 * ms, 6 * rate);
   }
-  world->run(8 * second, 6 * rate);
-  expect_within();
+  cluster->run(8 * second, 6 * rate);
+  expect_within_bound();
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, Limits,
-                         ::testing::Values(Case{3, 9, small_rate, slack},
-                                           Case{3, 20, small_rate, slack},
-                                           Case{3, 88, small_rate, slack},
-                                           Case{3, 88, large_rate, slack},
-                                           Case{5, 300, large_rate,
-                                                slack_of_many}));
-
-/* one instance, old or young, and what it hears */
-struct Alone : ::testing::Test {
-  World world{1, 2, large_rate, slack};
-  AccountLimits *limits = world.all[0].limits;
+INSTANTIATE_TEST_SUITE_P(ClusterSizes, AccountLimitClusterTest,
+                         ::testing::Values(LimitCase{3, 9, least_rate, slack},
+                                           LimitCase{3, 20, least_rate, slack},
+                                           LimitCase{3, 88, least_rate, slack},
+                                           LimitCase{3, 88, large_rate, slack},
+                                           LimitCase{5, 300, large_rate,
+                                                     slack_300_instances}));
+
+/* One instance with a reachable peer, whose digests the test makes up. */
+struct AccountLimitInstanceTest : ::testing::Test {
+  LimitCluster cluster{1, 2, large_rate, slack};
+  AccountLimits *limits = cluster.all[0].limits;
   LimitSharers both = {2, 2};
 
-  void hear(guint32 steps) {
+  void receive_digest(guint32 steps) {
     mp_LoadDigest digest = {};
     digest.account_count = 1;
     digest.account[0] = {g_str_hash("first"), steps, MP_LEVEL_UNKNOWN};
-    account_limits_receive(limits, 99, &digest, &both, world.now);
+    account_limits_receive(limits, 99, &digest, &both, cluster.now);
   }
   double level() const {
     return account_limits_level(limits, "first");
   }
-  bool take(double draw, const LimitSharers &who) {
+  bool admit(double draw, const LimitSharers &who) {
     gint64 come_back = 0;
-    return account_limits_admit(limits, world.account, cost, &who, draw,
-                                world.now, &come_back);
+    return account_limits_admit(limits, cluster.account, request_tokens, &who,
+                                draw, cluster.now, &come_back);
   }
 };
 
-TEST_F(Alone, WhatAPeerSpendsIsTakenOff) {
-  hear(10);
-  world.now += 100 * ms;
-  hear(10 + 1000);
+TEST_F(AccountLimitInstanceTest, AdmissionsOfAPeerAreCharged) {
+  receive_digest(10);
+  cluster.now += 100 * ms;
+  receive_digest(10 + 1000);
   EXPECT_NEAR(level(), large_rate - 64000, 1);
 }
 
-TEST_F(Alone, WhatWasSpentOutOfReachIsNotCharged) {
-  hear(10);
-  world.now += ACCOUNT_PEER_TIMEOUT + 100 * ms;
-  hear(10 + 1000);
+TEST_F(AccountLimitInstanceTest, AdmissionsOfAnUnreachablePeerAreNotCharged) {
+  receive_digest(10);
+  cluster.now += ACCOUNT_PEER_TIMEOUT + 100 * ms;
+  receive_digest(10 + 1000);
   EXPECT_NEAR(level(), large_rate, 1);
 }
 
-TEST_F(Alone, APeersNewLifeCountsFromNothing) {
-  hear(5000);
-  world.now += 100 * ms;
-  hear(100);
+TEST_F(AccountLimitInstanceTest, RestartedPeerIsCountedFromZero) {
+  receive_digest(5000);
+  cluster.now += 100 * ms;
+  receive_digest(100);
   EXPECT_NEAR(level(), large_rate - 6400, 1);
 }
 
-TEST_F(Alone, AYoungInstanceLetsOnePassByAnEvenChance) {
-  world.start(world.all[0]);
-  limits = world.all[0].limits;
+TEST_F(AccountLimitInstanceTest,
+       NewInstanceAdmitsOneRequestWithEvenProbability) {
+  cluster.start(cluster.all[0]);
+  limits = cluster.all[0].limits;
   LimitSharers unknown = {0, 1};
-  EXPECT_FALSE(take(0.6, unknown));
-  EXPECT_TRUE(take(0.4, unknown));
-  EXPECT_FALSE(take(0.0, unknown));
+  EXPECT_FALSE(admit(0.6, unknown));
+  EXPECT_TRUE(admit(0.4, unknown));
+  EXPECT_FALSE(admit(0.0, unknown));
 }
 
 } // namespace
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -1,11 +1,12 @@
 /*
 ** test_endpoint_rest.cc
-** Endpoints that turn requests away and ask for rest
+** Tests of endpoints that reject requests and ask for rest, a time without
+** requests
 **
-** What was seen: one of three plain endpoints turned all requests away at once
-** and asked each instance for 3 s of rest. One instance sent it three more in
-** that time, another time six, where two are the most: 1.4, 1.8 and 2.2 s
-*after
+** Guards against requests that are sent to an endpoint after it has asked for
+** rest. With three plain endpoints, one of which rejects all requests and asks
+** each instance for 3 s of rest, an instance may send it two more requests in
+** that time at the most, but sent three and once six, 1.4, 1.8 and 2.2 s after
 ** it had been asked.
 */
 
@@ -24,12 +25,12 @@
 
 namespace {
 
-/* requests from an instance in a rest that it was asked for, from half a
-** second on: the most */
-constexpr unsigned most_in_rest = 2;
-constexpr gint64 rest = 3 * second;
+/* The most requests that an instance sends to an endpoint which has asked it
+** for rest, from half a second after that on. */
+constexpr unsigned requests_in_rest_max = 2;
+constexpr gint64 rest_time = 3 * second;
 
-FleetOptions options(unsigned instances, unsigned seed) {
+FleetOptions fleet_options(unsigned instances, unsigned seed) {
   FleetOptions out;
   out.seed = seed;
   out.instances = instances;
@@ -38,52 +39,53 @@
   return out;
 }
 
-constexpr unsigned sizes[] = {1, 8, 20, 90, 300};
+constexpr unsigned instance_counts[] = {1, 8, 20, 90, 300};
 
-TEST(EndpointRest, IsLeftToAnEndpointThatAsksForIt) {
-  for (unsigned instances : sizes) {
+TEST(EndpointRestFleet, RestingEndpointGetsAtMostTwoRequests) {
+  for (unsigned instances : instance_counts) {
     SCOPED_TRACE(instances);
-    FleetOptions failing = options(instances, 5);
-    failing.failing = 0.3; /* the others are not well either */
+    FleetOptions failing = fleet_options(instances, 5);
+    failing.failing = 0.3; /* the other endpoints fail at times, too */
     Fleet fleet(failing);
     fleet.pass(2 * second);
-    fleet.endpoints[0].rest = rest;
+    fleet.endpoints[0].rest = rest_time;
     fleet.pass(10 * second);
     ASSERT_FALSE(fleet.endpoints[0].rests.empty());
-    EXPECT_LE(fleet.most_in_a_rest(0), most_in_rest);
+    EXPECT_LE(fleet.most_in_a_rest(0), requests_in_rest_max);
   }
 }
 
-/* all that could take a request ask for it: there is no other choice */
-TEST(EndpointRest, IsLeftToAllOfAServiceAtOnce) {
-  for (unsigned instances : sizes) {
+/* No endpoint is left when all endpoints of a service ask for rest. */
+TEST(EndpointRestFleet, AllEndpointsOfAServiceCanRestAtOnce) {
+  for (unsigned instances : instance_counts) {
     SCOPED_TRACE(instances);
-    Fleet fleet(options(instances, 6));
+    Fleet fleet(fleet_options(instances, 6));
     fleet.pass(2 * second);
     for (Plain &endpoint : fleet.endpoints)
-      endpoint.rest = rest;
+      endpoint.rest = rest_time;
     fleet.pass(10 * second);
     for (unsigned i = 0; i < fleet.endpoints.size(); i++) {
       ASSERT_FALSE(fleet.endpoints[i].rests.empty());
-      EXPECT_LE(fleet.most_in_a_rest(i), most_in_rest);
+      EXPECT_LE(fleet.most_in_a_rest(i), requests_in_rest_max);
     }
   }
 }
 
-/* what was sent before ends well after the word: that takes nothing back */
-TEST(EndpointRest, IsNotOverWithARequestThatEndsWell) {
-  for (unsigned instances : sizes) {
+/* A request that was sent before the endpoint asked for rest may end well
+** afterwards. */
+TEST(EndpointRestFleet, SuccessfulAnswerDoesNotEndARest) {
+  for (unsigned instances : instance_counts) {
     SCOPED_TRACE(instances);
-    FleetOptions slow = options(instances, 7);
+    FleetOptions slow = fleet_options(instances, 7);
     slow.work = 900 * ms;
     Fleet fleet(slow);
     for (Plain &endpoint : fleet.endpoints) {
-      endpoint.rest = rest;
+      endpoint.rest = rest_time;
       endpoint.resting = 0.2;
     }
     fleet.pass(10 * second);
     for (unsigned i = 0; i < fleet.endpoints.size(); i++)
-      EXPECT_LE(fleet.most_in_a_rest(i), most_in_rest);
+      EXPECT_LE(fleet.most_in_a_rest(i), requests_in_rest_max);
   }
 }
 
@@ -93,20 +95,20 @@
 ** ===================================================================
 */
 
-struct RestWorld : ::testing::Test {
+struct EndpointRestTest : ::testing::Test {
   World world;
 
   void SetUp() override {
     world.started_unix_ms = 1000;
     world.populate();
   }
-  /* the endpoint of this dispatch turns it away, and asks for rest */
-  void turn_away(guint64 dispatch, gint64 time) {
+  /* The endpoint rejects this dispatch as not run and asks for rest. */
+  void reject_with_rest(guint64 dispatch, gint64 time) {
     world.signal(dispatch, routing::signals_rest(time));
     world.outcome(dispatch, OUTCOME_NOT_RUN, 503);
   }
-  /* any endpoint asks for rest; nothing of it has to be open here */
-  void ask(const char *id, gint64 time) {
+  /* An endpoint asks for rest; no dispatch to it has to be open. */
+  void ask_for_rest(const char *id, gint64 time) {
     EndpointRecord record = {};
     EndpointSignals said = routing::signals_rest(time);
     record.id = const_cast<char *>(id);
@@ -115,101 +117,103 @@
                             endpoint_incarnation_hash(&record), &said,
                             world.now);
   }
-  /* where plain requests go, if they end at once */
-  unsigned plain_at(const char *id, int count) {
-    unsigned before = sent(id);
+  /* Sends 'count' plain requests that end at once; returns how many of them
+  ** go to endpoint 'id'. */
+  unsigned plain_requests_sent_to(const char *id, int count) {
+    unsigned before = dispatches_to(id);
     for (int i = 0; i < count; i++) {
       world.request("/safe/x");
       if (!world.last().ended)
         world.outcome(world.last().number, OUTCOME_ANSWER);
     }
-    return sent(id) - before;
+    return dispatches_to(id) - before;
   }
-  unsigned sent(const char *id) const {
+  unsigned dispatches_to(const char *id) const {
     unsigned count = 0;
     for (const Sent &one : world.dispatches)
       count += one.endpoint == id;
     return count;
   }
-  unsigned resting() const {
+  unsigned resting_endpoints() const {
     return router_resting_endpoints(world.router, world.now);
   }
 };
 
-TEST_F(RestWorld, ItGetsNothingUntilTheEndAndIsUsedAgain) {
-  ask("app-1", 3 * second);
-  EXPECT_EQ(plain_at("app-1", 5), 0u);
+TEST_F(EndpointRestTest, RestingEndpointIsUsedAgainOnlyAfterTheRest) {
+  ask_for_rest("app-1", 3 * second);
+  EXPECT_EQ(plain_requests_sent_to("app-1", 5), 0u);
   world.advance(3 * second);
-  EXPECT_EQ(plain_at("app-1", 5), 0u); /* the margin of its own clock */
+  /* the margin for the endpoint's own clock */
+  EXPECT_EQ(plain_requests_sent_to("app-1", 5), 0u);
   world.advance(REST_CLOCK_MARGIN);
-  EXPECT_GT(plain_at("app-1", 5), 0u);
+  EXPECT_GT(plain_requests_sent_to("app-1", 5), 0u);
 }
 
-TEST_F(RestWorld, OfSeveralTheLatestEndHolds) {
-  ask("app-1", 3 * second);
+TEST_F(EndpointRestTest, LatestEndOfSeveralRestsApplies) {
+  ask_for_rest("app-1", 3 * second);
   world.advance(100 * ms);
-  ask("app-1", 1 * second);
+  ask_for_rest("app-1", 1 * second);
   world.advance(2 * second);
-  EXPECT_EQ(plain_at("app-1", 5), 0u);
-  ask("app-1", 2 * second);
+  EXPECT_EQ(plain_requests_sent_to("app-1", 5), 0u);
+  ask_for_rest("app-1", 2 * second);
   world.advance(1500 * ms);
-  EXPECT_EQ(plain_at("app-1", 5), 0u);
+  EXPECT_EQ(plain_requests_sent_to("app-1", 5), 0u);
   world.advance(second);
-  EXPECT_GT(plain_at("app-1", 5), 0u);
+  EXPECT_GT(plain_requests_sent_to("app-1", 5), 0u);
 }
 
-TEST_F(RestWorld, NoTimeIsNoRest) {
-  ask("app-1", 0);
-  EXPECT_EQ(resting(), 0u);
-  EXPECT_GT(plain_at("app-1", 5), 0u);
+TEST_F(EndpointRestTest, RestOfZeroIsIgnored) {
+  ask_for_rest("app-1", 0);
+  EXPECT_EQ(resting_endpoints(), 0u);
+  EXPECT_GT(plain_requests_sent_to("app-1", 5), 0u);
 }
 
-TEST_F(RestWorld, AnAnswerToAnEarlierRequestEndsNone) {
+TEST_F(EndpointRestTest, AnswerToAnEarlierRequestDoesNotEndTheRest) {
   world.request("/safe/x");
   Sent slow = world.last();
-  ask(slow.endpoint.c_str(), 3 * second);
+  ask_for_rest(slow.endpoint.c_str(), 3 * second);
   world.signal(slow.number, routing::signals_served());
   world.outcome(slow.number, OUTCOME_ANSWER);
-  EXPECT_EQ(plain_at(slow.endpoint.c_str(), 5), 0u);
+  EXPECT_EQ(plain_requests_sent_to(slow.endpoint.c_str(), 5), 0u);
 }
 
-/* nor is it cut short where a connection fails */
-TEST_F(RestWorld, AConnectionThatFailsEndsNone) {
+/* A failed connection does not shorten the rest. */
+TEST_F(EndpointRestTest, FailedConnectionDoesNotEndTheRest) {
   world.request("/safe/x");
   Sent failed = world.last();
-  ask(failed.endpoint.c_str(), 5 * second);
+  ask_for_rest(failed.endpoint.c_str(), 5 * second);
   world.outcome(failed.number, OUTCOME_UNREACHABLE);
   world.advance(4 * second);
-  EXPECT_EQ(plain_at(failed.endpoint.c_str(), 5), 0u);
+  EXPECT_EQ(plain_requests_sent_to(failed.endpoint.c_str(), 5), 0u);
 }
 
-TEST_F(RestWorld, AVeryLongOneIsBelievedForAnHour) {
-  ask("app-1", 1000000000LL * second);
+TEST_F(EndpointRestTest, RestIsCappedAtOneHour) {
+  ask_for_rest("app-1", 1000000000LL * second);
   world.advance(REST_DURATION_MAX);
-  EXPECT_EQ(plain_at("app-1", 5), 0u);
+  EXPECT_EQ(plain_requests_sent_to("app-1", 5), 0u);
   world.advance(REST_CLOCK_MARGIN);
-  EXPECT_GT(plain_at("app-1", 5), 0u);
+  EXPECT_GT(plain_requests_sent_to("app-1", 5), 0u);
 }
 
-TEST_F(RestWorld, ALaterLifeHasNone) {
-  ask("app-1", 30 * second);
+TEST_F(EndpointRestTest, LaterIncarnationDoesNotRest) {
+  ask_for_rest("app-1", 30 * second);
   world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
-  EXPECT_GT(plain_at("app-1", 5), 0u);
+  EXPECT_GT(plain_requests_sent_to("app-1", 5), 0u);
 }
 
-TEST_F(RestWorld, AListThatLosesItAndHasItAgainEndsNone) {
-  ask("app-1", 30 * second);
+TEST_F(EndpointRestTest, RelistedEndpointStillRests) {
+  ask_for_rest("app-1", 30 * second);
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, true, true);
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
-  EXPECT_EQ(plain_at("app-1", 5), 0u);
+  EXPECT_EQ(plain_requests_sent_to("app-1", 5), 0u);
 }
 
-/* it was asked of this instance alone: to the others it is as one that fails,
-** which they take where they have no better one */
-TEST_F(RestWorld, ItBindsOneInstance) {
+/* Rest is asked of one instance alone. Peers treat the endpoint as one that
+** fails, and use it when they have no better one. */
+TEST_F(EndpointRestTest, RestIsReportedToPeersOnlyAsAFailure) {
   mp_LoadDigest digest = {};
-  ask("app-1", 3 * second);
+  ask_for_rest("app-1", 3 * second);
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.leaving_count, 0u);
   ASSERT_EQ(digest.n, 1u);
@@ -227,10 +231,10 @@
   EXPECT_EQ(other.last().endpoint, "app-1");
 }
 
-TEST_F(RestWorld, WithAllRestingCallersHearAtOnceWhenTheFirstIsBack) {
-  std::set<gint64> told;
-  ask("app-1", 3 * second);
-  ask("app-2", 2 * second);
+TEST_F(EndpointRestTest, CallerIsRefusedUntilTheFirstRestEndsWhenAllRest) {
+  std::set<gint64> retry_delays;
+  ask_for_rest("app-1", 3 * second);
+  ask_for_rest("app-2", 2 * second);
   for (int i = 0; i < 20; i++) {
     guint64 number = world.request("/safe/x");
     const routing::Ended &end = world.end(number);
@@ -238,55 +242,56 @@
     EXPECT_EQ(end.refusal, REFUSAL_REST);
     EXPECT_GE(end.retry_after_ms, 2000);
     EXPECT_LE(end.retry_after_ms, 2 * 2100);
-    told.insert(end.retry_after_ms);
+    retry_delays.insert(end.retry_after_ms);
   }
-  EXPECT_GT(told.size(), 10u) << "they do not come back as one wave";
+  EXPECT_GT(retry_delays.size(), 10u)
+      << "callers must not all come back at once";
   EXPECT_TRUE(world.dispatches.empty());
 }
 
-/* what the caller is told after a run that may have run says no such thing */
-TEST_F(RestWorld, AnUnknownOutcomeHasNoTimeToComeBack) {
+/* A request that may have run is not to be retried, so its refusal carries no
+** time after which to retry. */
+TEST_F(EndpointRestTest, UnknownOutcomeCarriesNoRetryAfter) {
   guint64 number = world.request("/safe/x");
   Sent first = world.last();
-  ask("app-1", 3 * second);
-  ask("app-2", 3 * second);
+  ask_for_rest("app-1", 3 * second);
+  ask_for_rest("app-2", 3 * second);
   world.outcome(first.number, OUTCOME_BROKEN);
   EXPECT_EQ(world.end(number).refusal, REFUSAL_OUTCOME_UNKNOWN);
   EXPECT_EQ(world.end(number).retry_after_ms, 0);
 }
 
-TEST_F(RestWorld, ARefusedRunGoesToAnotherEndpoint) {
+TEST_F(EndpointRestTest, RejectedRunGoesToAnotherEndpoint) {
   guint64 number = world.request("/unsafe/x");
   Sent first = world.last();
-  turn_away(first.number, 3 * second);
+  reject_with_rest(first.number, 3 * second);
   EXPECT_EQ(world.runs(number), 2u);
   EXPECT_NE(world.last().endpoint, first.endpoint);
-  EXPECT_EQ(resting(), 1u);
+  EXPECT_EQ(resting_endpoints(), 1u);
 }
 
-TEST_F(RestWorld, PromptsAndRunsOfEnginesGoElsewhere) {
-  ask("pre-1", 3 * second);
-  ask("dec-1", 3 * second);
+TEST_F(EndpointRestTest, PrefillsAndRunsAvoidRestingEngines) {
+  ask_for_rest("pre-1", 3 * second);
+  ask_for_rest("dec-1", 3 * second);
   guint64 number = world.request("/stream/x");
   EXPECT_EQ(world.runs(number), 1u);
-  EXPECT_EQ(world.last().endpoint,
-            "dec-2"); /* which reads the prompt itself */
-  EXPECT_EQ(sent("pre-1"), 0u);
+  EXPECT_EQ(world.last().endpoint, "dec-2"); /* it prefills, too */
+  EXPECT_EQ(dispatches_to("pre-1"), 0u);
 }
 
-TEST_F(RestWorld, ARunGoesElsewhereThanToAReservedEngineThatRests) {
+TEST_F(EndpointRestTest, RunAvoidsAReservedEngineThatRests) {
   guint64 number = world.request("/stream/x");
   Sent prompt = world.last();
-  ask("dec-1", 3 * second);
+  ask_for_rest("dec-1", 3 * second);
   world.prefilled(prompt.number);
   EXPECT_EQ(world.runs(number), 1u);
   EXPECT_EQ(world.last().endpoint, "dec-2");
 }
 
-/* what can't be served in time is refused, not held */
-TEST_F(RestWorld, WithAllEnginesRestingForLongCallersHearAtOnce) {
-  ask("dec-1", 5 * second);
-  ask("dec-2", 4 * second);
+/* A request that cannot be served in time is refused, not queued. */
+TEST_F(EndpointRestTest, CallerIsRefusedAtOnceWhenAllEnginesRestForLong) {
+  ask_for_rest("dec-1", 5 * second);
+  ask_for_rest("dec-2", 4 * second);
   guint64 number = world.request("/stream/x");
   EXPECT_EQ(world.end(number).refusals, 1);
   EXPECT_EQ(world.end(number).refusal, REFUSAL_REST);
@@ -294,22 +299,23 @@
   EXPECT_TRUE(world.dispatches.empty());
 }
 
-/* nor held on, if the engines ask for rest while it waits */
-TEST_F(RestWorld, WhoWaitsWhenAllBeginALongRestHearsSoonToo) {
-  ask("dec-1", 100 * ms);
-  ask("dec-2", 100 * ms);
+/* The same holds if the engines ask for rest while the request waits. */
+TEST_F(EndpointRestTest,
+       WaitingCallerIsRefusedSoonWhenAllEnginesBeginALongRest) {
+  ask_for_rest("dec-1", 100 * ms);
+  ask_for_rest("dec-2", 100 * ms);
   guint64 number = world.request("/stream/x");
   EXPECT_EQ(world.end(number).refusals, 0);
-  ask("dec-1", 20 * second);
-  ask("dec-2", 20 * second);
+  ask_for_rest("dec-1", 20 * second);
+  ask_for_rest("dec-2", 20 * second);
   world.advance(400 * ms);
   EXPECT_EQ(world.end(number).refusal, REFUSAL_REST);
   EXPECT_TRUE(world.dispatches.empty());
 }
 
-TEST_F(RestWorld, AShortRestOfAllEnginesIsWaitedFor) {
-  ask("dec-1", 200 * ms);
-  ask("dec-2", 200 * ms);
+TEST_F(EndpointRestTest, RequestWaitsForAShortRestOfAllEngines) {
+  ask_for_rest("dec-1", 200 * ms);
+  ask_for_rest("dec-2", 200 * ms);
   guint64 number = world.request("/stream/x");
   EXPECT_TRUE(world.dispatches.empty());
   world.advance(400 * ms);
@@ -318,8 +324,9 @@
   EXPECT_EQ(world.end(number).refusals, 0);
 }
 
-/* one handle is freed there in a rest; the next ones lapse by themselves */
-TEST_F(RestWorld, OneReleaseIsSentInARest) {
+/* One KV handle is released at an engine while it rests; the others expire by
+** themselves. */
+TEST_F(EndpointRestTest, RestingEngineGetsOneReleaseAtMost) {
   std::vector<guint64> callers;
   for (int i = 0; i < 3; i++) {
     callers.push_back(world.request("/stream/x", 10000, 1000, 500));
@@ -328,10 +335,10 @@
   std::vector<guint64> prompts;
   for (const Sent &one : world.dispatches)
     prompts.push_back(one.number);
-  /* no decode engine takes a run: the handles are kept, and then dropped */
-  ask("dec-1", 10 * second);
-  ask("dec-2", 10 * second);
-  ask("pre-1", 10 * second);
+  /* no decode engine takes a run, so the handles are kept until the hangups */
+  ask_for_rest("dec-1", 10 * second);
+  ask_for_rest("dec-2", 10 * second);
+  ask_for_rest("pre-1", 10 * second);
   for (size_t i = 0; i < prompts.size(); i++)
     world.prefilled(prompts[i], ("h" + std::to_string(i)).c_str());
   for (guint64 caller : callers)
@@ -342,7 +349,7 @@
   EXPECT_EQ(releases, 1u);
 }
 
-TEST_F(RestWorld, WhatCannotBeReadIsLoggedOnceAndCounted) {
+TEST_F(EndpointRestTest, UnreadableRestIsLoggedOnceAndCounted) {
   EndpointSignals bad = {};
   bad.rest = SIGNAL_UNREADABLE;
   world.request("/safe/x");
@@ -353,11 +360,13 @@
     lines += line.compare(0, 4, "2015") == 0;
   EXPECT_EQ(lines, 1u);
   EXPECT_EQ(router_counter(world.router, ROUTER_COUNT_SIGNALS_BAD), 3u);
-  EXPECT_EQ(resting(), 0u);
+  EXPECT_EQ(resting_endpoints(), 0u);
 }
 
-/* what an endpoint says and nobody reads is told once, and bounded */
-TEST_F(RestWorld, AnUnknownFieldIsLoggedOnceForItsService) {
+/* Unknown fields of answers are logged once each, for 32 names at the most,
+*and
+** with a bounded length. */
+TEST_F(EndpointRestTest, UnknownFieldsAreLoggedOnceEachUpToABound) {
   EndpointSignals signals = routing::signals_served();
   std::string far(1000, 'x');
   world.request("/safe/x");
@@ -369,9 +378,9 @@
   }
   unsigned lines = 0;
   for (const std::string &line : world.log) {
-    bool is_it = line.compare(0, 4, "2017") == 0;
-    lines += is_it;
-    EXPECT_TRUE(!is_it || line.size() < 120);
+    bool is_field_line = line.compare(0, 4, "2017") == 0;
+    lines += is_field_line;
+    EXPECT_TRUE(!is_field_line || line.size() < 120);
   }
   EXPECT_EQ(lines, 32u);
   EXPECT_EQ(router_counter(world.router, ROUTER_COUNT_FIELDS_UNKNOWN), 100u);
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -1,12 +1,15 @@
 /*
 ** test_gate.cc
-** No dispatch goes where an endpoint's word forbids it, whatever came before
+** Random test that no dispatch goes to an endpoint that has forbidden it, by
+** announcing that it leaves or by asking for rest
 **
-** Random histories of what an instance hears (answers and their signals,
-** lists, peers, time with and without its own turns, callers who leave), held
-** against a model of the words alone: which lives have said that they leave,
-** and until when each wants rest. A history that fails is shrunk.
-** GATE_HISTORIES in the environment plays more of them, GATE_SEED others.
+** Each scenario is a random sequence of what an instance receives: answers and
+** their signals, lists, digests of peers, time with and without ticks, hangups
+** of callers. Every dispatch is compared with a model of the announcements
+** alone: which lives of an endpoint leave, and until when each rests. A
+** scenario that fails is reduced to the steps that it needs. In the
+** environment, GATE_HISTORIES sets the number of scenarios, and GATE_SEED the
+** first seed.
 */
 
 #include <algorithm>
@@ -30,115 +33,118 @@
 
 namespace {
 
-enum Act {
+enum Action {
   ACT_REQUEST,
   ACT_END,     /* an open dispatch ends somehow */
-  ACT_SIGNAL,  /* an open dispatch's answer tells something */
-  ACT_PROBE,   /* any endpoint tells something with an answer */
+  ACT_SIGNAL,  /* the answer to an open dispatch carries signals */
+  ACT_PROBE,   /* an answer of any endpoint carries signals */
   ACT_LIST,    /* a record of the same life, perhaps an older one */
-  ACT_LAPSE,   /* the list loses an endpoint */
+  ACT_LAPSE,   /* an endpoint is removed from the list */
   ACT_RESTART, /* a record of a later life */
   ACT_PEER,    /* a digest names endpoints that leave */
-  ACT_TIME,    /* time with the instance's turns */
-  ACT_SUSPEND, /* time without them */
+  ACT_TIME,    /* time passes with ticks of the router */
+  ACT_SUSPEND, /* time passes without ticks */
   ACT_HANGUP,
   ACT_LEASE, /* orders may be given */
   ACT_COUNT
 };
 
-struct Event {
-  Act act;
-  unsigned which; /* of the endpoints, dispatches, requests */
-  unsigned how;
+struct Step {
+  Action action;
+  unsigned which; /* selects an endpoint, dispatch or request */
+  unsigned how;   /* selects a variant of the action */
 };
 
-std::string text_of(const std::vector<Event> &events) {
+std::string steps_to_text(const std::vector<Step> &steps) {
   static const char *const names[] = {
       "request", "end",  "signal", "probe",   "list",   "lapse",
       "restart", "peer", "time",   "suspend", "hangup", "lease"};
   std::ostringstream text;
-  for (const Event &one : events)
-    text << names[one.act] << "(" << one.which << "," << one.how << ") ";
+  for (const Step &one : steps)
+    text << names[one.action] << "(" << one.which << "," << one.how << ") ";
   return text.str();
 }
 
-/* what the words of one endpoint's present life forbid */
-struct Words {
-  gint64 born = 1000;
-  bool listed = true, ready = true;
-  std::set<gint64> left; /* starts of lives that said that they leave */
-  gint64 rest_until = 0; /* of the present life */
-  bool released = false; /* in the present rest */
-  bool leaves() const {
-    return !ready || left.count(born) > 0;
+/* What one endpoint has announced, and so what it forbids. */
+struct EndpointModel {
+  gint64 started_unix_ms = 1000;
+  bool is_listed = true, is_ready = true;
+  std::set<gint64> leaving_lives; /* starts of the lives that leave */
+  gint64 rest_until = 0;          /* of the present life */
+  bool has_released = false;      /* in the present rest */
+  bool is_leaving() const {
+    return !is_ready || leaving_lives.count(started_unix_ms) > 0;
   }
 };
 
-constexpr unsigned places = 5;
-const Place place[places] = {{"app-1", "app", "a", STAGE_NONE},
-                             {"app-2", "app", "b", STAGE_NONE},
-                             {"pre-1", "llm", "a", STAGE_PREFILL},
-                             {"dec-1", "llm", "a", STAGE_DECODE},
-                             {"dec-2", "llm", "a", STAGE_DECODE}};
+constexpr unsigned endpoint_count = 5;
+const Place endpoint_places[endpoint_count] = {
+    {"app-1", "app", "a", STAGE_NONE},
+    {"app-2", "app", "b", STAGE_NONE},
+    {"pre-1", "llm", "a", STAGE_PREFILL},
+    {"dec-1", "llm", "a", STAGE_DECODE},
+    {"dec-2", "llm", "a", STAGE_DECODE}};
 
-class History {
+class Scenario {
 public:
-  History() : world(100, 10.0, 3 * second) {
+  Scenario() : world(100, 10.0, 3 * second) {
     world.started_unix_ms = 1000;
     world.populate();
   }
-  /* what was sent though it was forbidden; empty: nothing */
-  std::string play(const std::vector<Event> &events) {
-    for (const Event &one : events) {
+  /* Applies the steps up to the first forbidden dispatch. Returns what is
+  ** wrong with that dispatch; empty: there was none. */
+  std::string run(const std::vector<Step> &steps) {
+    for (const Step &one : steps) {
       apply(one);
-      look();
-      if (!wrong.empty())
+      check_new_dispatches();
+      if (!violation.empty())
         break;
     }
-    return wrong;
+    return violation;
   }
-  unsigned sent = 0;
+  unsigned dispatch_count = 0;
 
 private:
-  guint32 life_of(unsigned i, gint64 born) const {
+  guint32 life_of(unsigned i, gint64 started_unix_ms) const {
     EndpointRecord record = {};
-    record.id = const_cast<char *>(place[i].id);
-    record.started_unix_ms = born;
+    record.id = const_cast<char *>(endpoint_places[i].id);
+    record.started_unix_ms = started_unix_ms;
     return endpoint_incarnation_hash(&record);
   }
-  void record(unsigned i, gint64 revision) {
-    world.started_unix_ms = words[i].born;
+  void send_record(unsigned i, gint64 revision) {
+    world.started_unix_ms = models[i].started_unix_ms;
     world.revision = revision;
-    world.endpoint(place[i], words[i].ready);
+    world.endpoint(endpoint_places[i], models[i].is_ready);
   }
-  /* the words of an answer, told to the router and to the model */
-  void tell(unsigned i, guint32 life, unsigned how) {
+  /* Gives the signals of an answer to the router and to the model. */
+  void send_signals(unsigned i, guint32 life, unsigned how) {
     static const gint64 rests[] = {
         0, 200 * ms, second, 3 * second, 20 * second, REST_DURATION_MAX * 2};
     EndpointSignals signals = how % 7 == 0   ? signals_leaving()
                               : how % 2 == 0 ? signals_served()
                                              : signals_rest(rests[how % 6]);
-    bool is_present = words[i].listed && life == life_of(i, words[i].born);
-    router_endpoint_signals(world.router, place[i].id, life, &signals,
-                            world.now);
+    bool is_present =
+        models[i].is_listed && life == life_of(i, models[i].started_unix_ms);
+    router_endpoint_signals(world.router, endpoint_places[i].id, life,
+                            &signals, world.now);
     if (!is_present)
       return;
     if (signals.leaving == SIGNAL_GIVEN)
-      words[i].left.insert(words[i].born);
+      models[i].leaving_lives.insert(models[i].started_unix_ms);
     if (signals.rest == SIGNAL_GIVEN && signals.rest_time > 0) {
-      if (words[i].rest_until <= world.now)
-        words[i].released = false;
-      words[i].rest_until = std::max(
-          words[i].rest_until,
+      if (models[i].rest_until <= world.now)
+        models[i].has_released = false;
+      models[i].rest_until = std::max(
+          models[i].rest_until,
           world.now + std::min<gint64>(signals.rest_time, REST_DURATION_MAX));
     }
   }
-  unsigned place_of(const std::string &id) const {
-    for (unsigned i = 0; i < places; i++) {
-      if (id == place[i].id)
+  unsigned index_of_endpoint(const std::string &id) const {
+    for (unsigned i = 0; i < endpoint_count; i++) {
+      if (id == endpoint_places[i].id)
         return i;
     }
-    return places;
+    return endpoint_count;
   }
   Sent *open_dispatch(unsigned which) {
     std::vector<Sent *> open;
@@ -148,14 +154,14 @@
     }
     return open.empty() ? nullptr : open[which % open.size()];
   }
-  void end(unsigned which, unsigned how) {
+  void end_dispatch(unsigned which, unsigned how) {
     Sent *one = open_dispatch(which);
     if (one == nullptr)
       return;
     guint64 number = one->number;
     DispatchKind kind = one->kind;
     bool stream = one->stream;
-    one->ended = true; /* 'one' may move from here on */
+    one->ended = true; /* 'one' may be moved by the calls below */
     if (kind == DISPATCH_REPORT)
       world.reported(number, STAGE_DECODE, 1);
     else if (kind == DISPATCH_PREFILL && how % 2 == 0)
@@ -170,59 +176,60 @@
       world.outcome(number, stream ? OUTCOME_STREAM_END : OUTCOME_ANSWER,
                     how % 3 == 0 ? 500 : 200);
   }
-  void request(unsigned which) {
+  void start_request(unsigned which) {
     static const char *const paths[] = {"/safe/x", "/unsafe/x", "/stream/x",
                                         "/resume/x"};
     world.content = 0;
     requests.push_back(world.request(paths[which % 4]));
   }
-  void peer(unsigned i, unsigned how) {
+  void receive_digest(unsigned i, unsigned how) {
     mp_LoadDigest digest = {};
-    /* an earlier life's leaving binds the present one in nothing */
-    gint64 born = how % 2 == 0 ? words[i].born : words[i].born - 1;
+    /* if an earlier life leaves, the present one does not */
+    gint64 started_unix_ms = how % 2 == 0 ? models[i].started_unix_ms
+                                          : models[i].started_unix_ms - 1;
     digest.leaving_count = 1;
-    digest.leaving[0] = life_of(i, born);
+    digest.leaving[0] = life_of(i, started_unix_ms);
     router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), ++sequence,
                      &digest, world.now);
-    if (how % 2 == 0 && words[i].listed)
-      words[i].left.insert(words[i].born);
+    if (how % 2 == 0 && models[i].is_listed)
+      models[i].leaving_lives.insert(models[i].started_unix_ms);
   }
-  void restart(unsigned i) {
-    words[i].born += 1000;
-    words[i].rest_until = 0;
-    words[i].ready = words[i].listed = true;
-    record(i, ++revision);
+  void restart_endpoint(unsigned i) {
+    models[i].started_unix_ms += 1000;
+    models[i].rest_until = 0;
+    models[i].is_ready = models[i].is_listed = true;
+    send_record(i, ++revision);
   }
-  void apply(const Event &one) {
-    unsigned i = one.which % places;
-    switch (one.act) {
+  void apply(const Step &one) {
+    unsigned i = one.which % endpoint_count;
+    switch (one.action) {
     case ACT_REQUEST:
-      request(one.which);
+      start_request(one.which);
       break;
     case ACT_END:
-      end(one.which, one.how);
+      end_dispatch(one.which, one.how);
       break;
     case ACT_SIGNAL:
       if (const Sent *open = open_dispatch(one.which))
-        tell(place_of(open->endpoint), open->life, one.how);
+        send_signals(index_of_endpoint(open->endpoint), open->life, one.how);
       break;
     case ACT_PROBE:
-      tell(i, life_of(i, words[i].born), one.how);
+      send_signals(i, life_of(i, models[i].started_unix_ms), one.how);
       break;
     case ACT_LIST:
-      words[i].ready = one.how % 5 != 0;
-      words[i].listed = true;
-      record(i, ++revision);
+      models[i].is_ready = one.how % 5 != 0;
+      models[i].is_listed = true;
+      send_record(i, ++revision);
       break;
     case ACT_LAPSE:
-      words[i].listed = false;
-      world.endpoint(place[i], true, true);
+      models[i].is_listed = false;
+      world.endpoint(endpoint_places[i], true, true);
       break;
     case ACT_RESTART:
-      restart(i);
+      restart_endpoint(i);
       break;
     case ACT_PEER:
-      peer(i, one.how);
+      receive_digest(i, one.how);
       break;
     case ACT_TIME:
       world.advance((one.how % 40 + 1) * 50 * ms);
@@ -241,97 +248,100 @@
       break;
     }
   }
-  /* dispatches that are new: did the words forbid them? */
-  void look() {
-    for (; seen < world.dispatches.size(); seen++)
-      judge(world.dispatches[seen]);
+  /* Checks each dispatch that was made since the last call. */
+  void check_new_dispatches() {
+    for (; checked_dispatches < world.dispatches.size(); checked_dispatches++)
+      check_dispatch(world.dispatches[checked_dispatches]);
   }
-  void judge(const Sent &one) {
-    unsigned i = place_of(one.endpoint);
-    Words &known = words[i];
+  void check_dispatch(const Sent &one) {
+    unsigned i = index_of_endpoint(one.endpoint);
+    EndpointModel &known = models[i];
     bool rests = world.now < known.rest_until;
-    sent++;
+    dispatch_count++;
     if (one.kind == DISPATCH_RELEASE) {
-      if (rests && known.released)
-        wrong = "a second release in a rest of " + one.endpoint;
-      known.released = known.released || rests;
+      if (rests && known.has_released)
+        violation = "second release during the rest of " + one.endpoint;
+      known.has_released = known.has_released || rests;
       return;
     }
-    if (!known.listed)
-      wrong = "sent to one that is not listed: " + one.endpoint;
-    if (known.leaves())
-      wrong = "sent to one that leaves: " + one.endpoint;
+    if (!known.is_listed)
+      violation = "sent to an endpoint that is not listed: " + one.endpoint;
+    if (known.is_leaving())
+      violation = "sent to an endpoint that leaves: " + one.endpoint;
     if (rests)
-      wrong = "sent to one that rests: " + one.endpoint;
+      violation = "sent to an endpoint that rests: " + one.endpoint;
   }
 
   World world;
-  Words words[places];
+  EndpointModel models[endpoint_count];
   std::vector<guint64> requests;
-  size_t seen = 0;
+  size_t checked_dispatches = 0;
   gint64 revision = 10;
   guint32 sequence = 0;
-  std::string wrong;
+  std::string violation;
 };
 
-std::vector<Event> history_of(unsigned seed) {
+std::vector<Step> random_steps(unsigned seed) {
   std::mt19937 random(seed);
-  std::vector<Event> events;
+  std::vector<Step> steps;
   for (int i = 0; i < 120; i++) {
-    /* requests, their ends and time are half of it */
-    static const Act often[] = {ACT_REQUEST, ACT_REQUEST, ACT_END, ACT_END,
-                                ACT_TIME};
-    Act act = random() % 2 == 0 ? often[random() % 5]
-                                : static_cast<Act>(random() % ACT_COUNT);
-    events.push_back({act, static_cast<unsigned>(random() % 1000),
-                      static_cast<unsigned>(random() % 1000)});
+    /* half of the steps are requests, their ends and time */
+    static const Action frequent[] = {ACT_REQUEST, ACT_REQUEST, ACT_END,
+                                      ACT_END, ACT_TIME};
+    Action action = random() % 2 == 0
+                        ? frequent[random() % 5]
+                        : static_cast<Action>(random() % ACT_COUNT);
+    steps.push_back({action, static_cast<unsigned>(random() % 1000),
+                     static_cast<unsigned>(random() % 1000)});
   }
-  return events;
+  return steps;
 }
 
-bool fails(const std::vector<Event> &events) {
-  History history;
-  return !history.play(events).empty();
+bool has_violation(const std::vector<Step> &steps) {
+  Scenario scenario;
+  return !scenario.run(steps).empty();
 }
 
-/* leave out what the failure does not need, the largest parts first */
-std::vector<Event> shrunk(std::vector<Event> events) {
-  for (size_t part = events.size() / 2; part > 0; part /= 2) {
-    for (size_t at = 0; at + part <= events.size();) {
-      std::vector<Event> less = events;
+/* Returns the steps without those that the failure does not need; removes the
+** largest parts first. */
+std::vector<Step> shrink(std::vector<Step> steps) {
+  for (size_t part = steps.size() / 2; part > 0; part /= 2) {
+    for (size_t at = 0; at + part <= steps.size();) {
+      std::vector<Step> less = steps;
       auto from = less.begin() + static_cast<std::ptrdiff_t>(at);
       less.erase(from, from + static_cast<std::ptrdiff_t>(part));
-      if (fails(less))
-        events = less;
+      if (has_violation(less))
+        steps = less;
       else
         at += part;
     }
   }
-  return events;
+  return steps;
 }
 
-unsigned setting(const char *name, unsigned usual) {
+unsigned environment_number(const char *name, unsigned default_value) {
   const char *text = std::getenv(name);
   return text != nullptr
              ? static_cast<unsigned>(std::strtoul(text, nullptr, 10))
-             : usual;
+             : default_value;
 }
 
-TEST(Gate, NoHistoryLeadsToADispatchThatAWordForbids) {
-  unsigned histories = setting("GATE_HISTORIES", 400);
-  unsigned first = setting("GATE_SEED", 1);
-  unsigned sent = 0;
-  for (unsigned seed = first; seed < first + histories; seed++) {
-    std::vector<Event> events = history_of(seed);
-    History history;
-    std::string wrong = history.play(events);
-    sent += history.sent;
-    if (wrong.empty())
+TEST(Gate, NoDispatchGoesToAForbiddenEndpoint) {
+  unsigned runs = environment_number("GATE_HISTORIES", 400);
+  unsigned first = environment_number("GATE_SEED", 1);
+  unsigned dispatch_count = 0;
+  for (unsigned seed = first; seed < first + runs; seed++) {
+    std::vector<Step> steps = random_steps(seed);
+    Scenario scenario;
+    std::string violation = scenario.run(steps);
+    dispatch_count += scenario.dispatch_count;
+    if (violation.empty())
       continue;
-    events = shrunk(events);
-    FAIL() << "seed " << seed << ": " << wrong << "\n" << text_of(events);
+    steps = shrink(steps);
+    FAIL() << "seed " << seed << ": " << violation << "\n"
+           << steps_to_text(steps);
   }
-  EXPECT_GT(sent, 10 * histories) << "the histories send something at all";
+  EXPECT_GT(dispatch_count, 10 * runs) << "the scenarios must make dispatches";
 }
 
 } // namespace
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -1,7 +1,8 @@
 /*
 ** test_rate_limits.cc
-** One instance and the rates that endpoints name: whose word counts, what is
-** counted, and what engines, reservations and waiting requests make of it
+** Tests of the rates that overloaded endpoints name, at one instance: which
+** answer determines the rate, which requests are charged, and how engines,
+** reservations and waiting requests are treated
 */
 
 #include <gtest/gtest.h>
@@ -14,23 +15,23 @@
 
 /*
 ** {==================================================================
-** Buckets and news
+** Token buckets and messages between instances
 ** ===================================================================
 */
 
 constexpr guint32 endpoint = 77;
 constexpr mp_Addr peer = 9;
 
-struct Rate : ::testing::Test {
+struct RateLimitsTest : ::testing::Test {
   RateLimits *limits = rate_limits_new(1);
   RateSharers alone = {{1, 1}, 0, RATE_REPORT_DELAY};
   gint64 now = 100 * second;
 
-  ~Rate() override {
+  ~RateLimitsTest() override {
     rate_limits_free(limits);
   }
-  void hear(double rate, guint32 age_ms, guint32 sent = 0, guint32 zone = 0,
-            mp_Addr from = peer) {
+  void receive_news(double rate, guint32 age_ms, guint32 sent = 0,
+                    guint32 zone = 0, mp_Addr from = peer) {
     mp_RateNews news = {};
     news.zone = zone;
     news.relay = from;
@@ -40,7 +41,7 @@
                    age_ms, sent};
     rate_limits_receive(limits, from, &news, &alone, now);
   }
-  mp_RateRow told(bool sums = false) {
+  mp_RateRow reported_row(bool sums = false) {
     mp_RateNews news = {};
     if (sums)
       rate_limits_write_summary(limits, &news, now);
@@ -48,8 +49,9 @@
       rate_limits_write(limits, &news, now);
     return news.n == 1 ? news.row[0] : mp_RateRow{};
   }
-  /* how many of them one after the other are allowed */
-  unsigned allowed() {
+  /* Sends requests until one is not allowed; returns their number (1000 at the
+  ** most). */
+  unsigned send_all_allowed() {
     unsigned n = 0;
     while (n < 1000 && rate_limits_allow(limits, endpoint, &alone, now)) {
       rate_limits_count_sent(limits, endpoint);
@@ -59,46 +61,48 @@
   }
 };
 
-TEST_F(Rate, WithoutOneAllIsAllowed) {
+TEST_F(RateLimitsTest, EndpointWithoutARateIsUnlimited) {
   EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
-  EXPECT_EQ(allowed(), 1000u);
+  EXPECT_EQ(send_all_allowed(), 1000u);
   EXPECT_EQ(rate_limits_count(limits), 0u);
 }
 
-TEST_F(Rate, NothingIsSavedUpWhenItIsNamedAndLittleLater) {
+TEST_F(RateLimitsTest, BucketBeginsEmptyAndHoldsLittle) {
   rate_limits_set(limits, endpoint, 4, now);
   EXPECT_EQ(rate_limits_count(limits), 1u);
-  EXPECT_EQ(allowed(), 0u);
+  EXPECT_EQ(send_all_allowed(), 0u);
   now += 60 * second;
-  EXPECT_LE(allowed(), 4u); /* one, and half a second of the rate */
+  /* one, and what half a second of the rate gives */
+  EXPECT_LE(send_all_allowed(), 4u);
   EXPECT_GT(rate_limits_skips(limits), 0u);
 }
 
-TEST_F(Rate, TheNewestAnswerIsRight) {
+TEST_F(RateLimitsTest, NewestAnswerDeterminesTheRate) {
   rate_limits_set(limits, endpoint, 4, now);
   now += 20 * ms;
-  hear(9, 100);
-  EXPECT_EQ(rate_limits_rate(limits, endpoint), 4); /* said before that */
-  hear(RATE_UNLIMITED, 100);
+  receive_news(9, 100);
+  /* the answer that the peer received is older */
   EXPECT_EQ(rate_limits_rate(limits, endpoint), 4);
-  hear(9, 5);
+  receive_news(RATE_UNLIMITED, 100);
+  EXPECT_EQ(rate_limits_rate(limits, endpoint), 4);
+  receive_news(9, 5);
   EXPECT_EQ(rate_limits_rate(limits, endpoint), 9);
   now += second;
   rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
   EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
-  hear(9, 5);
+  receive_news(9, 5);
   EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
 }
 
-TEST_F(Rate, ItIsKnownFromAnotherInstanceAlone) {
-  hear(4, 5);
+TEST_F(RateLimitsTest, RateReportedByAPeerAppliesHere) {
+  receive_news(4, 5);
   EXPECT_EQ(rate_limits_rate(limits, endpoint), 4);
-  EXPECT_EQ(allowed(), 0u);
+  EXPECT_EQ(send_all_allowed(), 0u);
 }
 
-/* answers overtake one another: one without it among those that name it is no
-** end, and does not set the limit aside until the next */
-TEST_F(Rate, OneAnswerWithoutItAmongOthersEndsNothing) {
+/* Answers may arrive out of order. One without a rate among those that name it
+** neither ends the limit nor suspends it until the next answer. */
+TEST_F(RateLimitsTest, SingleAnswerWithoutARateDoesNotEndTheLimit) {
   rate_limits_set(limits, endpoint, 4, now);
   for (int i = 0; i < 20; i++) {
     now += 40 * ms;
@@ -107,69 +111,72 @@
     now += 10 * ms;
     rate_limits_set(limits, endpoint, 4, now);
   }
-  now += 600 * ms; /* none has named it for a while */
+  now += 600 * ms; /* no answer has named a rate for a while */
   rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
   EXPECT_EQ(rate_limits_rate(limits, endpoint), RATE_UNLIMITED);
 }
 
-TEST_F(Rate, ThatItIsOverIsToldForAWhile) {
+TEST_F(RateLimitsTest, EndOfALimitIsReportedForAWhile) {
   rate_limits_set(limits, endpoint, 4, now);
-  EXPECT_EQ(told().rate, 4000u);
+  EXPECT_EQ(reported_row().rate, 4000u);
   now += second;
   rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
-  EXPECT_EQ(told().rate, MP_RATE_ANY);
-  EXPECT_EQ(told().endpoint, endpoint);
+  EXPECT_EQ(reported_row().rate, MP_RATE_ANY);
+  EXPECT_EQ(reported_row().endpoint, endpoint);
   now += 6 * second;
-  EXPECT_EQ(told().endpoint, 0u);
+  EXPECT_EQ(reported_row().endpoint, 0u);
 }
 
-/* what an endpoint has taken before it is overloaded again is not known */
-TEST_F(Rate, NamedAgainNothingIsSavedUp) {
+/* How many requests an endpoint got while it named no rate is not known. */
+TEST_F(RateLimitsTest, BucketBeginsEmptyWhenARateIsNamedAgain) {
   rate_limits_set(limits, endpoint, 4, now);
   now += 10 * second;
   rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
   now += 10 * second;
   rate_limits_set(limits, endpoint, 4, now);
-  EXPECT_EQ(allowed(), 0u);
+  EXPECT_EQ(send_all_allowed(), 0u);
 }
 
-TEST_F(Rate, WhatPeersSendIsTakenOff) {
+TEST_F(RateLimitsTest, RequestsOfPeersAreCharged) {
   rate_limits_set(limits, endpoint, 4, now);
-  hear(4, 0, 100);
+  receive_news(4, 0, 100);
   now += second;
-  hear(4, 0, 104); /* on top of 100 */
-  EXPECT_EQ(allowed(), 0u);
+  receive_news(4, 0, 104); /* four more */
+  EXPECT_EQ(send_all_allowed(), 0u);
   now += 2 * second;
-  EXPECT_GT(allowed(), 0u);
+  EXPECT_GT(send_all_allowed(), 0u);
 }
 
-TEST_F(Rate, SumsHoldWhatPeersOfTheDataCentreSent) {
+TEST_F(RateLimitsTest, SummaryCountsPeersOfTheOwnDataCentreOnly) {
   rate_limits_set(limits, endpoint, 4, now);
   rate_limits_count_sent(limits, endpoint);
-  hear(4, 0, 10);
-  hear(4, 0, 13);
-  hear(4, 0, 500, 3, 20); /* sums of another one are not handed on in ours */
-  hear(4, 0, 510, 3, 20);
-  EXPECT_EQ(told().sent, 1u);
-  EXPECT_EQ(told(true).sent, 4u);
+  receive_news(4, 0, 10);
+  receive_news(4, 0, 13);
+  /* sums of another data centre are not passed on */
+  receive_news(4, 0, 500, 3, 20);
+  receive_news(4, 0, 510, 3, 20);
+  EXPECT_EQ(reported_row().sent, 1u);
+  EXPECT_EQ(reported_row(true).sent, 4u);
 }
 
-/* a place that was not used is free here, and the others counted it already */
-TEST_F(Rate, WhatIsReturnedIsNotToldTwice) {
+/* A refunded request can be sent again here; it was reported already, so it is
+** not reported a second time. */
+TEST_F(RateLimitsTest, RefundedRequestIsNotReportedTwice) {
   rate_limits_set(limits, endpoint, 4, now);
   rate_limits_count_sent(limits, endpoint);
   rate_limits_refund(limits, endpoint);
-  EXPECT_EQ(told().sent, 1u);
+  EXPECT_EQ(reported_row().sent, 1u);
   rate_limits_count_sent(limits, endpoint);
-  EXPECT_EQ(told().sent, 1u);
+  EXPECT_EQ(reported_row().sent, 1u);
   rate_limits_count_sent(limits, endpoint);
-  EXPECT_EQ(told().sent, 2u);
+  EXPECT_EQ(reported_row().sent, 2u);
 }
 
-/* cut off with an eighth of the instances, an eighth of the rate is left */
-TEST_F(Rate, TheShareIsOfThoseHeard) {
-  unsigned whole = 0;
-  unsigned part = 0;
+/* An instance that reaches an eighth of the instances has an eighth of the
+** rate. */
+TEST_F(RateLimitsTest, RateIsScaledByTheShareOfReachableInstances) {
+  unsigned full_share_sent = 0;
+  unsigned partial_share_sent = 0;
   RateLimits *other = rate_limits_new(1);
   RateSharers cut = {{8, 1}, 0, RATE_REPORT_DELAY};
   rate_limits_set(limits, endpoint, 8, now);
@@ -178,19 +185,19 @@
     now += 10 * ms;
     if (rate_limits_allow(limits, endpoint, &alone, now)) {
       rate_limits_count_sent(limits, endpoint);
-      whole++;
+      full_share_sent++;
     }
     if (rate_limits_allow(other, endpoint, &cut, now)) {
       rate_limits_count_sent(other, endpoint);
-      part++;
+      partial_share_sent++;
     }
   }
   rate_limits_free(other);
-  EXPECT_NEAR(whole, 160, 6);
-  EXPECT_NEAR(part, 20, 3);
+  EXPECT_NEAR(full_share_sent, 160, 6);
+  EXPECT_NEAR(partial_share_sent, 20, 3);
 }
 
-TEST_F(Rate, AWaitIsLongerTheLessIsLeft) {
+TEST_F(RateLimitsTest, RetryDelayGrowsAsTheBucketEmpties) {
   rate_limits_set(limits, endpoint, 2, now);
   gint64 one = rate_limits_retry_delay(limits, endpoint, &alone, now);
   rate_limits_count_sent(limits, endpoint);
@@ -210,14 +217,14 @@
 ** ===================================================================
 */
 
-struct RateWorld : ::testing::Test {
+struct RouterRateLimitTest : ::testing::Test {
   World world;
 
   void SetUp() override {
     world.populate();
   }
-  /* the open dispatch's answer names this rate, or none */
-  void name(double rate) {
+  /* The answer to the last dispatch names this rate; below 0: none. */
+  void signal_rate(double rate) {
     world.signal(world.last().number, routing::signals_rate(rate));
   }
   bool logged(mp_EventNo number) const {
@@ -227,13 +234,14 @@
     }
     return false;
   }
-  /* a request of this path ends, and names this rate; its endpoint */
-  std::string served(const char *path, double rate) {
+  /* Sends a request of this path, whose answer names this rate and ends it;
+  ** returns the endpoint that it ran at. */
+  std::string serve_request(const char *path, double rate) {
     guint64 number = world.request(path);
     if (world.last().kind == DISPATCH_PREFILL)
       world.prefilled(world.last().number);
     EXPECT_EQ(world.runs(number), 1u);
-    name(rate);
+    signal_rate(rate);
     std::string at = world.last().endpoint;
     world.outcome(world.last().number,
                   world.last().stream ? OUTCOME_STREAM_END : OUTCOME_ANSWER);
@@ -241,33 +249,33 @@
   }
 };
 
-TEST_F(RateWorld, WhatIsSaidIsLogged) {
+TEST_F(RouterRateLimitTest, RateChangesAndUnreadableRatesAreLogged) {
   world.request("/safe/x");
   EndpointSignals bad = {};
   bad.rate = SIGNAL_UNREADABLE;
   world.signal(world.last().number, bad);
   EXPECT_TRUE(logged(MP_LOG_EP_RATE_BAD));
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
-  name(4);
+  signal_rate(4);
   EXPECT_TRUE(logged(MP_LOG_EP_RATE));
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
   world.signal(world.last().number, bad);
-  EXPECT_EQ(router_limited_endpoints(world.router), 1u); /* it holds on */
+  EXPECT_EQ(router_limited_endpoints(world.router), 1u); /* the limit stays */
   world.advance(second);
-  name(-1);
+  signal_rate(-1);
   EXPECT_TRUE(logged(MP_LOG_EP_RATE_OVER));
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
 }
 
-TEST_F(RateWorld, PlainRequestsGoElsewhere) {
-  std::string limited = served("/safe/x", 1);
+TEST_F(RouterRateLimitTest, PlainRequestsAvoidALimitedEndpoint) {
+  std::string limited = serve_request("/safe/x", 1);
   for (int i = 0; i < 5; i++)
-    EXPECT_NE(served("/safe/x", -1), limited);
+    EXPECT_NE(serve_request("/safe/x", -1), limited);
 }
 
-TEST_F(RateWorld, WhereAllNameOneTheRestIsRefusedAtOnce) {
-  served("/safe/x", 1);
-  served("/safe/x", 1);
+TEST_F(RouterRateLimitTest, ExcessIsRefusedAtOnceWhenAllEndpointsAreLimited) {
+  serve_request("/safe/x", 1);
+  serve_request("/safe/x", 1);
   guint64 number = world.request("/unsafe/x");
   EXPECT_EQ(world.runs(number), 0u);
   EXPECT_EQ(world.end(number).refusals, 1);
@@ -276,33 +284,32 @@
   EXPECT_EQ(world.end(number).at, world.now);
 }
 
-TEST_F(RateWorld, ALaterLifeHasNone) {
+TEST_F(RouterRateLimitTest, LaterIncarnationHasNoLimit) {
   world.started_unix_ms = 1000;
   world.populate();
-  std::string limited = served("/safe/x", 1);
+  std::string limited = serve_request("/safe/x", 1);
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
   world.started_unix_ms = 2000;
   world.endpoint({limited.c_str(), "app", "a", STAGE_NONE});
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
 }
 
-TEST_F(RateWorld, OneThatIsGoneHasNone) {
-  std::string limited = served("/safe/x", 1);
+TEST_F(RouterRateLimitTest, RemovedEndpointHasNoLimit) {
+  std::string limited = serve_request("/safe/x", 1);
   world.endpoint({limited.c_str(), "app", "a", STAGE_NONE}, true, true);
   EXPECT_EQ(router_limited_endpoints(world.router), 0u);
 }
 
-TEST_F(RateWorld, ADecodeEngineThatNamesOneGetsNoMoreReservations) {
-  std::string limited = served("/stream/x", 0.5);
+TEST_F(RouterRateLimitTest, LimitedDecodeEngineGetsNoReservation) {
+  std::string limited = serve_request("/stream/x", 0.5);
   for (int i = 0; i < 4; i++)
-    EXPECT_NE(served("/stream/x", -1), limited);
+    EXPECT_NE(serve_request("/stream/x", -1), limited);
 }
 
-/* a place is counted when it is reserved, and not again when the run is sent
- */
-TEST_F(RateWorld, ARunIsCountedOnce) {
-  served("/stream/x", 50);
-  served("/stream/x", 50);
+/* A run is counted when its engine is reserved, not again when it is sent. */
+TEST_F(RouterRateLimitTest, ReservationAndItsRunAreCountedOnce) {
+  serve_request("/stream/x", 50);
+  serve_request("/stream/x", 50);
   world.advance(5 * second);
   mp_RateNews before = {};
   router_report_rates(world.router, FALSE, &before, world.now);
@@ -324,28 +331,28 @@
   EXPECT_EQ(sum(sent), sum(before) + 1);
 }
 
-/* prompts are read by the decode engine where the prefill engine takes none */
-TEST_F(RateWorld, APrefillEngineThatNamesOneIsLeftOut) {
+/* The decode engine prefills where the only prefill engine is limited. */
+TEST_F(RouterRateLimitTest, LimitedPrefillEngineIsSkipped) {
   world.request("/stream/x");
   ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
-  name(0.5);
+  signal_rate(0.5);
   world.prefilled(world.last().number);
   world.outcome(world.last().number, OUTCOME_STREAM_END);
   world.request("/stream/x");
   EXPECT_EQ(world.last().kind, DISPATCH_RUN);
 }
 
-/* with both decode engines overloaded a request waits, and starts by itself
-** when one of them takes it: before it would be looked at for its own sake, a
-** fifth of its objective after it came */
-TEST_F(RateWorld, WhoWaitsStartsWhenTheRateAllowsIt) {
-  constexpr gint64 looked_at = 198 * ms;
-  served("/stream/x", 20);
-  served("/stream/x", 20);
+/* While both decode engines are overloaded a request waits. It starts as soon
+** as the rate of one engine allows it, before the queue would be checked for
+** its sake a fifth of its objective after its arrival. */
+TEST_F(RouterRateLimitTest, WaitingRequestStartsOnceTheRateAllowsIt) {
+  constexpr gint64 next_queue_check = 198 * ms;
+  serve_request("/stream/x", 20);
+  serve_request("/stream/x", 20);
   guint64 number = world.request("/stream/x");
   EXPECT_EQ(world.end(number).ends(), 0);
   size_t sent = world.dispatches.size();
-  world.advance(looked_at - ms);
+  world.advance(next_queue_check - ms);
   EXPECT_GT(world.dispatches.size(), sent);
 }
 
