--- a/test/test_quarantine.cc
+++ b/test/test_quarantine.cc
@@ -1,6 +1,8 @@
 /*
 ** test_quarantine.cc
-** The strikes against requests: merged in any order, held, lifted, kept
+** Tests of the quarantine: requests under which endpoints crashed, each crash
+** one strike against the request; when a request is held (refused), how
+** strikes of several instances are merged, and what is stored
 */
 
 #include <gtest/gtest.h>
@@ -18,15 +20,16 @@
 constexpr gint64 second = MP_SEC;
 constexpr gint64 hour = 3600 * second;
 constexpr gint64 day = 24 * hour;
-/* Unix time less the steady clock's */
-constexpr gint64 offset = 1700000000LL * second;
+/* Unix time minus the time of the steady clock */
+constexpr gint64 unix_offset = 1700000000LL * second;
 
-QuarantineSuspect suspect(guint64 content) {
+QuarantineSuspect suspect_of(guint64 content) {
   return {content, "q1", "route", nullptr};
 }
 
-QuarantineRecord record(guint64 content, const std::vector<guint32> &crashes,
-                        gint64 last = 0) {
+QuarantineRecord record_of(guint64 content,
+                           const std::vector<guint32> &crashes,
+                           gint64 last = 0) {
   QuarantineRecord out = {};
   out.content = content;
   for (guint32 crash : crashes)
@@ -35,54 +38,54 @@
   return out;
 }
 
-struct Table : ::testing::Test {
-  Quarantine *table = quarantine_new(offset, 1);
+struct QuarantineTest : ::testing::Test {
+  Quarantine *table = quarantine_new(unix_offset, 1);
   gint64 now = 1000 * second;
 
-  ~Table() override {
+  ~QuarantineTest() override {
     quarantine_free(table);
   }
-  bool strike(guint64 content, guint32 crash) {
-    QuarantineSuspect one = suspect(content);
+  bool add_strike(guint64 content, guint32 crash) {
+    QuarantineSuspect one = suspect_of(content);
     return quarantine_add_strike(table, &one, crash, now);
   }
-  bool hear(guint64 content, const std::vector<guint32> &crashes,
-            gint64 last = 0) {
-    QuarantineRecord told = record(content, crashes, last);
-    return quarantine_merge(table, &told, now);
+  bool merge_report(guint64 content, const std::vector<guint32> &crashes,
+                    gint64 last = 0) {
+    QuarantineRecord report = record_of(content, crashes, last);
+    return quarantine_merge(table, &report, now);
   }
   bool is_held(guint64 content) {
     return quarantine_held_until(table, content, now) != 0;
   }
-  /* the next write to the store; count 0: there is none */
-  QuarantineSave save() {
+  /* Returns the next write to the store; none: its record.count is 0. */
+  QuarantineSave next_save() {
     QuarantineSave out = {};
     quarantine_next_save(table, &out, now);
     return out;
   }
 };
 
-TEST_F(Table, TheThirdEndHoldsARequestAndNoOther) {
-  EXPECT_TRUE(strike(7, 1));
-  EXPECT_TRUE(strike(7, 2));
-  EXPECT_TRUE(strike(8, 2));
+TEST_F(QuarantineTest, ThirdCrashHoldsTheRequestAndNoOther) {
+  EXPECT_TRUE(add_strike(7, 1));
+  EXPECT_TRUE(add_strike(7, 2));
+  EXPECT_TRUE(add_strike(8, 2));
   EXPECT_FALSE(is_held(7));
-  EXPECT_TRUE(strike(7, 3));
+  EXPECT_TRUE(add_strike(7, 3));
   EXPECT_TRUE(is_held(7));
   EXPECT_FALSE(is_held(8));
 }
 
-TEST_F(Table, OneEndCountsOnceWhoeverTellsIt) {
-  EXPECT_TRUE(strike(7, 1));
-  EXPECT_FALSE(strike(7, 1));
-  EXPECT_FALSE(hear(7, {1}));
-  EXPECT_TRUE(hear(7, {1, 2}));
-  EXPECT_FALSE(hear(7, {2, 1}));
+TEST_F(QuarantineTest, CrashCountsOnceWhoeverReportsIt) {
+  EXPECT_TRUE(add_strike(7, 1));
+  EXPECT_FALSE(add_strike(7, 1));
+  EXPECT_FALSE(merge_report(7, {1}));
+  EXPECT_TRUE(merge_report(7, {1, 2}));
+  EXPECT_FALSE(merge_report(7, {2, 1}));
   EXPECT_EQ(quarantine_strike_count(table, 7), 2u);
 }
 
-/* each end of a hold lets it be tried; it ends an endpoint each time */
-TEST_F(Table, AtMostThreeAreTriedAfterTheThirdHoweverLongItIsSent) {
+/* After each hold the request is tried again and crashes an endpoint again. */
+TEST_F(QuarantineTest, RequestCrashesAtMostThreeMoreEndpointsAfterTheThird) {
   guint32 crash = 0;
   unsigned after_third = 0;
   for (gint64 until = now + 365 * day; now < until; now += 60 * second) {
@@ -90,75 +93,76 @@
     if (is_held(7))
       continue;
     after_third += quarantine_strike_count(table, 7) >= 3;
-    strike(7, ++crash);
+    add_strike(7, ++crash);
   }
   EXPECT_EQ(crash, 6u);
   EXPECT_LE(after_third, 3u);
   EXPECT_EQ(quarantine_held_until(table, 7, now), G_MAXINT64);
 }
 
-TEST_F(Table, AHoldEndsAndTheNextIsLonger) {
+TEST_F(QuarantineTest, EachHoldIsLongerThanTheLast) {
   for (guint32 crash = 1; crash <= 3; crash++)
-    strike(7, crash);
+    add_strike(7, crash);
   gint64 first = quarantine_held_until(table, 7, now) - now;
   now += first;
   EXPECT_FALSE(is_held(7));
-  strike(7, 4);
+  add_strike(7, 4);
   EXPECT_GT(quarantine_held_until(table, 7, now) - now, first);
 }
 
-TEST_F(Table, AGoodRunTakesOneStrikeOffAndNoneOfAHeldOne) {
-  strike(7, 1);
-  strike(7, 2);
+TEST_F(QuarantineTest, SuccessfulRunRemovesOneStrikeUnlessTheRequestIsHeld) {
+  add_strike(7, 1);
+  add_strike(7, 2);
   quarantine_run_succeeded(table, 7);
   EXPECT_EQ(quarantine_strike_count(table, 7), 1u);
-  EXPECT_FALSE(hear(7, {1, 2})); /* told late */
+  EXPECT_FALSE(merge_report(7, {1, 2})); /* a late report */
   EXPECT_EQ(quarantine_strike_count(table, 7), 1u);
-  strike(7, 3);
-  strike(7, 4);
+  add_strike(7, 3);
+  add_strike(7, 4);
   EXPECT_TRUE(is_held(7));
   quarantine_run_succeeded(table, 7);
   EXPECT_TRUE(is_held(7));
 }
 
-/* what many callers send runs wherever an endpoint ends */
-TEST_F(Table, ARequestThatRunsWellBetweenEndsIsNeverHeld) {
+/* A request that many callers send often runs where an endpoint crashes for
+** another reason. */
+TEST_F(QuarantineTest, RequestThatSucceedsBetweenCrashesIsNeverHeld) {
   for (guint32 crash = 1; crash < 1000; crash++) {
-    strike(7, crash);
+    add_strike(7, crash);
     quarantine_run_succeeded(table, 7);
     now += 10 * second;
     EXPECT_FALSE(is_held(7));
   }
 }
 
-TEST_F(Table, WhatAnOperatorLiftsDoesNotComeBackWhenItIsToldLate) {
+TEST_F(QuarantineTest, LiftedHoldIsNotRestoredByLateReports) {
   for (guint32 crash = 1; crash <= 4; crash++)
-    strike(7, crash);
+    add_strike(7, crash);
   quarantine_lift(table, 7, now);
   EXPECT_FALSE(is_held(7));
-  hear(7, {1, 2, 3, 4});
+  merge_report(7, {1, 2, 3, 4});
   EXPECT_FALSE(is_held(7));
   for (guint32 crash = 11; crash <= 13; crash++)
-    strike(7, crash);
+    add_strike(7, crash);
   EXPECT_TRUE(is_held(7));
 }
 
-TEST_F(Table, StrikesBelowAHoldAreForgottenAfterAnHour) {
-  strike(7, 1);
-  strike(7, 2);
+TEST_F(QuarantineTest, StrikesBelowAHoldExpireAfterAnHour) {
+  add_strike(7, 1);
+  add_strike(7, 2);
   now += hour + second;
   quarantine_expire(table, now);
   EXPECT_EQ(quarantine_strike_count(table, 7), 0u);
 }
 
-TEST_F(Table, ItsSizeIsBoundedAndHeldOnesStay) {
+TEST_F(QuarantineTest, TableSizeIsBoundedAndHeldRequestsStay) {
   guint suspects;
   guint held;
   for (guint32 crash = 1; crash <= 3; crash++)
-    strike(7, crash);
+    add_strike(7, crash);
   for (guint64 content = 100; content < 10100; content++) {
     now += second / 100;
-    strike(content, 5);
+    add_strike(content, 5);
   }
   EXPECT_TRUE(is_held(7));
   quarantine_count(table, now, &suspects, &held);
@@ -166,24 +170,24 @@
   EXPECT_EQ(held, 1u);
 }
 
-TEST_F(Table, NewsFitIntoOneDatagramWithTheGravestFirst) {
+TEST_F(QuarantineTest, MessageHoldsTheRequestsWithMostStrikesFirst) {
   mp_CrashNews news;
   for (guint64 content = 100; content < 200; content++)
-    strike(content, 1);
-  strike(150, 2);
-  strike(151, 2);
+    add_strike(content, 1);
+  add_strike(150, 2);
+  add_strike(151, 2);
   quarantine_write_news(table, FALSE, &news, now);
   EXPECT_EQ(news.n, static_cast<unsigned>(MP_CRASH_ROWS));
-  unsigned grave = 0;
+  unsigned two_strikes = 0;
   for (unsigned i = 0; i < news.n; i++)
-    grave += news.row[i].n == 2;
-  EXPECT_EQ(grave, 2u);
+    two_strikes += news.row[i].n == 2;
+  EXPECT_EQ(two_strikes, 2u);
 }
 
-TEST_F(Table, ItTellsWhatItSawForSomeSecondsAndWhatItHeardOnlyWhenAsked) {
+TEST_F(QuarantineTest, OwnStrikesAreReportedForSecondsAndOthersOnRequest) {
   mp_CrashNews news;
-  strike(7, 1);
-  hear(8, {1, 2});
+  add_strike(7, 1);
+  merge_report(8, {1, 2});
   quarantine_write_news(table, FALSE, &news, now);
   EXPECT_EQ(news.n, 1u);
   quarantine_write_news(table, TRUE, &news, now);
@@ -197,74 +201,76 @@
 ** The store
 */
 
-TEST_F(Table, ASingleStrikeCostsNoCall) {
-  strike(7, 1);
-  EXPECT_EQ(save().record.count, 0u);
-  strike(7, 2);
-  EXPECT_EQ(save().record.count, 2u);
-  EXPECT_EQ(save().position.revision, 0);
+TEST_F(QuarantineTest, SingleStrikeIsNotStored) {
+  add_strike(7, 1);
+  EXPECT_EQ(next_save().record.count, 0u);
+  add_strike(7, 2);
+  EXPECT_EQ(next_save().record.count, 2u);
+  EXPECT_EQ(next_save().position.revision, 0);
 }
 
-TEST_F(Table, WhatOthersSawIsTheirsToWrite) {
-  hear(7, {1, 2, 3});
-  EXPECT_EQ(save().record.count, 0u);
+TEST_F(QuarantineTest, StrikesOfPeersAreStoredByThem) {
+  merge_report(7, {1, 2, 3});
+  EXPECT_EQ(next_save().record.count, 0u);
 }
 
-TEST_F(Table, AWriteThatMeetsAnothersIsMergedAndTriedAgain) {
-  strike(7, 1);
-  strike(7, 2);
-  EXPECT_EQ(save().record.count, 2u);
-  QuarantineRecord stands = record(7, {3, 4});
-  quarantine_merge_stored(table, &stands, store_position(0, 40), now);
+TEST_F(QuarantineTest, ConflictingWriteIsMergedAndRepeated) {
+  add_strike(7, 1);
+  add_strike(7, 2);
+  EXPECT_EQ(next_save().record.count, 2u);
+  QuarantineRecord stored = record_of(7, {3, 4});
+  quarantine_merge_stored(table, &stored, store_position(0, 40), now);
   quarantine_save_failed(table, 7, now);
-  EXPECT_EQ(save().record.count, 0u); /* not at once */
+  EXPECT_EQ(next_save().record.count, 0u); /* it waits first */
   now += second;
-  QuarantineSave again = save();
+  QuarantineSave again = next_save();
   EXPECT_EQ(again.record.count, 4u);
   EXPECT_EQ(again.position.revision, 40);
   quarantine_merge_stored(table, &again.record, store_position(0, 41), now);
-  EXPECT_EQ(save().record.count, 0u);
+  EXPECT_EQ(next_save().record.count, 0u);
 }
 
-TEST_F(Table, WhatIsOverIsRemovedFromTheStoreOnce) {
-  strike(7, 1);
-  strike(7, 2);
-  QuarantineSave first = save();
+TEST_F(QuarantineTest, ExpiredRecordIsRemovedFromTheStoreOnce) {
+  add_strike(7, 1);
+  add_strike(7, 2);
+  QuarantineSave first = next_save();
   quarantine_merge_stored(table, &first.record, store_position(0, 40), now);
   now += 3 * hour;
   quarantine_expire(table, now);
-  now += 61 * second; /* each instance waits its part of a minute */
+  now += 61 * second; /* each instance waits a part of a minute that differs */
   quarantine_expire(table, now);
-  QuarantineSave removal = save();
+  QuarantineSave removal = next_save();
   EXPECT_TRUE(removal.remove);
   EXPECT_EQ(removal.position.revision, 40);
   quarantine_lift(table, 7, now);
-  EXPECT_FALSE(save().remove);
+  EXPECT_FALSE(next_save().remove);
 }
 
-TEST_F(Table, AHoldLastsFromItsLastStrikeWhoeverReadsIt) {
-  gint64 ago = 20 * 60 * second;
-  hear(7, {1, 2, 3}, (now - ago + offset) / MP_MS);
-  EXPECT_EQ(quarantine_held_until(table, 7, now), now - ago + hour);
-  hear(8, {1, 2, 3}, (now + day + offset) / MP_MS); /* a clock went wrong */
+TEST_F(QuarantineTest, HoldCountsFromItsLastStrikeAtEveryInstance) {
+  gint64 strike_age = 20 * 60 * second;
+  merge_report(7, {1, 2, 3}, (now - strike_age + unix_offset) / MP_MS);
+  EXPECT_EQ(quarantine_held_until(table, 7, now), now - strike_age + hour);
+  /* the clock of the reporter is wrong */
+  merge_report(8, {1, 2, 3}, (now + day + unix_offset) / MP_MS);
   EXPECT_EQ(quarantine_held_until(table, 8, now), now + hour);
 }
 
-/* instances that tell each other in any order, with losses, agree */
-TEST(Quarantines, AgreeInWhateverOrderTheyHear) {
+/* Instances whose messages arrive in any order, and are lost at times, end
+** with the same strikes. */
+TEST(QuarantineReplicas, AgreeInWhateverOrderMessagesArrive) {
   for (unsigned seed = 1; seed <= 50; seed++) {
     std::mt19937 random(seed);
     std::vector<Quarantine *> tables;
     gint64 now = 1000 * second;
-    std::map<guint64, std::vector<guint32>> ends;
+    std::map<guint64, std::vector<guint32>> crashes_of;
     for (guint64 i = 0; i < 5; i++)
-      tables.push_back(quarantine_new(offset, i));
+      tables.push_back(quarantine_new(unix_offset, i));
     for (guint32 crash = 1; crash <= 12; crash++) {
       guint64 content = 1 + random() % 3;
-      if (ends[content].size() == QUARANTINE_STRIKES_MAX)
+      if (crashes_of[content].size() == QUARANTINE_STRIKES_MAX)
         continue;
-      ends[content].push_back(crash);
-      QuarantineSuspect one = suspect(content);
+      crashes_of[content].push_back(crash);
+      QuarantineSuspect one = suspect_of(content);
       quarantine_add_strike(tables[random() % 5], &one, crash, now);
     }
     for (int round = 0; round < 200; round++) {
@@ -274,11 +280,11 @@
       for (unsigned i = 0; i < news.n; i++) {
         std::vector<guint32> crashes(news.row[i].crash,
                                      news.row[i].crash + news.row[i].n);
-        QuarantineRecord told = record(news.row[i].request, crashes);
-        quarantine_merge(to, &told, now);
+        QuarantineRecord report = record_of(news.row[i].request, crashes);
+        quarantine_merge(to, &report, now);
       }
     }
-    for (auto &[content, crashes] : ends) {
+    for (auto &[content, crashes] : crashes_of) {
       for (Quarantine *table : tables)
         EXPECT_EQ(quarantine_strike_count(table, content), crashes.size())
             << "seed " << seed;
@@ -288,22 +294,23 @@
   }
 }
 
-TEST_F(Table, WhatARestoredStoreLostIsWrittenAgainByWhoSawIt) {
-  strike(7, 1);
-  strike(7, 2);
-  QuarantineSave first = save();
+TEST_F(QuarantineTest,
+       StrikesLostByARestoredStoreAreWrittenAgainByTheirReporter) {
+  add_strike(7, 1);
+  add_strike(7, 2);
+  QuarantineSave first = next_save();
   quarantine_merge_stored(table, &first.record, store_position(1, 40), now);
-  hear(8, {1, 2, 3});
-  ASSERT_EQ(save().record.count, 0u);
+  merge_report(8, {1, 2, 3});
+  ASSERT_EQ(next_save().record.count, 0u);
   quarantine_store_restored(table, 2);
-  QuarantineSave again = save();
+  QuarantineSave again = next_save();
   EXPECT_EQ(again.record.content, 7u);
   EXPECT_EQ(again.record.count, 2u);
   EXPECT_TRUE(store_position_is_none(again.position));
   quarantine_merge_stored(table, &again.record, store_position(2, 12), now);
-  EXPECT_EQ(save().record.count, 0u);
-  quarantine_store_restored(table, 2); /* heard once more, from another one */
-  EXPECT_EQ(save().record.count, 0u);
+  EXPECT_EQ(next_save().record.count, 0u);
+  quarantine_store_restored(table, 2); /* another instance reports it again */
+  EXPECT_EQ(next_save().record.count, 0u);
 }
 
 } // namespace
--- a/test/test_stages.cc
+++ b/test/test_stages.cc
@@ -1,6 +1,7 @@
 /*
 ** test_stages.cc
-** Orders to engines to change their stage: when, which, by whom
+** Tests of orders that make engines change between the prefill and the decode
+** stage: how many engines, when, and which instance sends the orders
 */
 
 #include <gtest/gtest.h>
@@ -22,65 +23,65 @@
 ** The plan
 */
 
-StageUse use(guint prefill, guint decode, double busy, double full) {
+StageUse usage(guint prefill, guint decode, double busy, double full) {
   StageUse one = {prefill, decode, 1, busy, busy, full, FALSE};
   return one;
 }
 
-TEST(StagePlan, IdlePrefillEnginesGoToAFullDecodeStage) {
-  StageUse one = use(21, 39, 5.25, 28.0);
-  EXPECT_EQ(stage_plan(&one), 12); /* 9 keep pace with 51 */
+TEST(StagePlan, IdlePrefillEnginesMoveToAFullDecodeStage) {
+  StageUse one = usage(21, 39, 5.25, 28.0);
+  EXPECT_EQ(stage_plan(&one), 12); /* 9 can prefill for 51 that decode */
 }
 
-TEST(StagePlan, TheMixDecidesNotTheAmountOfTraffic) {
-  StageUse calm = use(21, 39, 5.25, 28.0);
-  StageUse busy = use(21, 39, 7.0, 28.0 * 7.0 / 5.25);
+TEST(StagePlan, PlanDependsOnTheMixOfTrafficNotOnItsAmount) {
+  StageUse calm = usage(21, 39, 5.25, 28.0);
+  StageUse busy = usage(21, 39, 7.0, 28.0 * 7.0 / 5.25);
   EXPECT_EQ(stage_plan(&calm), stage_plan(&busy));
 }
 
-TEST(StagePlan, NothingMovesWithoutNeed) {
-  StageUse idle = use(21, 39, 0.5, 2.0);
-  StageUse balanced = use(4, 8, 3.2, 7.0);
-  StageUse empty = use(21, 39, 0, 0);
+TEST(StagePlan, NothingMovesWhenBothStagesHaveCapacity) {
+  StageUse idle = usage(21, 39, 0.5, 2.0);
+  StageUse balanced = usage(4, 8, 3.2, 7.0);
+  StageUse empty = usage(21, 39, 0, 0);
   EXPECT_EQ(stage_plan(&idle), 0);
   EXPECT_EQ(stage_plan(&balanced), 0);
   EXPECT_EQ(stage_plan(&empty), 0);
 }
 
 TEST(StagePlan, EachZoneKeepsAPrefillEngineAndOneEngineDecodes) {
-  StageUse one = use(6, 6, 0.1, 6.0);
+  StageUse one = usage(6, 6, 0.1, 6.0);
   one.zones = 3;
   EXPECT_EQ(stage_plan(&one), 3);
   one.zones = 0;
   EXPECT_EQ(stage_plan(&one), 5);
-  StageUse few = use(1, 1, 1.0, 1.0);
+  StageUse few = usage(1, 1, 1.0, 1.0);
   EXPECT_EQ(stage_plan(&few), 0);
 }
 
-TEST(StagePlan, EnginesComeBackWhenPromptsQueue) {
-  StageUse one = use(4, 16, 4.0, 3.0);
+TEST(StagePlan, EnginesReturnToPrefillWhenPromptsQueue) {
+  StageUse one = usage(4, 16, 4.0, 3.0);
   one.prompts = 12.0;
   EXPECT_LE(stage_plan(&one), -2);
-  one.prompts = 5.0; /* they keep pace */
+  one.prompts = 5.0; /* the prefill engines are fast enough */
   EXPECT_GE(stage_plan(&one), 0);
 }
 
-TEST(StagePlan, AFloodOfPromptsBeforeTheirRunsMovesNothing) {
-  StageUse one = use(13, 47, 13.0, 40.0); /* all full: nobody gains */
+TEST(StagePlan, BurstOfPromptsMovesNothingWhileBothStagesAreFull) {
+  StageUse one = usage(13, 47, 13.0, 40.0); /* both stages are full */
   one.prompts = 60.0;
   one.waiting = TRUE;
   EXPECT_EQ(stage_plan(&one), 0);
 }
 
-TEST(StagePlan, FewEnginesKeepRelativelyMoreForPrompts) {
-  StageUse few = use(4, 8, 2.4, 6.5);
-  StageUse many = use(40, 80, 24.0, 65.0);
-  EXPECT_EQ(stage_plan(&few), 0);   /* 4 of 12 are left */
-  EXPECT_EQ(stage_plan(&many), 11); /* 29 of 120: relatively fewer */
+TEST(StagePlan, SmallServicesKeepALargerShareOfPrefillEngines) {
+  StageUse few = usage(4, 8, 2.4, 6.5);
+  StageUse many = usage(40, 80, 24.0, 65.0);
+  EXPECT_EQ(stage_plan(&few), 0);   /* 4 of 12 stay */
+  EXPECT_EQ(stage_plan(&many), 11); /* 29 of 120 stay, a smaller share */
 }
 
-TEST(StagePlan, PromptsThatQueueKeepTheirEnginesHoweverFullDecodeIs) {
-  StageUse one = use(12, 48, 11.0, 47.0);
+TEST(StagePlan, QueuedPromptsKeepTheirEnginesHoweverFullDecodeIs) {
+  StageUse one = usage(12, 48, 11.0, 47.0);
   one.waiting = TRUE;
   one.prompts = 30.0;
   EXPECT_LE(stage_plan(&one), 0);
@@ -92,7 +93,7 @@
 
 constexpr gint64 lease_length = 3 * second;
 
-struct Ordered : ::testing::Test {
+struct StageOrderTest : ::testing::Test {
   World world{0, 10.0, lease_length};
 
   void SetUp() override {
@@ -103,16 +104,16 @@
       world.endpoint({id, "llm", "a", STAGE_DECODE});
   }
 
-  /* both decode engines nearly full, or with fewer runs */
-  void load(int runs = 16) {
+  /* Starts so many runs; 16 nearly fill both decode engines. */
+  void start_runs(int runs = 16) {
     for (int i = 0; i < runs; i++) {
       world.request("/stream/x", 100000, 1000);
       world.prefilled(world.last().number);
       world.outcome(world.last().number, OUTCOME_STREAM_HEAD);
     }
   }
-  /* prompts that are read for 30 ms of every 140 */
-  void traffic(gint64 span) {
+  /* Sends a prompt every 140 ms, whose prefill takes 30 ms. */
+  void run_prefill_traffic(gint64 span) {
     for (gint64 end = world.now + span; world.now < end;) {
       guint64 request = world.request("/stream/x", 100000, 1000);
       guint64 prefill = world.last().number;
@@ -123,7 +124,7 @@
       world.advance(110 * ms);
     }
   }
-  std::vector<Sent> sent(DispatchKind kind) const {
+  std::vector<Sent> dispatches_of(DispatchKind kind) const {
     std::vector<Sent> found;
     for (const auto &one : world.dispatches) {
       if (one.kind == kind)
@@ -131,10 +132,11 @@
     }
     return found;
   }
-  /* loaded until the lease is asked for, and granted */
-  void hold() {
-    load();
-    traffic(9 * second);
+  /* Keeps the engines loaded until the router requests the lease, and grants
+  ** it. */
+  void load_and_take_lease() {
+    start_runs();
+    run_prefill_traffic(9 * second);
     ASSERT_EQ(world.lease_calls.size(), 1u);
     EXPECT_EQ(world.lease_calls[0].operation, STORE_READ);
     world.lease(STORE_NOT_FOUND, 0, nullptr);
@@ -143,25 +145,27 @@
     EXPECT_EQ(world.lease_calls[1].operation, STORE_CREATE);
     world.lease(STORE_OK, 70, "me");
   }
-  /* and the engines that were chosen are asked for their state */
-  std::vector<Sent> asked() {
-    hold();
+  /* Takes the lease; returns the dispatches that ask the chosen engines for
+  ** their state. */
+  std::vector<Sent> reports_after_lease() {
+    load_and_take_lease();
     world.advance(500 * ms);
-    return sent(DISPATCH_REPORT);
+    return dispatches_of(DISPATCH_REPORT);
   }
 };
 
-TEST_F(Ordered, NothingIsSentWithoutTheLease) {
-  load();
-  traffic(8 * second);
-  EXPECT_TRUE(sent(DISPATCH_REPORT).empty());
-  EXPECT_TRUE(sent(DISPATCH_ORDER).empty());
+TEST_F(StageOrderTest, NothingIsSentWithoutTheLease) {
+  start_runs();
+  run_prefill_traffic(8 * second);
+  EXPECT_TRUE(dispatches_of(DISPATCH_REPORT).empty());
+  EXPECT_TRUE(dispatches_of(DISPATCH_ORDER).empty());
 }
 
-/* without the store no requests with keys are taken for some seconds: the
-** prefill engines are idle at once, the runs that they left go on */
-TEST_F(Ordered, PromptsThatStopComingMoveNothing) {
-  load(10);
+/* While the store is down, no requests with keys are accepted for some
+** seconds. The prefill engines become idle at once, and the runs that they
+** have prefilled go on. */
+TEST_F(StageOrderTest, PauseOfPromptsMovesNothing) {
+  start_runs(10);
   for (gint64 end = world.now + 3500 * ms; world.now < end;) {
     std::vector<guint64> requests, prefills;
     for (int i = 0; i < 4; i++) {
@@ -176,15 +180,15 @@
     world.advance(10 * ms);
   }
   EXPECT_TRUE(world.lease_calls.empty());
-  world.advance(6 * second); /* and the runs have not reached their time-out */
+  world.advance(6 * second); /* the runs have not reached their timeout */
   EXPECT_TRUE(world.lease_calls.empty());
 }
 
-TEST_F(Ordered, AnOrderNamesFenceAndSequence) {
-  auto reports = asked();
+TEST_F(StageOrderTest, OrderCarriesFenceAndSequence) {
+  auto reports = reports_after_lease();
   ASSERT_FALSE(reports.empty());
   world.reported(reports[0].number, STAGE_PREFILL, 4);
-  auto orders = sent(DISPATCH_ORDER);
+  auto orders = dispatches_of(DISPATCH_ORDER);
   ASSERT_EQ(orders.size(), 1u);
   EXPECT_EQ(orders[0].endpoint, reports[0].endpoint);
   EXPECT_EQ(orders[0].order_stage, STAGE_DECODE);
@@ -192,10 +196,10 @@
   EXPECT_EQ(orders[0].sequence, 4);
 }
 
-TEST_F(Ordered, AChosenEngineGetsNoWorkHereNorFromTheOthers) {
-  hold();
+TEST_F(StageOrderTest, ChosenEngineGetsNoWorkHereOrFromPeers) {
+  load_and_take_lease();
   world.advance(50 * ms);
-  EXPECT_TRUE(sent(DISPATCH_REPORT).empty()); /* named before it is asked */
+  EXPECT_TRUE(dispatches_of(DISPATCH_REPORT).empty()); /* peers know first */
   mp_LoadDigest digest;
   router_load_digest(world.router, &digest, world.now);
   ASSERT_GT(digest.changing_count, 0u);
@@ -208,7 +212,7 @@
                    other.now);
   world.advance(500 * ms);
   std::set<std::string> chosen;
-  for (const auto &one : sent(DISPATCH_REPORT))
+  for (const auto &one : dispatches_of(DISPATCH_REPORT))
     chosen.insert(one.endpoint);
   ASSERT_EQ(chosen.size(), digest.changing_count);
   for (int i = 0; i < 8; i++) {
@@ -219,100 +223,105 @@
   }
 }
 
-TEST_F(Ordered, ABusyEngineOrOneThatHasChangedIsLeftAlone) {
-  auto reports = asked();
+TEST_F(StageOrderTest, BusyOrChangedEngineGetsNoOrder) {
+  auto reports = reports_after_lease();
   ASSERT_GE(reports.size(), 2u);
   world.reported(reports[0].number, STAGE_PREFILL, 0, true);
   world.reported(reports[1].number, STAGE_DECODE, 0);
-  EXPECT_TRUE(sent(DISPATCH_ORDER).empty());
+  EXPECT_TRUE(dispatches_of(DISPATCH_ORDER).empty());
 }
 
-TEST_F(Ordered, NothingIsOrderedOnceTheLeaseMayLapse) {
-  auto reports = asked();
+TEST_F(StageOrderTest, NothingIsOrderedOnceTheLeaseMayHaveExpired) {
+  auto reports = reports_after_lease();
   ASSERT_FALSE(reports.empty());
-  world.now += lease_length; /* this process stood still */
+  world.now += lease_length; /* this process was suspended */
   world.reported(reports[0].number, STAGE_PREFILL, 0);
-  EXPECT_TRUE(sent(DISPATCH_ORDER).empty());
+  EXPECT_TRUE(dispatches_of(DISPATCH_ORDER).empty());
 }
 
-TEST_F(Ordered, ANewerFenceStopsAllOrders) {
-  auto reports = asked();
+TEST_F(StageOrderTest, NewerFenceStopsAllOrders) {
+  auto reports = reports_after_lease();
   ASSERT_GE(reports.size(), 2u);
   world.reported(reports[0].number, STAGE_PREFILL, 0);
-  world.outcome(sent(DISPATCH_ORDER)[0].number, OUTCOME_ANSWER, 412);
+  world.outcome(dispatches_of(DISPATCH_ORDER)[0].number, OUTCOME_ANSWER, 412);
   world.reported(reports[1].number, STAGE_PREFILL, 0);
-  traffic(4 * second);
-  EXPECT_EQ(sent(DISPATCH_ORDER).size(), 1u);
+  run_prefill_traffic(4 * second);
+  EXPECT_EQ(dispatches_of(DISPATCH_ORDER).size(), 1u);
 }
 
-TEST_F(Ordered, AnEngineThatChangedIsNotOrderedAgain) {
-  auto reports = asked();
+TEST_F(StageOrderTest, ChangedEngineIsNotOrderedAgain) {
+  auto reports = reports_after_lease();
   for (const auto &report : reports) {
     world.reported(report.number, STAGE_PREFILL, 0);
-    world.outcome(sent(DISPATCH_ORDER).back().number, OUTCOME_ANSWER, 202);
+    world.outcome(dispatches_of(DISPATCH_ORDER).back().number, OUTCOME_ANSWER,
+                  202);
     world.endpoint({report.endpoint.c_str(), "llm", "a", STAGE_DECODE});
   }
-  size_t orders = sent(DISPATCH_ORDER).size();
-  traffic(4 * second);
-  EXPECT_EQ(sent(DISPATCH_ORDER).size(), orders);
+  size_t orders = dispatches_of(DISPATCH_ORDER).size();
+  run_prefill_traffic(4 * second);
+  EXPECT_EQ(dispatches_of(DISPATCH_ORDER).size(), orders);
   mp_LoadDigest digest;
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.changing_count, 0u);
 }
 
-TEST_F(Ordered, AnOrderWithoutAnswerIsNotSentAgainAtOnce) {
-  auto reports = asked();
+TEST_F(StageOrderTest, UnansweredOrderIsNotRepeatedAtOnce) {
+  auto reports = reports_after_lease();
   ASSERT_FALSE(reports.empty());
   world.reported(reports[0].number, STAGE_PREFILL, 0);
-  world.outcome(sent(DISPATCH_ORDER)[0].number, OUTCOME_BROKEN);
-  traffic(6 * second);
-  for (const auto &one : sent(DISPATCH_REPORT)) {
+  world.outcome(dispatches_of(DISPATCH_ORDER)[0].number, OUTCOME_BROKEN);
+  run_prefill_traffic(6 * second);
+  for (const auto &one : dispatches_of(DISPATCH_REPORT)) {
     if (one.number != reports[0].number) {
       EXPECT_NE(one.endpoint, reports[0].endpoint);
     }
   }
 }
 
-TEST_F(Ordered, NoMoreChangeAtATimeThanTheOthersCanBeTold) {
+TEST_F(StageOrderTest, AtMostADigestsWorthOfEnginesChangeAtATime) {
   std::vector<std::string> names;
   for (int i = 0; i < 40; i++)
     names.push_back("more-" + std::to_string(i));
   for (const auto &name : names)
     world.endpoint({name.c_str(), "llm", "a", STAGE_PREFILL});
-  auto reports = asked();
+  auto reports = reports_after_lease();
   EXPECT_LE(reports.size(), static_cast<size_t>(MP_DIGEST_CHANGING));
   for (const auto &report : reports) {
     world.reported(report.number, STAGE_PREFILL, 0);
-    world.outcome(sent(DISPATCH_ORDER).back().number, OUTCOME_ANSWER, 202);
+    world.outcome(dispatches_of(DISPATCH_ORDER).back().number, OUTCOME_ANSWER,
+                  202);
   }
-  traffic(2500 * ms); /* another round would be due, none has changed yet */
+  /* another round would be due, but no engine has changed yet */
+  run_prefill_traffic(2500 * ms);
   while (world.lease_calls.size() > 2 && world.now < 130 * second) {
     world.lease(STORE_OK, 71, "me", 2);
-    traffic(second);
+    run_prefill_traffic(second);
     break;
   }
-  EXPECT_EQ(sent(DISPATCH_REPORT).size(), reports.size());
+  EXPECT_EQ(dispatches_of(DISPATCH_REPORT).size(), reports.size());
 }
 
-TEST_F(Ordered, AfterAStartNothingIsOrderedUntilTheUseHasSettled) {
-  load();
-  traffic(4 * second);
+TEST_F(StageOrderTest, NothingIsOrderedUntilUsageIsMeasuredAfterAStart) {
+  start_runs();
+  run_prefill_traffic(4 * second);
   EXPECT_TRUE(world.lease_calls.empty());
 }
 
-TEST_F(Ordered, WhoComesAfterLiveOnesWaitsLonger) {
+TEST_F(StageOrderTest, InstanceBehindLivePeersWaitsLonger) {
   mp_LoadDigest idle = {};
-  load();
-  for (guint32 i = 1; i <= 8; i++) { /* 4 s: the first one would have */
+  start_runs();
+  /* for 4 s; an instance without peers of a smaller address would act by now
+   */
+  for (guint32 i = 1; i <= 8; i++) {
     router_peer_load(world.router, mp_addr_parse("10.0.0.1:1"), i, &idle,
                      world.now);
-    traffic(500 * ms);
+    run_prefill_traffic(500 * ms);
   }
   EXPECT_TRUE(world.lease_calls.empty());
-  for (guint32 i = 9; i <= 16; i++) { /* the first one does nothing */
+  for (guint32 i = 9; i <= 16; i++) { /* the peer does not act */
     router_peer_load(world.router, mp_addr_parse("10.0.0.1:1"), i, &idle,
                      world.now);
-    traffic(500 * ms);
+    run_prefill_traffic(500 * ms);
   }
   EXPECT_FALSE(world.lease_calls.empty());
 }
