--- a/test/test_config_proof.cc
+++ b/test/test_config_proof.cc
@@ -1,8 +1,8 @@
 /*
 ** test_config_proof.cc
-** Since when a configuration may be out of date: heartbeats that waited,
-** clocks that differ, and, with many instances, that no one ever claims a
-** later moment than the true one
+** Tests of the proof of a configuration's age: the latest time at which it is
+** known to have been current. Covers delayed heartbeats, clocks that differ,
+** and, with many instances, that no proof is later than the true time.
 */
 
 #include <gtest/gtest.h>
@@ -23,10 +23,10 @@
 ** ===================================================================
 */
 
-struct Proof : ::testing::Test {
+struct ConfigProofTest : ::testing::Test {
   ConfigProof proof = {};
   gint64 now = 50 * second;
-  gint64 relay_ahead = 7000 * second; /* the relay's clock less this one */
+  gint64 relay_ahead = 7000 * second; /* the relay's clock minus this one */
 
   void SetUp() override {
     config_proof_init(&proof);
@@ -35,9 +35,9 @@
   void TearDown() override {
     config_proof_clear(&proof);
   }
-  /* a heartbeat sent at this time of ours */
-  mp_RelayBeat beat(gint64 sent, guint32 proof_ms = 100, guint64 changed = 10,
-                    gint64 asked = 0) const {
+  /* A heartbeat that was sent at this time of the local clock. */
+  mp_RelayBeat heartbeat(gint64 sent, guint32 proof_ms = 100,
+                         guint64 changed = 10, gint64 asked = 0) const {
     mp_RelayBeat out = {};
     out.changed[STORE_CONFIGURATION] =
         at_revision(static_cast<gint64>(changed));
@@ -46,103 +46,103 @@
     out.asked_us = static_cast<guint64>(asked);
     return out;
   }
-  void hear(const mp_RelayBeat &heard) {
+  void receive(const mp_RelayBeat &heard) {
     config_proof_apply_heartbeat(&proof, relay, &heard, now);
   }
-  /* asked now, answered after 2 ms */
-  void bound_clock() {
+  /* Requests a heartbeat now and receives it after 2 ms. */
+  void exchange_to_bound_clock() {
     gint64 asked = now;
     now += 2 * ms;
-    hear(beat(asked + 1 * ms, 100, 10, asked));
+    receive(heartbeat(asked + 1 * ms, 100, 10, asked));
   }
 };
 
-TEST_F(Proof, NothingIsKnownAtFirst) {
+TEST_F(ConfigProofTest, NothingIsProvedAtFirst) {
   EXPECT_EQ(config_proof_age_ms(&proof, now), CONFIG_PROOF_NONE);
 }
 
-TEST_F(Proof, AHeartbeatOfAnUnknownClockProvesNothing) {
-  hear(beat(now));
+TEST_F(ConfigProofTest, HeartbeatOfAnUnboundedClockProvesNothing) {
+  receive(heartbeat(now));
   EXPECT_EQ(proof.at, 0);
   EXPECT_TRUE(config_proof_must_bound_clock(&proof, relay, now));
-  bound_clock();
+  exchange_to_bound_clock();
   EXPECT_GT(proof.at, 0);
   EXPECT_FALSE(config_proof_must_bound_clock(&proof, relay, now));
 }
 
-TEST_F(Proof, WithABoundClockItIsThatMuchBeforeItWasSent) {
-  bound_clock();
+TEST_F(ConfigProofTest, BoundClockProvesTheSendTimeMinusTheReportedAge) {
+  exchange_to_bound_clock();
   gint64 sent = now + 200 * ms;
   now = sent + 1 * ms;
-  hear(beat(sent));
+  receive(heartbeat(sent));
   EXPECT_LE(proof.at, sent - 100 * ms);
   EXPECT_GE(proof.at, sent - 100 * ms - 2 * ms);
 }
 
-TEST_F(Proof, AHeartbeatThatWaitedCountsFromWhenItWasSent) {
-  bound_clock();
+TEST_F(ConfigProofTest, DelayedHeartbeatCountsFromItsSendTime) {
+  exchange_to_bound_clock();
   gint64 sent = now + 200 * ms;
-  now = sent + 4 * second; /* stopped, and woken again */
-  hear(beat(sent));
+  now = sent + 4 * second; /* this process was suspended */
+  receive(heartbeat(sent));
   EXPECT_LE(proof.at, sent - 100 * ms);
   EXPECT_GE(config_proof_age_ms(&proof, now), 4100u);
 }
 
-TEST_F(Proof, AnAnswerThatWaitedBoundsTheClockLoosely) {
+TEST_F(ConfigProofTest, DelayedAnswerBoundsTheClockLoosely) {
   gint64 asked = now;
   gint64 sent = now + 1 * ms;
   now += 3 * second;
-  hear(beat(sent, 100, 10, asked));
+  receive(heartbeat(sent, 100, 10, asked));
   EXPECT_LE(proof.at, sent - 100 * ms);
 }
 
-TEST_F(Proof, ChangesThatAreNotKnownHereProveNothing) {
-  bound_clock();
+TEST_F(ConfigProofTest, HeartbeatWithUnknownChangesProvesNothing) {
+  exchange_to_bound_clock();
   gint64 before = proof.at;
   now += 500 * ms;
-  hear(beat(now, 0, 11));
+  receive(heartbeat(now, 0, 11));
   EXPECT_EQ(proof.at, before);
   config_proof_advance_known(&proof, at_revision(11));
-  hear(beat(now, 0, 11));
+  receive(heartbeat(now, 0, 11));
   EXPECT_GT(proof.at, before);
 }
 
-/* its revisions say nothing of a store that was restored from a copy */
-TEST_F(Proof, ARelayOfAnotherEraProvesNothing) {
-  bound_clock();
+/* Revisions of different eras of the store cannot be compared. */
+TEST_F(ConfigProofTest, RelayOfAnotherEraProvesNothing) {
+  exchange_to_bound_clock();
   gint64 before = proof.at;
-  mp_RelayBeat other = beat(now, 0, 5);
+  mp_RelayBeat other = heartbeat(now, 0, 5);
   now += 500 * ms;
   other.sent_us += 500 * ms;
   other.changed[STORE_CONFIGURATION].era = 1;
-  hear(other);
+  receive(other);
   EXPECT_EQ(proof.at, before);
   config_proof_advance_known(&proof, store_position(2, 31));
-  hear(other);
+  receive(other);
   EXPECT_EQ(proof.at, before);
   other.changed[STORE_CONFIGURATION].era = 2;
-  hear(other);
+  receive(other);
   EXPECT_GT(proof.at, before);
 }
 
-TEST_F(Proof, ARelayWithoutProofGivesNone) {
-  bound_clock();
+TEST_F(ConfigProofTest, RelayWithoutProofProvesNothing) {
+  exchange_to_bound_clock();
   gint64 before = proof.at;
   now += 500 * ms;
-  hear(beat(now, CONFIG_PROOF_NONE));
+  receive(heartbeat(now, CONFIG_PROOF_NONE));
   EXPECT_EQ(proof.at, before);
 }
 
-TEST_F(Proof, ARelayWhoseClockBeganAnewProvesOldMomentsAlone) {
-  bound_clock();
+TEST_F(ConfigProofTest, RebootedRelayProvesNothingNewer) {
+  exchange_to_bound_clock();
   gint64 before = proof.at;
   now += 500 * ms;
-  relay_ahead = -now + 1 * second; /* it was switched off */
-  hear(beat(now, 0));
+  relay_ahead = -now + 1 * second; /* its machine was rebooted */
+  receive(heartbeat(now, 0));
   EXPECT_EQ(proof.at, before);
 }
 
-TEST_F(Proof, WhatIsToldOnIsNeverLater) {
+TEST_F(ConfigProofTest, ReportedAgeIsRoundedUp) {
   config_proof_confirm_by_store(&proof, now - 1);
   EXPECT_EQ(config_proof_age_ms(&proof, now), 1u);
 }
@@ -155,10 +155,11 @@
 ** ===================================================================
 */
 
-/* a watch's answer is 4 ms old when it comes */
+/* How much later than the true time a proof may seem to be: times are rounded
+** to 1 ms. The answer to a watch is 4 ms old on arrival. */
 constexpr gint64 rounding = 1 * ms;
 
-struct ManyProofs : ::testing::TestWithParam<unsigned> {
+struct ConfigProofFleetTest : ::testing::TestWithParam<unsigned> {
   World world{3, GetParam(), 0.02, 5, true};
   std::mt19937 random{GetParam()};
   std::vector<gint64> writes; /* when each version was written */
@@ -176,8 +177,8 @@
     world.write(STORE_CONFIGURATION, "main", text);
     writes.push_back(world.now);
   }
-  /* no claim is later than the first change that the instance lacks */
-  void check() {
+  /* No proof may be later than the first change that its instance lacks. */
+  void check_all_proofs() {
     for (auto &one : world.all) {
       if (!one->alive || relay_group_proof(one->group)->at == 0)
         continue;
@@ -192,11 +193,11 @@
   void run_checked(gint64 span) {
     for (gint64 done = 0; done < span; done += 20 * ms) {
       world.run(20 * ms);
-      check();
+      check_all_proofs();
       ASSERT_FALSE(HasFailure());
     }
   }
-  gint64 oldest() {
+  gint64 oldest_proof_age() {
     gint64 worst = 0;
     for (auto &one : world.all) {
       if (one->alive)
@@ -204,7 +205,7 @@
     }
     return worst;
   }
-  void fault() {
+  void inject_fault() {
     Instance &one = *world.all[random() % world.all.size()];
     switch (random() % 8) {
     case 0:
@@ -229,7 +230,7 @@
       write();
     }
   }
-  void heal() {
+  void end_all_faults() {
     world.store_up = true;
     for (auto &one : world.all) {
       one->cut_from_store = false;
@@ -240,28 +241,28 @@
   }
 };
 
-TEST_P(ManyProofs, InCalmTimesTheyAreYoung) {
+TEST_P(ConfigProofFleetTest, ProofsAreYoungWithoutFaults) {
   gint64 worst = 0;
   for (int i = 0; i < 100; i++) {
     world.run(100 * ms);
-    worst = std::max(worst, oldest());
+    worst = std::max(worst, oldest_proof_age());
   }
-  /* a watch of 0.83 s and three heartbeats, one of them lost */
+  /* a watch of 0.83 s and three heartbeats, one of which is lost */
   EXPECT_LE(worst, 1600 * ms);
 }
 
-TEST_P(ManyProofs, NoClaimIsEverTooLate) {
+TEST_P(ConfigProofFleetTest, ProofIsNeverLaterThanTheFirstMissingChange) {
   for (int i = 0; i < 60; i++) {
-    fault();
+    inject_fault();
     run_checked(static_cast<gint64>(random() % 700) * ms);
     ASSERT_FALSE(HasFailure()) << "fault " << i;
   }
-  heal();
+  end_all_faults();
   run_checked(6 * second);
-  EXPECT_LE(oldest(), 1600 * ms);
+  EXPECT_LE(oldest_proof_age(), 1600 * ms);
 }
 
-TEST_P(ManyProofs, WithoutTheStoreTheyAge) {
+TEST_P(ConfigProofFleetTest, ProofsAgeWithoutTheStore) {
   world.store_up = false;
   world.run(4500 * ms);
   for (auto &one : world.all)
@@ -269,18 +270,18 @@
   write();
   world.store_up = true;
   run_checked(3 * second);
-  EXPECT_LE(oldest(), 1600 * ms);
+  EXPECT_LE(oldest_proof_age(), 1600 * ms);
 }
 
-/* what each size costs the store: relays ask, whatever the number */
-TEST_P(ManyProofs, TheStoreIsAskedByRelaysAlone) {
+/* The load of the store does not depend on the number of instances. */
+TEST_P(ConfigProofFleetTest, OnlyRelaysCallTheStore) {
   guint64 before = world.store_calls;
   world.run(10 * second);
-  /* six relays or fewer, three kinds, watches of 0.83, 2.8 and 2.8 s */
+  /* at most six relays; three kinds, with watches of 0.83, 2.8 and 2.8 s */
   EXPECT_LE(world.store_calls - before, 6 * (13 + 4 + 4u));
 }
 
-INSTANTIATE_TEST_SUITE_P(Instances, ManyProofs,
+INSTANTIATE_TEST_SUITE_P(InstanceCounts, ConfigProofFleetTest,
                          ::testing::Values(20u, 88u, 300u));
 
 /* }================================================================== */
