--- a/test/test_accounts.cc
+++ b/test/test_accounts.cc
@@ -1,7 +1,7 @@
 /*
 ** test_accounts.cc
-** Client accounts on the path of a request: keys, keys taken away, the age of
-** the configuration, limits
+** Tests of client accounts as requests meet them: keys, revoked keys, the age
+** of the configuration, limits
 */
 
 #include <gtest/gtest.h>
@@ -12,32 +12,32 @@
 
 namespace {
 
-constexpr gint64 bound = 3900 * ms;
+constexpr gint64 configuration_age_max = 3900 * ms;
 
-struct Accounts : ::testing::Test {
-  World world{0, 10.0, 0, "10.0.0.5:1", bound};
+struct AccountTest : ::testing::Test {
+  World world{0, 10.0, 0, "10.0.0.5:1", configuration_age_max};
 
   void SetUp() override {
     world.clients = {{"first", {"key-1", "key-2"}}, {"second", {"key-3"}}};
     world.populate();
-    prove();
+    prove_configuration();
     world.key = "key-1";
   }
-  void prove() {
+  void prove_configuration() {
     router_configuration_proved(world.router, world.now);
   }
-  void take_away_first_keys() {
+  void revoke_first_accounts_keys() {
     world.clients = {{"first", {}}, {"second", {"key-3"}}};
     world.configure(2);
-    prove();
+    prove_configuration();
   }
-  RefusalKind refusal(guint64 request) {
+  RefusalKind refusal_of(guint64 request) {
     EXPECT_EQ(world.end(request).refusals, 1);
     return world.end(request).refusal;
   }
 };
 
-TEST_F(Accounts, EveryDispatchNamesTheAccountThatHoldsTheKey) {
+TEST_F(AccountTest, EveryDispatchNamesTheAccountOfTheKey) {
   world.request("/safe/x");
   EXPECT_EQ(world.last().account, "first");
   world.key = "key-3";
@@ -49,154 +49,157 @@
   EXPECT_EQ(world.last().account, "second");
 }
 
-TEST_F(Accounts, AnInstanceThatLacksAChangeDoesNotSayThatAKeyIsUnknown) {
+TEST_F(AccountTest, MissingConfigurationChangeDoesNotRefuseAKeyAsUnknown) {
   NewsState news = {};
   router_set_news_state(world.router, &news);
   news_state_advance_newest(&news, store_position(0, 101), world.now);
   world.key = "key-4";
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_OLD_CONFIGURATION);
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_OLD_CONFIGURATION);
   news_state_advance_held(&news, store_position(0, 101), world.now);
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_KEY);
 }
 
-TEST_F(Accounts, NoKeyTwoKeysAndUnknownKeysAreRefused) {
+TEST_F(AccountTest, MissingRepeatedAndUnknownKeysAreRefused) {
   world.key = nullptr;
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_KEY);
   world.key = "key-4";
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_KEY);
   world.key = "";
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_KEY);
   world.key = "key-1";
   world.keys = 2;
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_KEY);
   EXPECT_TRUE(world.dispatches.empty());
 }
 
-TEST_F(Accounts, PublicRoutesNeedNoneAndNameNone) {
+TEST_F(AccountTest, PublicRouteNeedsNoKeyAndNamesNoAccount) {
   world.key = nullptr;
   world.request("/public/x");
   ASSERT_EQ(world.dispatches.size(), 1u);
   EXPECT_EQ(world.last().account, "");
   world.outcome(world.last().number, OUTCOME_ANSWER);
-  world.advance(bound + 1 * second); /* nor a configuration of some age */
+  /* an old configuration is good enough for it */
+  world.advance(configuration_age_max + 1 * second);
   world.request("/public/x");
   EXPECT_EQ(world.dispatches.size(), 2u);
 }
 
-TEST_F(Accounts, WithoutAccountsNoKeyIsNeeded) {
+TEST_F(AccountTest, WithoutAccountsNoKeyIsNeeded) {
   World open;
   open.populate();
   open.request("/safe/x");
   EXPECT_EQ(open.dispatches.size(), 1u);
 }
 
-TEST_F(Accounts, AKeyTakenAwayIsRefusedFromThenOn) {
-  take_away_first_keys();
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_KEY);
+TEST_F(AccountTest, RevokedKeyIsRefused) {
+  revoke_first_accounts_keys();
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_KEY);
   EXPECT_TRUE(world.dispatches.empty());
 }
 
-TEST_F(Accounts, AKeyTakenAwayGetsNoSecondTry) {
+TEST_F(AccountTest, RevokedKeyGetsNoRetry) {
   guint64 request = world.request("/safe/x");
   guint64 first = world.last().number;
-  take_away_first_keys();
+  revoke_first_accounts_keys();
   world.outcome(first, OUTCOME_NOT_RUN);
   EXPECT_EQ(world.dispatches.size(), 1u);
-  EXPECT_EQ(refusal(request), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(request), REFUSAL_KEY);
 }
 
-TEST_F(Accounts, AfterATryThatMayHaveRunTheOutcomeIsUnknown) {
+TEST_F(AccountTest, RevokedKeyIsRefusedAsOutcomeUnknownAfterABrokenRun) {
   guint64 request = world.request("/safe/x");
   guint64 first = world.last().number;
-  take_away_first_keys();
+  revoke_first_accounts_keys();
   world.outcome(first, OUTCOME_BROKEN);
   EXPECT_EQ(world.dispatches.size(), 1u);
-  EXPECT_EQ(refusal(request), REFUSAL_OUTCOME_UNKNOWN);
+  EXPECT_EQ(refusal_of(request), REFUSAL_OUTCOME_UNKNOWN);
 }
 
-TEST_F(Accounts, AKeyTakenAwayGetsNoRunAfterItsPromptWasRead) {
+TEST_F(AccountTest, RevokedKeyGetsNoRunAfterItsPrefill) {
   guint64 request = world.request("/stream/x");
   guint64 prefill = world.last().number;
-  take_away_first_keys();
+  revoke_first_accounts_keys();
   world.prefilled(prefill);
   EXPECT_EQ(world.runs(request), 0u);
-  EXPECT_EQ(refusal(request), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(request), REFUSAL_KEY);
 }
 
-TEST_F(Accounts, AKeyTakenAwayGetsNoPromptReadElsewhere) {
+TEST_F(AccountTest, RevokedKeyGetsNoSecondPrefill) {
   world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   guint64 request = world.request("/stream/x");
   guint64 prefill = world.last().number;
-  take_away_first_keys();
+  revoke_first_accounts_keys();
   world.outcome(prefill, OUTCOME_UNREACHABLE);
   EXPECT_EQ(world.dispatches.size(), 1u);
-  EXPECT_EQ(refusal(request), REFUSAL_KEY);
+  EXPECT_EQ(refusal_of(request), REFUSAL_KEY);
 }
 
-TEST_F(Accounts, AStreamOfAKeyTakenAwayIsNotResumedElsewhere) {
+TEST_F(AccountTest, StreamOfARevokedKeyIsNotResumed) {
   guint64 request = world.request("/resume/x");
   world.prefilled(world.last().number);
   guint64 run = world.last().number;
   world.outcome(run, OUTCOME_STREAM_HEAD);
   world.piece(run, "1");
-  take_away_first_keys();
+  revoke_first_accounts_keys();
   world.outcome(run, OUTCOME_BROKEN);
   EXPECT_EQ(world.runs(request), 1u);
   EXPECT_EQ(world.end(request).broken_off, 1);
 }
 
-TEST_F(Accounts, AnOldConfigurationServesNoKeys) {
-  world.advance(bound);
+TEST_F(AccountTest, OldConfigurationAcceptsNoKeys) {
+  world.advance(configuration_age_max);
   guint64 last = world.request("/safe/x");
   EXPECT_EQ(world.dispatches.size(), 1u);
   EXPECT_EQ(world.end(last).refusals, 0);
   world.advance(1 * ms);
   EXPECT_FALSE(router_is_configured(world.router, world.now));
   guint64 late = world.request("/safe/x");
-  EXPECT_EQ(refusal(late), REFUSAL_OLD_CONFIGURATION);
+  EXPECT_EQ(refusal_of(late), REFUSAL_OLD_CONFIGURATION);
   EXPECT_GT(world.end(late).retry_after_ms, 0);
-  world.key = "key-unknown"; /* it may be new: no word about the key */
-  EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_OLD_CONFIGURATION);
+  /* the key may be newer than this configuration */
+  world.key = "key-unknown";
+  EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_OLD_CONFIGURATION);
   EXPECT_EQ(world.dispatches.size(), 1u);
-  prove();
+  prove_configuration();
   world.key = "key-1";
   world.request("/safe/x");
   EXPECT_EQ(world.dispatches.size(), 2u);
 }
 
-TEST_F(Accounts, AnOldConfigurationAllowsNoFurtherDispatch) {
+TEST_F(AccountTest, OldConfigurationAllowsNoFurtherDispatch) {
   guint64 request = world.request("/stream/x");
   guint64 prefill = world.last().number;
-  world.now += bound + 1 * ms; /* stopped meanwhile */
+  world.now += configuration_age_max + 1 * ms; /* this process was suspended */
   world.prefilled(prefill);
   EXPECT_EQ(world.runs(request), 0u);
-  EXPECT_EQ(refusal(request), REFUSAL_OLD_CONFIGURATION);
+  EXPECT_EQ(refusal_of(request), REFUSAL_OLD_CONFIGURATION);
 }
 
-TEST_F(Accounts, AMomentNeverMovesBack) {
+TEST_F(AccountTest, ProofTimeNeverMovesBack) {
   router_configuration_proved(world.router, world.now - 2 * second);
-  world.advance(bound);
+  world.advance(configuration_age_max);
   world.request("/safe/x");
   EXPECT_EQ(world.dispatches.size(), 1u);
 }
 
-/* limits: 1,500 tokens a request; the world is old, so buckets begin full */
-struct AccountLimit : Accounts {
+/* Each request costs 1,500 tokens. The router has run for 10 s, so buckets
+** begin full. */
+struct AccountLimitTest : AccountTest {
   void SetUp() override {
-    Accounts::SetUp();
+    AccountTest::SetUp();
     world.advance(10 * second);
     world.clients = {{"first", {"key-1"}, 1500, 6000},
                      {"second", {"key-3"}, 1500, 6000}};
     world.configure(2);
-    prove();
+    prove_configuration();
   }
-  unsigned admitted(unsigned requests) {
+  unsigned count_admitted(unsigned requests) {
     unsigned count = 0;
     for (unsigned i = 0; i < requests; i++) {
       guint64 one = world.request("/stream/x");
       count += world.end(one).refusals == 0;
       if (world.end(one).refusals > 0) {
-        EXPECT_EQ(refusal(one), REFUSAL_LIMIT);
+        EXPECT_EQ(refusal_of(one), REFUSAL_LIMIT);
         EXPECT_GE(world.end(one).retry_after_ms, 100);
       }
     }
@@ -204,35 +207,35 @@
   }
 };
 
-TEST_F(AccountLimit, WhatIsBeyondTheBurstIsRefusedAtOnce) {
+TEST_F(AccountLimitTest, RequestsBeyondTheBurstAreRefusedAtOnce) {
   /* four of the burst; the floor is 0.2 x (0.1 x 18,000 + 1,000) = 560 */
-  EXPECT_GE(admitted(30), 4u);
-  EXPECT_LE(admitted(30), 5u);
-  world.key = "key-3"; /* another account is not touched */
-  EXPECT_GE(admitted(4), 4u);
+  EXPECT_GE(count_admitted(30), 4u);
+  EXPECT_LE(count_admitted(30), 5u);
+  world.key = "key-3"; /* another account is not affected */
+  EXPECT_GE(count_admitted(4), 4u);
 }
 
-TEST_F(AccountLimit, WhatReachedNoEndpointIsGivenBack) {
+TEST_F(AccountLimitTest, RequestsThatReachNoEndpointAreRefunded) {
   world.endpoint({"dec-1", "llm", "a", STAGE_DECODE}, true, true);
   world.endpoint({"dec-2", "llm", "a", STAGE_DECODE}, true, true);
   world.endpoint({"pre-1", "llm", "a", STAGE_PREFILL}, true, true);
   for (int i = 0; i < 40; i++) {
     guint64 request = world.request("/stream/x", 10000);
-    world.hangup(request); /* it waited, or was refused: nothing ran */
+    world.hangup(request); /* it waits or is refused, and never runs */
     if (world.end(request).refusals > 0) {
-      EXPECT_NE(refusal(request), REFUSAL_LIMIT) << i;
+      EXPECT_NE(refusal_of(request), REFUSAL_LIMIT) << i;
     }
   }
 }
 
-TEST_F(AccountLimit, WhatIsRefusedForWantOfAnEndpointIsGivenBack) {
+TEST_F(AccountLimitTest, RequestsRefusedWithoutAnEndpointAreRefunded) {
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, true, true);
   world.endpoint({"app-2", "app", "b", STAGE_NONE}, true, true);
   for (int i = 0; i < 40; i++)
-    EXPECT_EQ(refusal(world.request("/safe/x")), REFUSAL_NO_ENDPOINT) << i;
+    EXPECT_EQ(refusal_of(world.request("/safe/x")), REFUSAL_NO_ENDPOINT) << i;
 }
 
-TEST_F(AccountLimit, WhatRanIsNotGivenBack) {
+TEST_F(AccountLimitTest, RequestsThatRanAreNotRefunded) {
   unsigned limited = 0;
   for (int i = 0; i < 10; i++) {
     guint64 request = world.request("/stream/x");
@@ -246,7 +249,7 @@
   EXPECT_GE(limited, 4u);
 }
 
-TEST_F(AccountLimit, AnAccountWithoutALimitHasNone) {
+TEST_F(AccountLimitTest, AccountWithoutALimitIsUnlimited) {
   world.clients = {{"first", {"key-1"}}};
   world.configure(3);
   unsigned limited = 0;
@@ -255,15 +258,15 @@
   EXPECT_EQ(limited, 0u);
 }
 
-TEST_F(AccountLimit, ALowerLimitBindsAndALargerOneFrees) {
+TEST_F(AccountLimitTest, ChangedLimitsTakeEffect) {
   world.clients = {{"first", {"key-1"}, 150, 600}};
   world.configure(3);
-  EXPECT_LE(admitted(20), 2u);
+  EXPECT_LE(count_admitted(20), 2u);
   world.clients = {{"first", {"key-1"}, 15000, 60000}};
   world.configure(4);
   world.advance(1 * second);
-  prove();
-  EXPECT_GE(admitted(9), 8u);
+  prove_configuration();
+  EXPECT_GE(count_admitted(9), 8u);
 }
 
 } // namespace
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -1,20 +1,16 @@
 /*
 ** test_endpoint_leaving.cc
-** Endpoints that say with their answers that they leave
+** Tests of endpoints that announce with their answers that they leave
 **
-** What was seen: one of three plain endpoints said with its answers that it
-** leaves, while the store answered nobody. For the next 13 s it got as many
-** requests as before, 92 of them, from all eight instances: 3 s after an
-** answer had told the instance that sent them, where 2 s are the most. Once
-** the store was back, and listed it as draining, it got none.
-**
-** Cause: an answer's head was translated into seven facts, and this was none
-*of
-** them; what the list says was the only word that counted, and the list was
-** 12.7 s old. Evidence: no source named the field; the endpoint's share of the
-** requests was the same before and after it had said so, at all instances; the
-** first list that had it as draining ended that at once. Nothing had been on
-** its way: of 742 requests none waited longer than 0.3 ms for its dispatch.
+** Guards against requests that go on to an endpoint after it has announced
+** that it leaves, while the store is down. With eight instances and three
+** plain endpoints, one that announced it got as many requests as before for
+** the next 13 s, 92 requests from all instances, up to 3 s after an answer
+** had told the instance that sent them, where 2 s are allowed. It comes about
+** when an instance ignores the announcement in an answer's head and trusts
+** its list alone, which was 12.7 s old; the first list that had the endpoint
+** as draining ended it. Queueing played no part: of 742 requests none waited
+** longer than 0.3 ms for its dispatch.
 */
 
 #include <algorithm>
@@ -32,11 +28,11 @@
 
 namespace {
 
-/* requests that an instance takes later than this behind the first answer
-** that it passed on, and that said so, do not reach the endpoint */
-constexpr gint64 most_after = 2 * second;
+/* Requests that an instance accepts later than this after the first answer
+** with the announcement that it forwarded must not reach the endpoint. */
+constexpr gint64 delay_max = 2 * second;
 
-FleetOptions options(unsigned instances, unsigned seed) {
+FleetOptions fleet_options(unsigned instances, unsigned seed) {
   FleetOptions out;
   out.seed = seed;
   out.instances = instances;
@@ -45,48 +41,48 @@
   return out;
 }
 
-constexpr unsigned sizes[] = {1, 8, 20, 90, 300};
+constexpr unsigned instance_counts[] = {1, 8, 20, 90, 300};
 
-TEST(EndpointLeaving, NoInstanceThatHeardItSendsMore) {
-  for (unsigned instances : sizes) {
+TEST(EndpointLeavingFleet, InstanceThatSawTheAnnouncementSendsNoMore) {
+  for (unsigned instances : instance_counts) {
     SCOPED_TRACE(instances);
-    Fleet fleet(options(instances, 5));
+    Fleet fleet(fleet_options(instances, 5));
     fleet.pass(2 * second);
     fleet.endpoints[0].is_leaving = true;
     fleet.pass(8 * second);
     ASSERT_FALSE(fleet.endpoints[0].leavings.empty());
-    EXPECT_EQ(fleet.after_leaving(0, most_after, false), 0u);
+    EXPECT_EQ(fleet.after_leaving(0, delay_max, false), 0u);
   }
 }
 
-/* it is a fact about the endpoint: those that had no answer of it know it from
-** the others, and so does one that has started anew */
-TEST(EndpointLeaving, AllInstancesKnowItFromOne) {
-  for (unsigned instances : sizes) {
+/* The announcement concerns all instances. Those that got no answer of the
+** endpoint, or have restarted, learn of it from the others. */
+TEST(EndpointLeavingFleet, AllInstancesLearnOfTheAnnouncementFromOne) {
+  for (unsigned instances : instance_counts) {
     SCOPED_TRACE(instances);
-    Fleet fleet(options(instances, 6));
+    Fleet fleet(fleet_options(instances, 6));
     fleet.pass(2 * second);
     fleet.endpoints[0].is_leaving = true;
     fleet.pass(4 * second);
     fleet.kill(0.5);
     fleet.pass(second);
-    gint64 all_know = fleet.now;
+    gint64 all_informed_at = fleet.now;
     fleet.pass(3 * second);
     ASSERT_FALSE(fleet.endpoints[0].leavings.empty());
-    EXPECT_EQ(fleet.arrived(0, all_know, fleet.now), 0u);
-    EXPECT_EQ(fleet.refused, 0u) << "the others take the rest";
+    EXPECT_EQ(fleet.arrived(0, all_informed_at, fleet.now), 0u);
+    EXPECT_EQ(fleet.refused, 0u) << "the other endpoints serve all requests";
   }
 }
 
-/* the list is older than what the endpoint said, or comes from one that is */
-TEST(EndpointLeaving, NoListTakesItBack) {
-  Fleet fleet(options(8, 7));
+/* Lists may be older than the announcement. */
+TEST(EndpointLeavingFleet, OlderListDoesNotRevokeTheAnnouncement) {
+  Fleet fleet(fleet_options(8, 7));
   fleet.endpoints[0].is_leaving = true;
   for (int i = 0; i < 16; i++) {
     fleet.pass(500 * ms);
     fleet.list(0, true);
   }
-  EXPECT_EQ(fleet.after_leaving(0, most_after, false), 0u);
+  EXPECT_EQ(fleet.after_leaving(0, delay_max, false), 0u);
 }
 
 /*
@@ -95,15 +91,15 @@
 ** ===================================================================
 */
 
-struct LeavingWorld : ::testing::Test {
+struct EndpointLeavingTest : ::testing::Test {
   World world;
 
   void SetUp() override {
     world.started_unix_ms = 1000;
     world.populate();
   }
-  /* this endpoint says so with an answer to something */
-  void leave(const char *id) {
+  /* The endpoint announces with an answer that it leaves. */
+  void announce_leaving(const char *id) {
     EndpointSignals said = routing::signals_leaving();
     router_endpoint_signals(world.router, id, life_of(id), &said, world.now);
     ASSERT_EQ(router_leaving_endpoints(world.router), 1u);
@@ -114,14 +110,14 @@
     record.started_unix_ms = world.started_unix_ms;
     return endpoint_incarnation_hash(&record);
   }
-  /* dispatches of this kind at that endpoint */
-  unsigned sent(DispatchKind kind, const char *id) const {
+  /* Returns the number of dispatches of this kind to that endpoint. */
+  unsigned dispatches_of(DispatchKind kind, const char *id) const {
     unsigned count = 0;
     for (const Sent &one : world.dispatches)
       count += one.kind == kind && one.endpoint == id;
     return count;
   }
-  void plain_requests(int count) {
+  void send_plain_requests(int count) {
     for (int i = 0; i < count; i++) {
       world.request("/safe/x");
       if (!world.last().ended)
@@ -130,50 +126,50 @@
   }
 };
 
-TEST_F(LeavingWorld, ItGetsNoRequest) {
-  leave("app-1");
-  plain_requests(8);
-  EXPECT_EQ(sent(DISPATCH_RUN, "app-1"), 0u);
-  EXPECT_EQ(sent(DISPATCH_RUN, "app-2"), 8u);
+TEST_F(EndpointLeavingTest, LeavingEndpointGetsNoRequest) {
+  announce_leaving("app-1");
+  send_plain_requests(8);
+  EXPECT_EQ(dispatches_of(DISPATCH_RUN, "app-1"), 0u);
+  EXPECT_EQ(dispatches_of(DISPATCH_RUN, "app-2"), 8u);
 }
 
-TEST_F(LeavingWorld, ThatTheListHasItAsReadyChangesNothing) {
-  leave("app-1");
+TEST_F(EndpointLeavingTest, LeavingEndpointListedAsReadyGetsNoRequest) {
+  announce_leaving("app-1");
   world.revision = 9;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
-  plain_requests(8);
-  EXPECT_EQ(sent(DISPATCH_RUN, "app-1"), 0u);
+  send_plain_requests(8);
+  EXPECT_EQ(dispatches_of(DISPATCH_RUN, "app-1"), 0u);
 }
 
-/* entries lapse while the store is away, and come back */
-TEST_F(LeavingWorld, AListThatLosesItAndHasItAgainChangesNothing) {
-  leave("app-1");
+/* Records may expire while the store is down, and be listed again. */
+TEST_F(EndpointLeavingTest, RelistedLeavingEndpointGetsNoRequest) {
+  announce_leaving("app-1");
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, true, true);
   world.advance(20 * second);
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
-  plain_requests(8);
-  EXPECT_EQ(sent(DISPATCH_RUN, "app-1"), 0u);
+  send_plain_requests(8);
+  EXPECT_EQ(dispatches_of(DISPATCH_RUN, "app-1"), 0u);
 }
 
-TEST_F(LeavingWorld, ALaterLifeDoesNotLeave) {
-  leave("app-1");
+TEST_F(EndpointLeavingTest, LaterIncarnationDoesNotLeave) {
+  announce_leaving("app-1");
   world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
-  plain_requests(8);
-  EXPECT_GT(sent(DISPATCH_RUN, "app-1"), 0u);
+  send_plain_requests(8);
+  EXPECT_GT(dispatches_of(DISPATCH_RUN, "app-1"), 0u);
 }
 
-TEST_F(LeavingWorld, ALaterLifeThatWasOffTheListBetweenDoesNotLeave) {
-  leave("app-1");
+TEST_F(EndpointLeavingTest, LaterIncarnationAfterARemovalDoesNotLeave) {
+  announce_leaving("app-1");
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, true, true);
   world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
-  plain_requests(8);
-  EXPECT_GT(sent(DISPATCH_RUN, "app-1"), 0u);
+  send_plain_requests(8);
+  EXPECT_GT(dispatches_of(DISPATCH_RUN, "app-1"), 0u);
 }
 
-/* what an answer of the life before says binds this one in nothing */
-TEST_F(LeavingWorld, AnAnswerOfAnEarlierLifeSaysNothing) {
+/* An answer of the earlier incarnation says nothing of this one. */
+TEST_F(EndpointLeavingTest, AnnouncementOfAnEarlierIncarnationIsIgnored) {
   guint32 earlier = life_of("app-1");
   EndpointSignals said = routing::signals_leaving();
   world.started_unix_ms = 2000;
@@ -182,7 +178,7 @@
   EXPECT_EQ(router_leaving_endpoints(world.router), 0u);
 }
 
-TEST_F(LeavingWorld, WithAllLeavingTheCallerHearsAtOnce) {
+TEST_F(EndpointLeavingTest, CallerIsRefusedAtOnceWhenAllEndpointsLeave) {
   EndpointSignals said = routing::signals_leaving();
   for (const char *id : {"app-1", "app-2"})
     router_endpoint_signals(world.router, id, life_of(id), &said, world.now);
@@ -192,52 +188,52 @@
   EXPECT_GT(world.end(number).retry_after_ms, 0);
 }
 
-TEST_F(LeavingWorld, ARunGoesElsewhereThanToAReservedEngineThatLeaves) {
+TEST_F(EndpointLeavingTest, RunAvoidsAReservedEngineThatLeaves) {
   guint64 number = world.request("/stream/x");
   Sent prompt = world.last();
   ASSERT_EQ(prompt.kind, DISPATCH_PREFILL);
   ASSERT_FALSE(world.notes.empty());
   std::string reserved =
       world.notes.back().endpoint == life_of("dec-1") ? "dec-1" : "dec-2";
-  leave(reserved.c_str());
+  announce_leaving(reserved.c_str());
   world.prefilled(prompt.number);
   EXPECT_EQ(world.runs(number), 1u);
   EXPECT_NE(world.last().endpoint, reserved);
 }
 
-TEST_F(LeavingWorld, APromptIsNotReadAtAnEngineThatLeaves) {
-  leave("pre-1");
+TEST_F(EndpointLeavingTest, LeavingEngineGetsNoPrefill) {
+  announce_leaving("pre-1");
   guint64 number = world.request("/stream/x");
-  EXPECT_EQ(sent(DISPATCH_PREFILL, "pre-1"), 0u);
-  EXPECT_EQ(world.runs(number), 1u); /* the decode engine reads it */
+  EXPECT_EQ(dispatches_of(DISPATCH_PREFILL, "pre-1"), 0u);
+  EXPECT_EQ(world.runs(number), 1u); /* the decode engine prefills it */
 }
 
-/* streams go on to their end where they run */
-TEST_F(LeavingWorld, AStreamThatRunsThereGoesOn) {
+/* Streams run to their end where they were started. */
+TEST_F(EndpointLeavingTest, RunningStreamContinuesAtALeavingEngine) {
   guint64 number = world.request("/resume/x");
   world.prefilled(world.last().number);
   Sent run = world.last();
   world.outcome(run.number, OUTCOME_STREAM_HEAD);
-  leave(run.endpoint.c_str());
+  announce_leaving(run.endpoint.c_str());
   world.piece(run.number, "1");
   world.outcome(run.number, OUTCOME_STREAM_END);
   EXPECT_EQ(world.end(number).answers, 1);
   EXPECT_EQ(world.runs(number), 1u);
 }
 
-/* its planned end is held against no request */
-TEST_F(LeavingWorld, ItsEndIsNoCrash) {
+/* The planned end of an endpoint is no strike against a request. */
+TEST_F(EndpointLeavingTest, EndOfALeavingEngineIsNotACrash) {
   world.request("/stream/x");
   world.prefilled(world.last().number);
   Sent run = world.last();
-  leave(run.endpoint.c_str());
+  announce_leaving(run.endpoint.c_str());
   world.outcome(run.number, OUTCOME_BROKEN);
   EXPECT_TRUE(world.checks.empty());
 }
 
-TEST_F(LeavingWorld, ADigestTellsItUntilTheListDoes) {
+TEST_F(EndpointLeavingTest, DigestReportsLeavingUntilTheListDoes) {
   mp_LoadDigest digest = {};
-  leave("app-1");
+  announce_leaving("app-1");
   router_load_digest(world.router, &digest, world.now);
   ASSERT_EQ(digest.leaving_count, 1u);
   EXPECT_EQ(digest.leaving[0], life_of("app-1"));
@@ -246,12 +242,12 @@
   EXPECT_EQ(digest.leaving_count, 0u);
 }
 
-/* more than a digest holds take turns */
-TEST_F(LeavingWorld, OfManyEachIsTold) {
-  constexpr unsigned many = 3 * MP_DIGEST_LEAVING + 1;
+/* If a digest cannot hold them all, digests name them in turns. */
+TEST_F(EndpointLeavingTest, EachOfManyLeavingEndpointsIsReported) {
+  constexpr unsigned endpoint_count = 3 * MP_DIGEST_LEAVING + 1;
   EndpointSignals said = routing::signals_leaving();
-  std::set<guint32> told;
-  for (unsigned i = 0; i < many; i++) {
+  std::set<guint32> reported;
+  for (unsigned i = 0; i < endpoint_count; i++) {
     std::string id = "more-" + std::to_string(i);
     world.endpoint({id.c_str(), "app", "a", STAGE_NONE});
     router_endpoint_signals(world.router, id.c_str(), life_of(id.c_str()),
@@ -261,18 +257,19 @@
     mp_LoadDigest digest = {};
     router_load_digest(world.router, &digest, world.now);
     ASSERT_LE(digest.leaving_count, static_cast<unsigned>(MP_DIGEST_LEAVING));
-    told.insert(digest.leaving, digest.leaving + digest.leaving_count);
+    reported.insert(digest.leaving, digest.leaving + digest.leaving_count);
     world.advance(500 * ms);
   }
-  EXPECT_EQ(told.size(), many);
+  EXPECT_EQ(reported.size(), endpoint_count);
 }
 
-/* a life whose start is not said can't be told from a later one */
-TEST_F(LeavingWorld, ALifeOfUnknownStartIsToldToNobody) {
+/* An incarnation whose start is not known cannot be distinguished from a later
+** one. */
+TEST_F(EndpointLeavingTest, IncarnationOfUnknownStartIsNotReported) {
   mp_LoadDigest digest = {};
   world.started_unix_ms = 0;
   world.endpoint({"app-9", "app", "a", STAGE_NONE});
-  leave("app-9");
+  announce_leaving("app-9");
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.leaving_count, 0u);
 }
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -6,8 +6,8 @@
 ** Guards against requests that are sent to an endpoint after it has asked for
 ** rest. With three plain endpoints, one of which rejects all requests and asks
 ** each instance for 3 s of rest, an instance may send it two more requests in
-** that time at the most, but sent three and once six, 1.4, 1.8 and 2.2 s after
-** it had been asked.
+** that time at the most. The failure showed as three and as six requests, 1.4,
+** 1.8 and 2.2 s after the instance had been asked.
 */
 
 #include <algorithm>
@@ -364,8 +364,7 @@
 }
 
 /* Unknown fields of answers are logged once each, for 32 names at the most,
-*and
-** with a bounded length. */
+** and with a bounded length. */
 TEST_F(EndpointRestTest, UnknownFieldsAreLoggedOnceEachUpToABound) {
   EndpointSignals signals = routing::signals_served();
   std::string far(1000, 'x');
--- a/test/test_overload.cc
+++ b/test/test_overload.cc
@@ -1,13 +1,14 @@
 /*
 ** test_overload.cc
-** A burst that is over must leave no overload behind, in virtual time
+** Test that an overload ends with the burst that caused it, in virtual time
 **
-** What callers saw: a burst of twice the load for six seconds while engines
-** were lost; the engines left could carry the usual load, and yet few answers
-** came in time to the end of the day. A caller who was refused came back with
-** less time than others and was served first, though it was late already; all
-** room went to those, so that fresh callers, who could have been in time, were
-** refused and became the next late ones.
+** Guards against an overload that sustains itself. After a burst of twice the
+** load for six seconds, during which engines are lost, the remaining engines
+** can carry the usual load, yet few answers come in time for the rest of the
+** day. It comes about when callers that were refused retry with less time left
+** than others and are served first, though they are late already. They take
+** all capacity, so that new callers, who could be in time, are refused and
+** become the next late ones.
 */
 
 #include <gtest/gtest.h>
@@ -27,32 +28,33 @@
 
 namespace {
 
-constexpr gint64 step = 5 * ms;
-constexpr gint64 objective = 900 * ms; /* of World::configure() */
-constexpr gint64 patience_ms = 10000;  /* of its routes */
+constexpr gint64 time_step = 5 * ms;
+constexpr gint64 objective = 900 * ms; /* that of World::configure() */
+constexpr gint64 deadline_ms = 10000;  /* that of its routes */
 constexpr gint64 prompt_time = 150 * ms;
-constexpr gint64 head_time = 20 * ms;
-constexpr gint64 run_least = 700 * ms;
-constexpr gint64 run_most = 1900 * ms;
+constexpr gint64 first_token_time = 20 * ms;
+constexpr gint64 run_time_min = 700 * ms;
+constexpr gint64 run_time_max = 1900 * ms;
 constexpr guint32 prompt_tokens = 1500;
 constexpr guint32 output_tokens = 500;
 
-struct Size {
+struct ServiceSize {
   unsigned instances, decode, prefill;
-  unsigned seeds; /* how many are played */
+  unsigned seeds; /* number of random seeds that are run */
 };
 
-/* one caller, over its tries */
+/* One caller and all attempts of its request. */
 struct Caller {
-  gint64 first = 0;    /* when it tried first */
-  gint64 again_at = 0; /* it comes back then; 0: it does not */
+  gint64 first = 0;    /* time of the first attempt */
+  gint64 retry_at = 0; /* time of the next attempt; 0: none */
   unsigned tries = 0;
   bool in_time = false;
 };
 
-class Overload {
+class OverloadedService {
 public:
-  Overload(const Size &size_, unsigned seed) : size(size_), random(seed) {
+  OverloadedService(const ServiceSize &size_, unsigned seed)
+      : size(size_), random(seed) {
     all.resize(size.instances);
     for (auto &one : all) {
       one.world = std::make_unique<World>();
@@ -60,36 +62,38 @@
       one.world->configure();
       router_set_instances(one.world->router, size.instances, size.instances);
       for (unsigned i = 0; i < size.prefill; i++)
-        list(*one.world, "pre-" + std::to_string(i), STAGE_PREFILL);
+        list_endpoint(*one.world, "pre-" + std::to_string(i), STAGE_PREFILL);
       for (unsigned i = 0; i < size.decode; i++)
-        list(*one.world, "dec-" + std::to_string(i), STAGE_DECODE);
+        list_endpoint(*one.world, "dec-" + std::to_string(i), STAGE_DECODE);
     }
   }
 
-  /* what the decode engines can begin a second: five requests of 2,000 tokens
-  ** fill one, each from its prompt to its end */
+  /* Returns how many requests a second the decode engines can start. Five
+  ** requests of 2,000 tokens fill one engine, and each occupies it from the
+  ** start of its prefill to its end. */
   double capacity() const {
-    double held = static_cast<double>(prompt_time + head_time +
-                                      (run_least + run_most) / 2) /
+    double held = static_cast<double>(prompt_time + first_token_time +
+                                      (run_time_min + run_time_max) / 2) /
                   second;
     return 5.0 * size.decode / held;
   }
 
-  void pass(gint64 span, double load) {
-    for (gint64 until = now + span; now < until; now += step) {
-      arrive(load * capacity());
+  void run(gint64 span, double load) {
+    for (gint64 until = now + span; now < until; now += time_step) {
+      add_new_callers(load * capacity());
       for (auto &one : all)
         one.world->advance(now - one.world->now);
       finish_runs();
       for (auto &one : all)
-        meet(one);
-      tell_loads();
-      come_back();
+        start_dispatched_work(one);
+      exchange_digests();
+      retry_refused_callers();
     }
   }
 
-  /* the part that was served in time, of those who tried first in a span */
-  double served(gint64 from, gint64 until) const {
+  /* Returns the share of callers served in time, of those whose first attempt
+  ** was in this span. */
+  double in_time_share(gint64 from, gint64 until) const {
     unsigned count = 0;
     unsigned good = 0;
     for (const Caller &caller : callers) {
@@ -112,36 +116,37 @@
   };
   struct Instance {
     std::unique_ptr<World> world;
-    size_t seen = 0;
+    size_t handled_dispatches = 0;
     guint64 told = 0;
     guint32 sequence = 0;
-    std::map<guint64, size_t> caller_of; /* open request -> caller */
+    std::map<guint64, size_t> callers_of_open_requests; /* by its number */
   };
 
-  static void list(World &world, const std::string &id, EndpointStage stage) {
+  static void list_endpoint(World &world, const std::string &id,
+                            EndpointStage stage) {
     world.endpoint({id.c_str(), "llm", "a", stage});
   }
 
-  double chance() {
+  double random_fraction() {
     return static_cast<double>(random() % 1000000) / 1e6;
   }
 
   void send(size_t which) {
     Caller &caller = callers[which];
     Instance &one = all[random() % all.size()];
-    gint64 left = patience_ms - (now - caller.first) / ms;
+    gint64 left = deadline_ms - (now - caller.first) / ms;
     caller.tries++;
-    caller.again_at = 0;
+    caller.retry_at = 0;
     if (left <= 0)
       return;
     one.world->advance(now - one.world->now);
     guint64 number =
         one.world->request("/stream/x", left, prompt_tokens, output_tokens);
-    one.caller_of[number] = which;
+    one.callers_of_open_requests[number] = which;
   }
 
-  void arrive(double per_second) {
-    double expected = per_second * static_cast<double>(step) / second;
+  void add_new_callers(double per_second) {
+    double expected = per_second * static_cast<double>(time_step) / second;
     std::poisson_distribution<unsigned> draw(expected);
     for (unsigned n = draw(random); n > 0; n--) {
       Caller caller;
@@ -151,29 +156,32 @@
     }
   }
 
-  void meet(Instance &one) {
-    for (; one.seen < one.world->dispatches.size(); one.seen++) {
-      const Sent &sent = one.world->dispatches[one.seen];
+  void start_dispatched_work(Instance &one) {
+    for (; one.handled_dispatches < one.world->dispatches.size();
+         one.handled_dispatches++) {
+      const Sent &sent = one.world->dispatches[one.handled_dispatches];
       auto index = static_cast<size_t>(&one - all.data());
       if (sent.kind == DISPATCH_PREFILL)
         runs.push_back({index, sent.number, now + prompt_time, true});
       else if (sent.kind == DISPATCH_RUN)
-        begin_run(one, index, sent);
+        start_run(one, index, sent);
     }
     one.world->checks.clear();
   }
 
-  void begin_run(Instance &one, size_t index, const Sent &sent) {
+  void start_run(Instance &one, size_t index, const Sent &sent) {
     auto length =
-        run_least + static_cast<gint64>(
-                        chance() * static_cast<double>(run_most - run_least));
-    runs.push_back({index, sent.number, now + head_time + length, false});
-    auto it = one.caller_of.find(sent.request);
-    if (it == one.caller_of.end())
+        run_time_min +
+        static_cast<gint64>(random_fraction() *
+                            static_cast<double>(run_time_max - run_time_min));
+    runs.push_back(
+        {index, sent.number, now + first_token_time + length, false});
+    auto it = one.callers_of_open_requests.find(sent.request);
+    if (it == one.callers_of_open_requests.end())
       return;
     Caller &caller = callers[it->second];
-    caller.in_time |= now + head_time - caller.first <= objective;
-    one.caller_of.erase(it);
+    caller.in_time |= now + first_token_time - caller.first <= objective;
+    one.callers_of_open_requests.erase(it);
   }
 
   void finish_runs() {
@@ -193,10 +201,12 @@
     }
   }
 
-  /* who was refused comes back once, when it was told to */
-  void come_back() {
+  /* A caller that was refused retries once, after the delay given with the
+  ** refusal. */
+  void retry_refused_callers() {
     for (auto &one : all) {
-      for (auto it = one.caller_of.begin(); it != one.caller_of.end();) {
+      for (auto it = one.callers_of_open_requests.begin();
+           it != one.callers_of_open_requests.end();) {
         const auto &end = one.world->end(it->first);
         Caller &caller = callers[it->second];
         if (end.ends() == 0) {
@@ -204,17 +214,17 @@
           continue;
         }
         if (caller.tries < 2)
-          caller.again_at = now + end.retry_after_ms * ms;
-        it = one.caller_of.erase(it);
+          caller.retry_at = now + end.retry_after_ms * ms;
+        it = one.callers_of_open_requests.erase(it);
       }
     }
     for (size_t i = 0; i < callers.size(); i++) {
-      if (callers[i].again_at != 0 && callers[i].again_at <= now)
+      if (callers[i].retry_at != 0 && callers[i].retry_at <= now)
         send(i);
     }
   }
 
-  void tell_loads() {
+  void exchange_digests() {
     for (auto &from : all) {
       mp_LoadDigest digest = {};
       Router *router = from.world->router;
@@ -232,52 +242,54 @@
     }
   }
 
-  Size size;
+  ServiceSize size;
   std::mt19937 random;
   std::vector<Instance> all;
   std::vector<Caller> callers;
   std::vector<Run> runs;
 };
 
-struct Bursts : ::testing::TestWithParam<Size> {};
+struct OverloadTest : ::testing::TestWithParam<ServiceSize> {};
 
-/* the part served in time, by when callers came */
-struct Served {
+/* Shares of callers served in time, by the time of their first attempt. */
+struct InTimeShares {
   double before, within, next, after;
 };
 
-/* a burst of twice the load, six seconds long; outside of it the engines can
-** begin 1 / 0.85 of what comes. 'next' is the 5 s behind it, 'after' the 10 s
-** behind those */
-Served burst(const Size &size, unsigned seed) {
-  Overload fleet(size, seed);
+/* Simulates a burst of twice the load, six seconds long. Outside of it the
+** engines can start 1 / 0.85 of the requests that arrive. 'next' covers the
+** 5 s after the burst, 'after' the 10 s after those. */
+InTimeShares simulate_burst(const ServiceSize &size, unsigned seed) {
+  OverloadedService fleet(size, seed);
   gint64 start = fleet.now;
-  fleet.pass(10 * second, 0.85);
-  gint64 begins = fleet.now;
-  fleet.pass(6 * second, 1.7);
+  fleet.run(10 * second, 0.85);
+  gint64 burst_start = fleet.now;
+  fleet.run(6 * second, 1.7);
   gint64 over = fleet.now;
-  fleet.pass(18 * second, 0.85);
-  return {fleet.served(start, begins), fleet.served(begins, over),
-          fleet.served(over, over + 5 * second),
-          fleet.served(over + 5 * second, over + 15 * second)};
+  fleet.run(18 * second, 0.85);
+  return {fleet.in_time_share(start, burst_start),
+          fleet.in_time_share(burst_start, over),
+          fleet.in_time_share(over, over + 5 * second),
+          fleet.in_time_share(over + 5 * second, over + 15 * second)};
 }
 
-TEST_P(Bursts, LeaveNoOverloadBehind) {
-  const Size &size = GetParam();
+TEST_P(OverloadTest, BurstLeavesNoOverloadBehind) {
+  const ServiceSize &size = GetParam();
   for (unsigned seed = 1; seed <= size.seeds; seed++) {
-    Served served = burst(size, seed);
-    EXPECT_GE(served.after, 0.9 * served.before)
-        << "seed " << seed << ", in time " << served.before << " before, "
-        << served.within << " in the burst, " << served.next
+    InTimeShares shares = simulate_burst(size, seed);
+    EXPECT_GE(shares.after, 0.9 * shares.before)
+        << "seed " << seed << ", in time " << shares.before << " before, "
+        << shares.within << " in the burst, " << shares.next
         << " in the next 5 s";
-    /* the engines can begin 1 / 1.7 of what comes in the burst: 0.59 */
-    EXPECT_GE(served.within, 0.5) << "seed " << seed;
+    /* The engines can start 1 / 1.7 = 0.59 of the requests in the burst. */
+    EXPECT_GE(shares.within, 0.5) << "seed " << seed;
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Sizes, Bursts,
-                         ::testing::Values(Size{1, 3, 3, 3}, Size{7, 4, 3, 6},
-                                           Size{20, 12, 8, 3},
-                                           Size{40, 20, 12, 1}));
+INSTANTIATE_TEST_SUITE_P(ServiceSizes, OverloadTest,
+                         ::testing::Values(ServiceSize{1, 3, 3, 3},
+                                           ServiceSize{7, 4, 3, 6},
+                                           ServiceSize{20, 12, 8, 3},
+                                           ServiceSize{40, 20, 12, 1}));
 
 } // namespace
