--- a/test/test_late_news.cc
+++ b/test/test_late_news.cc
@@ -1,18 +1,18 @@
 /*
 ** test_late_news.cc
-** How late a change of the store may be at an instance that reaches it
+** Tests of how late a change of the store reaches an instance that can reach
+** the store
 **
-** What users saw: a route was added and confirmed, and 2.2 s later an
-** instance that could reach the store answered that there is no such route;
-** 2 s are allowed.
-** Order of events: the only relay of a data centre of four loses the store
-** without a sign; its heartbeats go on; two changes a second are made; after
-** 2.7 s another instance takes the relay's place.
-** Cause: how long a relay counts as fresh followed from how long its watches
-** wait, and from no bound on the age of what its members know.
-** Evidence: all four instances of that data centre missed the same nine
-** versions, the five others, which follow the store themselves, had each of
-** them 10 ms after it was confirmed; no call to the relay failed.
+** Guards against an instance that reaches the store and still lacks a change
+** after the 2 s that are allowed: it answers that there is no route, 2.2 s
+** after the route was added and confirmed. It comes about when the only relay
+** of a data centre of four loses the store without a sign. Its heartbeats go
+** on, two changes a second are made, and another instance replaces the relay
+** only after 2.7 s, if the time for which a relay counts as fresh follows
+** from the wait of its watches, and not from a bound on the age of what its
+** members know. All four instances then missed the same nine versions, while
+** the five others, which watch the store themselves, had each version 10 ms
+** after it was confirmed. No call to the relay fails meanwhile.
 */
 
 #include <gtest/gtest.h>
@@ -25,32 +25,33 @@
 
 namespace {
 
-/* the tightest bounds of the deployments: a change is in force everywhere
-** after 2 s, where instances count as in touch 3 s after a disturbance */
-constexpr gint64 bound = 2 * second;
+/* The tightest bounds of all deployments: a change is in force everywhere
+** after 2 s; instances count as connected from 3 s after a fault on. */
+constexpr gint64 propagation_bound = 2 * second;
 constexpr gint64 short_watch = 1800 * ms;
-constexpr gint64 change_gap = 500 * ms;
+constexpr gint64 change_interval = 500 * ms;
 
-/* instances in data centres of these sizes */
-std::unique_ptr<World> world_of(const std::vector<unsigned> &sizes,
-                                unsigned seed) {
+/* Makes a world of instances in data centres of these sizes. */
+std::unique_ptr<World> make_world(const std::vector<unsigned> &zone_sizes,
+                                  unsigned seed) {
   unsigned count = 0;
-  for (unsigned size : sizes)
+  for (unsigned size : zone_sizes)
     count += size;
   auto world = std::make_unique<World>(1, count, 0.01, seed);
   auto one = world->all.begin();
-  for (unsigned zone = 0; zone < sizes.size(); zone++) {
-    for (unsigned i = 0; i < sizes[zone]; i++)
+  for (unsigned zone = 0; zone < zone_sizes.size(); zone++) {
+    for (unsigned i = 0; i < zone_sizes[zone]; i++)
       (*one++)->zone = zone;
   }
-  world->times = {short_watch, bound};
+  world->times = {short_watch, propagation_bound};
   world->write(STORE_CONFIGURATION, "main", "100");
   world->write(STORE_ENDPOINTS, "e1", "1");
   world->start_all();
   return world;
 }
 
-/* changes for a while; each is known in time by all that reach the store */
+/* Writes changes for 'span' and checks that all instances that reach the store
+** know each of them in time. */
 void change_and_check(World &world, int *version, gint64 span) {
   std::deque<std::pair<gint64, int>> due;
   gint64 end = world.now + span;
@@ -58,8 +59,8 @@
   while (world.now < end) {
     if (world.now >= next) {
       world.write(STORE_CONFIGURATION, "main", std::to_string(++*version));
-      due.emplace_back(world.now + bound, *version);
-      next += change_gap;
+      due.emplace_back(world.now + propagation_bound, *version);
+      next += change_interval;
     }
     world.run(10 * ms);
     while (!due.empty() && due.front().first <= world.now) {
@@ -78,19 +79,19 @@
   return found;
 }
 
-void cut_relays(World &world) {
+void cut_relays_from_store(World &world) {
   for (Instance *relay : relays_of(world))
     relay->cut_from_store = true;
 }
 
-/* the cut falls at each point of a watch's wait */
-void expect_no_delay(const std::vector<unsigned> &sizes) {
+/* Cuts the relays off at different points of their watches. */
+void expect_no_late_change(const std::vector<unsigned> &zone_sizes) {
   for (unsigned seed = 1; seed <= 20; seed++) {
-    auto world = world_of(sizes, seed);
+    auto world = make_world(zone_sizes, seed);
     int version = 100;
     world->run(3 * second + seed * 93 * ms);
     change_and_check(*world, &version, 2 * second);
-    cut_relays(*world);
+    cut_relays_from_store(*world);
     change_and_check(*world, &version, 8 * second);
     for (auto &one : world->all)
       one->cut_from_store = false;
@@ -98,43 +99,43 @@
   }
 }
 
-TEST(LateNews, ARelayCutFromTheStoreDelaysNobody) {
-  expect_no_delay({4, 3, 2});
-  expect_no_delay({7});
-  expect_no_delay({9});
-  expect_no_delay({4, 4, 4});
-  expect_no_delay({12, 12});
+TEST(ChangePropagation, RelayWithoutTheStoreDelaysNobody) {
+  expect_no_late_change({4, 3, 2});
+  expect_no_late_change({7});
+  expect_no_late_change({9});
+  expect_no_late_change({4, 4, 4});
+  expect_no_late_change({12, 12});
 }
 
-/* the one that would take the relay's place first has lost the store too */
-TEST(LateNews, TwoCutOffOneAfterTheOtherDelayNobody) {
+/* The instance that would replace the relay first has lost the store, too. */
+TEST(ChangePropagation, RelayAndItsSuccessorWithoutTheStoreDelayNobody) {
   for (unsigned seed = 1; seed <= 20; seed++) {
-    auto world = world_of({6, 2}, seed);
+    auto world = make_world({6, 2}, seed);
     int version = 100;
     world->run(3 * second + seed * 93 * ms);
     change_and_check(*world, &version, 2 * second);
     Instance *first = relays_of(*world)[0];
     first->cut_from_store = true;
-    world->run(bound); /* another one has taken the place */
-    std::vector<Instance *> both = relays_of(*world);
-    ASSERT_EQ(both.size(), 2u);
+    world->run(propagation_bound); /* another instance has become relay */
+    std::vector<Instance *> both_relays = relays_of(*world);
+    ASSERT_EQ(both_relays.size(), 2u);
     first->cut_from_store = false;
-    world->run(5 * second); /* and has given it up again */
+    world->run(5 * second); /* it is no relay any more */
     ASSERT_EQ(relays_of(*world).size(), 1u);
-    for (Instance *one : both)
+    for (Instance *one : both_relays)
       one->cut_from_store = true;
     change_and_check(*world, &version, 6 * second);
   }
 }
 
-/* an endpoint that leaves is heard of as early as a configuration */
-TEST(LateNews, AnEndpointThatLeavesIsHeardOfInTime) {
+/* Removals of endpoints arrive as early as changes of the configuration. */
+TEST(ChangePropagation, RemovedEndpointIsKnownInTime) {
   for (unsigned seed = 1; seed <= 20; seed++) {
-    auto world = world_of({4, 3, 2}, seed);
+    auto world = make_world({4, 3, 2}, seed);
     world->run(4 * second + seed * 93 * ms);
-    cut_relays(*world);
+    cut_relays_from_store(*world);
     world->remove(STORE_ENDPOINTS, "e1");
-    world->run(bound);
+    world->run(propagation_bound);
     for (auto &one : world->all) {
       unsigned known = one->seen[STORE_ENDPOINTS].count("e1");
       EXPECT_TRUE(one->cut_from_store || known == 0);
@@ -142,17 +143,18 @@
   }
 }
 
-/* a relay that has lost the store is not fresh by the one in its place */
-TEST(LateNews, WhoTakesARelaysPlaceKeepsItUntilTheStoreAnswersThere) {
-  auto world = world_of({4, 3, 2}, 1);
+/* A relay that has lost the store must not count as fresh because of what its
+** successor tells it. */
+TEST(ChangePropagation, SuccessorOfARelayStaysUntilTheStoreAnswersTheRelay) {
+  auto world = make_world({4, 3, 2}, 1);
   world->run(4 * second);
-  cut_relays(*world);
+  cut_relays_from_store(*world);
   world->run(2 * second);
-  std::vector<Instance *> standing = relays_of(*world);
-  ASSERT_EQ(standing.size(), 2u);
+  std::vector<Instance *> relays = relays_of(*world);
+  ASSERT_EQ(relays.size(), 2u);
   for (int i = 0; i < 60; i++) {
     world->run(100 * ms);
-    EXPECT_EQ(relays_of(*world), standing);
+    EXPECT_EQ(relays_of(*world), relays);
   }
   for (auto &one : world->all)
     one->cut_from_store = false;
@@ -160,10 +162,11 @@
   EXPECT_EQ(relays_of(*world).size(), 1u);
 }
 
-/* it hears from relays elsewhere that its silent watch lacks something */
-TEST(LateNews, ARelayAmongOthersAsksThemWhenItsWatchIsLost) {
+/* Heartbeats of the relays of other data centres tell a relay of changes that
+** its silent watch lacks. */
+TEST(ChangePropagation, RelayAsksOtherRelaysWhenItsWatchIsLost) {
   for (unsigned seed = 1; seed <= 20; seed++) {
-    auto world = world_of({4, 4, 4}, seed);
+    auto world = make_world({4, 4, 4}, seed);
     world->run(4 * second + seed * 93 * ms);
     Instance *relay = relays_of(*world)[0];
     relay->cut_from_store = true;
@@ -173,20 +176,21 @@
   }
 }
 
-/* a relay that is killed and back before it is missed has the news of before
-** its start from its list alone */
-TEST(LateNews, ARelayThatRestartsTellsWhatLeftBeforeItsStart) {
+/* A relay that restarts before its absence is noticed knows what
+** happened before its start from its list alone, which does not name
+** removed objects. */
+TEST(ChangePropagation, RestartedRelayReportsRemovalsBeforeItsStart) {
   for (unsigned seed = 1; seed <= 20; seed++) {
-    auto world = world_of({4, 3, 2}, seed);
+    auto world = make_world({4, 3, 2}, seed);
     world->write(STORE_ENDPOINTS, "e2", "1");
     world->run(4 * second);
     Instance *relay = relays_of(*world)[0];
     world->kill(*relay);
     world->remove(STORE_ENDPOINTS, "e2");
-    world->staleness = 0; /* its first list is as new as it can be */
+    world->staleness = 0; /* its first list is up to date */
     world->run(100 * ms + seed * 20 * ms);
     world->start(*relay);
-    world->run(bound);
+    world->run(propagation_bound);
     EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "1"), 0u) << seed;
   }
 }
--- a/test/test_news.cc
+++ b/test/test_news.cc
@@ -1,6 +1,7 @@
 /*
 ** test_news.cc
-** What instances ask each other about the store's objects, as HTTP
+** Tests of the HTTP encoding of what instances ask each other about the
+** store's objects
 */
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 
 namespace {
 
-std::string target_of(StoreOperation operation, gint64 revision) {
+std::string write_target(StoreOperation operation, gint64 revision) {
   StoreCall call = {};
   char *body;
   call.kind = STORE_ENDPOINTS;
@@ -29,7 +30,7 @@
   return target;
 }
 
-std::string written(const StoreReply *reply) {
+std::string write_reply(const StoreReply *reply) {
   GBytes *bytes = news_write_reply(reply);
   std::string text(static_cast<const char *>(g_bytes_get_data(bytes, nullptr)),
                    g_bytes_get_size(bytes));
@@ -37,7 +38,7 @@
   return text;
 }
 
-StoreReply read(int status, const std::string &body, bool *good) {
+StoreReply read_reply(int status, const std::string &body, bool *good) {
   StoreCall call = {};
   StoreReply out;
   GError *error = nullptr;
@@ -48,21 +49,21 @@
   return out;
 }
 
-TEST(News, CallsAreReadAsTheyWereWritten) {
+TEST(NewsCodecTest, WrittenCallsAreReadBack) {
   NewsQuery query;
-  std::string target = target_of(STORE_WATCH, 1LL << 40);
+  std::string target = write_target(STORE_WATCH, 1LL << 40);
   EXPECT_EQ(target, "/news?kind=1&since=1099511627776&era=3");
   ASSERT_TRUE(news_read_query(strchr(target.c_str(), '?') + 1, &query));
   EXPECT_EQ(query.kind, STORE_ENDPOINTS);
   EXPECT_EQ(query.asked.since.revision, 1LL << 40);
   EXPECT_EQ(query.asked.since.era, 3u);
   EXPECT_FALSE(query.asked.in_full);
-  target = target_of(STORE_LIST, 7);
+  target = write_target(STORE_LIST, 7);
   ASSERT_TRUE(news_read_query(strchr(target.c_str(), '?') + 1, &query));
   EXPECT_EQ(query.asked.since.revision, 0);
 }
 
-TEST(News, QueriesThatAreNoneAreTold) {
+TEST(NewsCodecTest, InvalidQueriesAreRejected) {
   NewsQuery out;
   for (const char *query :
        {"", "kind=", "kind=4", "kind=-1", "since=4", "kind=1&since=x",
@@ -71,42 +72,43 @@
   EXPECT_FALSE(news_read_query(nullptr, &out));
 }
 
-TEST(News, RepliesAreReadAsTheyWereWritten) {
+TEST(NewsCodecTest, WrittenRepliesAreReadBack) {
   StoreReply reply = {STORE_OK, store_objects_new(),
                       FALSE,    store_position(0, 530),
                       FALSE,    0,
                       FALSE,    FALSE};
-  StoreObject here = {g_strdup("a"), store_position(0, 4), FALSE,
-                      g_strdup("{\"x\":\"\\u00e9\"}"), nullptr};
+  StoreObject existing = {g_strdup("a"), store_position(0, 4), FALSE,
+                          g_strdup("{\"x\":\"\\u00e9\"}"), nullptr};
   StoreObject gone = {g_strdup("b"), store_position(0, 9), TRUE, nullptr,
                       nullptr};
   bool good;
-  g_array_append_val(reply.objects, here);
+  g_array_append_val(reply.objects, existing);
   g_array_append_val(reply.objects, gone);
-  std::string text = written(&reply);
-  StoreReply out = read(news_reply_status(&reply), text, &good);
+  std::string text = write_reply(&reply);
+  StoreReply out = read_reply(news_reply_status(&reply), text, &good);
   ASSERT_TRUE(good);
   EXPECT_EQ(out.status, STORE_OK);
   EXPECT_EQ(out.at.revision, 530);
   ASSERT_EQ(out.objects->len, 2u);
   const StoreObject *first = &g_array_index(out.objects, StoreObject, 0);
-  EXPECT_STREQ(first->text, here.text);
+  EXPECT_STREQ(first->text, existing.text);
   EXPECT_EQ(first->position.revision, 4);
   EXPECT_TRUE(g_array_index(out.objects, StoreObject, 1).gone);
   store_reply_clear(&out);
   store_reply_clear(&reply);
 }
 
-TEST(News, OneThatKnowsNothingSaysSo) {
+TEST(NewsCodecTest, FailedReplyIsReadAsFailed) {
   StoreReply reply = {STORE_FAILED, nullptr, FALSE, store_position(0, 0),
                       FALSE,        0,       FALSE, FALSE};
   bool good;
-  EXPECT_EQ(read(news_reply_status(&reply), "", &good).status, STORE_FAILED);
+  EXPECT_EQ(read_reply(news_reply_status(&reply), "", &good).status,
+            STORE_FAILED);
   EXPECT_TRUE(good);
 }
 
-/* only a reply that names all objects may leave the text of one out */
-TEST(News, AWholeReplyNamesWhatHasNotChanged) {
+/* Only a reply that names all objects may omit the text of one. */
+TEST(NewsCodecTest, OnlyACompleteReplyMayOmitAText) {
   StoreReply reply = {STORE_OK, store_objects_new(),
                       FALSE,    store_position(0, 530),
                       TRUE,     0,
@@ -115,8 +117,8 @@
                       nullptr};
   bool good;
   g_array_append_val(reply.objects, same);
-  std::string text = written(&reply);
-  StoreReply out = read(200, text, &good);
+  std::string text = write_reply(&reply);
+  StoreReply out = read_reply(200, text, &good);
   ASSERT_TRUE(good);
   EXPECT_TRUE(out.whole);
   ASSERT_EQ(out.objects->len, 1u);
@@ -124,17 +126,17 @@
   EXPECT_EQ(g_array_index(out.objects, StoreObject, 0).text, nullptr);
   store_reply_clear(&out);
   reply.whole = FALSE;
-  text = written(&reply);
-  EXPECT_EQ(read(200, text, &good).status, STORE_FAILED);
+  text = write_reply(&reply);
+  EXPECT_EQ(read_reply(200, text, &good).status, STORE_FAILED);
   EXPECT_FALSE(good);
   store_reply_clear(&reply);
 }
 
-/* 20 members that ask at once for so much take a link of 10 Mbit/s half a
-** second */
-constexpr size_t relay_answer_most = 32 << 10;
+/* 20 answers of this size at once occupy a relay's link of 10 Mbit/s for about
+** half a second. */
+constexpr size_t relay_answer_bytes_max = 32 << 10;
 
-std::string routes_of(unsigned count) {
+std::string routes_text(unsigned count) {
   std::string text = "{\"Routes\":[";
   for (unsigned i = 0; i < count; i++)
     text += "{\"Name\":\"route-" + std::to_string(i * 7919 % 100003) +
@@ -146,33 +148,33 @@
   return text + "]}";
 }
 
-TEST(News, ALargeTextFitsARelaysLink) {
+TEST(NewsCodecTest, LargeTextIsCompressedForARelaysLink) {
   StoreReply reply = {STORE_OK, store_objects_new(),
                       FALSE,    store_position(0, 5),
                       FALSE,    0,
                       FALSE,    FALSE};
-  std::string whole = routes_of(1500);
+  std::string whole = routes_text(1500);
   StoreObject large = {g_strdup("main"), store_position(0, 4), FALSE,
                        g_strdup(whole.c_str()), nullptr};
   bool good;
   g_array_append_val(reply.objects, large);
   ASSERT_GT(whole.size(), 200000u);
-  std::string text = written(&reply);
-  EXPECT_LE(text.size(), relay_answer_most);
+  std::string text = write_reply(&reply);
+  EXPECT_LE(text.size(), relay_answer_bytes_max);
   EXPECT_EQ(news_reply_status(&reply), 200);
-  StoreReply out = read(200, text, &good);
+  StoreReply out = read_reply(200, text, &good);
   ASSERT_TRUE(good);
   EXPECT_EQ(whole, g_array_index(out.objects, StoreObject, 0).text);
   store_reply_clear(&out);
   store_reply_clear(&reply);
 }
 
-TEST(News, ChangesAreReadAsTheyWereWritten) {
+TEST(NewsCodecTest, WrittenPatchesAreReadBack) {
   StoreReply reply = {STORE_OK, store_objects_new(),
                       FALSE,    store_position(0, 9),
                       FALSE,    0,
                       FALSE,    FALSE};
-  std::string older = routes_of(1500);
+  std::string older = routes_text(1500);
   std::string newer = older;
   newer.replace(newer.find("4000"), 4, "5000");
   GBytes *patch = text_patch_new(older.c_str(), newer.c_str());
@@ -182,36 +184,36 @@
                         changes};
   bool good;
   g_array_append_val(reply.objects, object);
-  std::string text = written(&reply);
+  std::string text = write_reply(&reply);
   EXPECT_LE(text.size(), 300u);
-  StoreReply out = read(200, text, &good);
+  StoreReply out = read_reply(200, text, &good);
   ASSERT_TRUE(good);
-  const StoreObject *told = &g_array_index(out.objects, StoreObject, 0);
-  ASSERT_NE(told->changes, nullptr);
-  EXPECT_EQ(told->text, nullptr);
-  char *made = text_changes_apply(told->changes, older.c_str());
+  const StoreObject *received = &g_array_index(out.objects, StoreObject, 0);
+  ASSERT_NE(received->changes, nullptr);
+  EXPECT_EQ(received->text, nullptr);
+  char *made = text_changes_apply(received->changes, older.c_str());
   EXPECT_EQ(newer, made);
   g_free(made);
-  EXPECT_EQ(text_changes_apply(told->changes, newer.c_str() + 1), nullptr);
+  EXPECT_EQ(text_changes_apply(received->changes, newer.c_str() + 1), nullptr);
   store_reply_clear(&out);
   store_reply_clear(&reply);
   g_bytes_unref(patch);
 }
 
-TEST(News, SpoiltRepliesAreNoReplies) {
+TEST(NewsCodecTest, CorruptRepliesAreRejected) {
   const std::string whole =
       R"({"at":5,"objects":[{"name":"a","revision":3,"text":"t"}]})";
   std::minstd_rand random(5);
   bool good;
   for (size_t i = 0; i < whole.size(); i++) {
-    StoreReply out = read(200, whole.substr(0, i), &good);
+    StoreReply out = read_reply(200, whole.substr(0, i), &good);
     EXPECT_EQ(out.status, STORE_FAILED) << i;
     EXPECT_EQ(out.objects, nullptr);
   }
   for (int i = 0; i < 2000; i++) {
     std::string text = whole;
     text[random() % text.size()] = static_cast<char>(random());
-    StoreReply out = read(200, text, &good);
+    StoreReply out = read_reply(200, text, &good);
     EXPECT_EQ(out.status == STORE_OK, good);
     store_reply_clear(&out);
   }
--- a/test/test_news_source.cc
+++ b/test/test_news_source.cc
@@ -1,6 +1,7 @@
 /*
 ** test_news_source.cc
-** How long a call is waited for that brings the store's news
+** Tests of how long an instance waits for a call that brings changes of the
+** store, and of when it asks a relay or lists the store instead
 */
 
 #include <gtest/gtest.h>
@@ -22,8 +23,8 @@
 constexpr gint64 second = 1000 * ms;
 constexpr mp_Addr relay = 99;
 
-/* one that follows the store for itself and hears a relay */
-struct Source : ::testing::Test {
+/* An instance that watches the store itself and gets heartbeats of a relay. */
+struct NewsSourceTest : ::testing::Test {
   RelayTiming times = {2800 * ms, 3 * second};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
   NewsSource source = {};
@@ -40,18 +41,18 @@
                   &host);
     news_source_init(&source, group, &control, nullptr, 0);
     relay_group_skip_start_wait(group);
-    list(100);
+    list_store(100);
   }
   void TearDown() override {
     follower_clear(&source.follower);
     relay_group_free(group);
   }
-  NewsAction next() {
-    NewsAction wanted;
-    news_source_next(&source, now, &wanted);
-    return wanted;
+  NewsAction next_action() {
+    NewsAction action;
+    news_source_next(&source, now, &action);
+    return action;
   }
-  void list(gint64 revision) {
+  void list_store(gint64 revision) {
     StoreReply reply = {STORE_OK, store_objects_new(),
                         FALSE,    store_position(0, revision),
                         FALSE,    0,
@@ -59,11 +60,11 @@
     StoreObject object = {g_strdup("main"), store_position(0, revision), FALSE,
                           g_strdup("x"), nullptr};
     g_array_append_val(reply.objects, object);
-    EXPECT_EQ(next().call.operation, STORE_LIST);
+    EXPECT_EQ(next_action().call.operation, STORE_LIST);
     news_source_reply(&source, &reply, now);
     store_reply_clear(&reply);
   }
-  void hear(guint64 revision) {
+  void receive_heartbeat(guint64 revision) {
     mp_RelayBeat told = {};
     told.changed[STORE_CONFIGURATION] =
         store_position(0, static_cast<gint64>(revision));
@@ -71,58 +72,59 @@
   }
 };
 
-TEST_F(Source, ACallIsNotGivenUpWhileItsAnswerArrives) {
-  EXPECT_EQ(next().step, NEWS_ASK_STORE);
-  hear(101);
+TEST_F(NewsSourceTest, CallIsKeptWhileItsAnswerArrives) {
+  EXPECT_EQ(next_action().step, NEWS_ASK_STORE);
+  receive_heartbeat(101);
   for (int i = 0; i < 30; i++, now += 100 * ms) {
-    hear(101 + i);
+    receive_heartbeat(101 + i);
     news_source_progress(&source, now);
-    EXPECT_EQ(next().step, NEWS_WAIT) << i;
+    EXPECT_EQ(next_action().step, NEWS_WAIT) << i;
   }
 }
 
-TEST_F(Source, ACallThatFallsSilentIsGivenUpForARelay) {
-  EXPECT_EQ(next().step, NEWS_ASK_STORE);
-  hear(101);
+TEST_F(NewsSourceTest, SilentStoreCallIsAbandonedForARelay) {
+  EXPECT_EQ(next_action().step, NEWS_ASK_STORE);
+  receive_heartbeat(101);
   news_source_progress(&source, now);
-  EXPECT_EQ(next().step, NEWS_WAIT);
+  EXPECT_EQ(next_action().step, NEWS_WAIT);
   now += 400 * ms;
-  EXPECT_EQ(next().step, NEWS_ABANDON_STORE_CALL);
-  NewsAction wanted = next();
-  EXPECT_EQ(wanted.step, NEWS_ASK_INSTANCE);
-  EXPECT_EQ(wanted.call.operation, STORE_WATCH);
+  EXPECT_EQ(next_action().step, NEWS_ABANDON_STORE_CALL);
+  NewsAction action = next_action();
+  EXPECT_EQ(action.step, NEWS_ASK_INSTANCE);
+  EXPECT_EQ(action.call.operation, STORE_WATCH);
 }
 
-TEST_F(Source, AWatchThatMissedAChangeHasTheObjectsListed) {
+TEST_F(NewsSourceTest, WatchThatMissedAChangeIsFollowedByAList) {
   StoreReply nothing = {STORE_OK, store_objects_new(),
                         FALSE,    store_position(0, 105),
                         FALSE,    0,
                         FALSE,    FALSE};
-  EXPECT_EQ(next().call.operation, STORE_WATCH);
-  hear(103);
+  EXPECT_EQ(next_action().call.operation, STORE_WATCH);
+  receive_heartbeat(103);
   news_source_reply(&source, &nothing, now);
   EXPECT_EQ(source.follower.known.revision, 100);
-  NewsAction wanted = next();
-  EXPECT_EQ(wanted.step, NEWS_ASK_STORE);
-  EXPECT_EQ(wanted.call.operation, STORE_LIST);
+  NewsAction action = next_action();
+  EXPECT_EQ(action.step, NEWS_ASK_STORE);
+  EXPECT_EQ(action.call.operation, STORE_LIST);
   store_reply_clear(&nothing);
 }
 
-TEST_F(Source, AWatchThatEndsBeforeWhatIsNamedHasMissedNothing) {
+TEST_F(NewsSourceTest, WatchThatEndsBeforeTheReportedRevisionContinues) {
   StoreReply nothing = {STORE_OK, store_objects_new(),
                         FALSE,    store_position(0, 102),
                         FALSE,    0,
                         FALSE,    FALSE};
-  EXPECT_EQ(next().call.operation, STORE_WATCH);
-  hear(103);
+  EXPECT_EQ(next_action().call.operation, STORE_WATCH);
+  receive_heartbeat(103);
   news_source_reply(&source, &nothing, now);
   EXPECT_EQ(source.follower.known.revision, 102);
-  EXPECT_EQ(next().call.operation, STORE_WATCH);
+  EXPECT_EQ(next_action().call.operation, STORE_WATCH);
   store_reply_clear(&nothing);
 }
 
-/* its age is not known, and others would take it for none */
-TEST(Start, AnOldListIsNoNewOne) {
+/* The age of a stale list is not known, so an instance that has only such a
+** list must not report a young configuration to others. */
+TEST(NewsSourceStart, StaleListDoesNotMakeAnInstanceFresh) {
   RelayTiming times = {2800 * ms, 3 * second};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
   NewsSource sources[2] = {};
@@ -132,7 +134,7 @@
   NewsSourceHost none = {nullptr,
                          [](void *, mp_Addr) -> mp_Addr { return 0; }};
   for (int kind = 0; kind < 2; kind++) {
-    NewsAction wanted;
+    NewsAction action;
     StoreReply reply = {STORE_OK, store_objects_new(),
                         FALSE,    store_position(0, 100),
                         FALSE,    0,
@@ -140,8 +142,8 @@
     follower_init(&sources[kind].follower, static_cast<StoreKind>(kind),
                   times.watch_wait, 0, &host);
     news_source_init(&sources[kind], group, &none, nullptr, 0);
-    news_source_next(&sources[kind], second, &wanted);
-    EXPECT_TRUE(wanted.call.stale);
+    news_source_next(&sources[kind], second, &action);
+    EXPECT_TRUE(action.call.stale);
     news_source_reply(&sources[kind], &reply, second);
     store_reply_clear(&reply);
   }
@@ -152,8 +154,9 @@
   relay_group_free(group);
 }
 
-/* an answer in ten pieces, 0.1 s apart, where 0.4 s of silence end a call */
-struct SlowStore : ::testing::Test {
+/* An answer of the store in ten pieces, 0.1 s apart, where a call times out
+** after 0.4 s of silence. */
+struct StoreLinkSlowAnswerTest : ::testing::Test {
   struct event_base *base = event_base_new();
   Listener store;
   StoreLink *link = nullptr;
@@ -169,16 +172,16 @@
     event_base_free(base);
   }
   static void on_reply(void *data, const StoreReply *reply, const GError *) {
-    auto *self = static_cast<SlowStore *>(data);
+    auto *self = static_cast<StoreLinkSlowAnswerTest *>(data);
     (reply->status == STORE_OK ? self->answered : self->failed)++;
   }
-  bool work(const std::function<bool()> &done) {
+  bool run_loop(const std::function<bool()> &done) {
     return loopback::until(
         base, [this] { store.work(); }, done);
   }
 };
 
-TEST_F(SlowStore, AnAnswerThatArrivesIsNotGivenUpForItsAge) {
+TEST_F(StoreLinkSlowAnswerTest, SlowAnswerThatKeepsArrivingIsNotTimedOut) {
   std::string body =
       R"({"items":[],"more":false,"at":5)" + std::string(400, ' ') + "}";
   std::string text =
@@ -187,14 +190,14 @@
   StoreCall call = {};
   call.operation = STORE_LIST;
   store_link_call(link, &call, 400 * ms);
-  ASSERT_TRUE(work(
+  ASSERT_TRUE(run_loop(
       [&] { return !store.peers.empty() && !store.peers[0]->got.empty(); }));
   for (size_t i = 0; i < 10; i++) {
     size_t from = text.size() * i / 10;
     gint64 sent = g_get_monotonic_time();
     store.peers[0]->send_text(
         text.substr(from, text.size() * (i + 1) / 10 - from));
-    work([&] { return g_get_monotonic_time() - sent > 100 * ms; });
+    run_loop([&] { return g_get_monotonic_time() - sent > 100 * ms; });
   }
   EXPECT_EQ(answered, 1);
   EXPECT_EQ(failed, 0);
--- a/test/test_news_state.cc
+++ b/test/test_news_state.cc
@@ -1,6 +1,7 @@
 /*
 ** test_news_state.cc
-** How an instance's knowledge compares to what any instance has named
+** Tests of how far the position that an instance holds is behind the newest
+** one that any instance has reported
 */
 
 #include <gtest/gtest.h>
@@ -11,7 +12,7 @@
 
 namespace {
 
-TEST(NewsState, LagsFromTheNamingToTheHolding) {
+TEST(NewsStateTest, LagCountsFromAReportUntilTheRevisionIsHeld) {
   NewsState state = {};
   news_state_advance_held(&state, store_position(0, 10), 100);
   news_state_advance_newest(&state, store_position(0, 10), 200);
@@ -25,7 +26,7 @@
   EXPECT_EQ(news_state_lag(&state, 1000), 0);
 }
 
-TEST(NewsState, NeverGoesBack) {
+TEST(NewsStateTest, PositionsNeverMoveBack) {
   NewsState state = {};
   news_state_advance_held(&state, store_position(0, 10), 100);
   news_state_advance_held(&state, store_position(0, 7), 200);
@@ -34,15 +35,15 @@
   EXPECT_EQ(news_state_lag(&state, 400), 0);
 }
 
-TEST(NewsState, WhatIsHeldOfAnOlderEraLacksANewerOne) {
+TEST(NewsStateTest, PositionOfAnOlderEraIsBehindANewerOne) {
   NewsState state = {};
   news_state_advance_held(&state, store_position(1, 40), 100);
   news_state_advance_newest(&state, store_position(2, 31), 200);
   EXPECT_TRUE(news_state_is_behind(&state));
   news_state_advance_held(&state, store_position(2, 31), 300);
   EXPECT_FALSE(news_state_is_behind(&state));
-  news_state_advance_newest(&state, store_position(1, 90),
-                            400); /* it is cut off */
+  /* from an instance that is cut off from the restored store */
+  news_state_advance_newest(&state, store_position(1, 90), 400);
   EXPECT_FALSE(news_state_is_behind(&state));
 }
 
--- a/test/test_text_history.cc
+++ b/test/test_text_history.cc
@@ -1,6 +1,7 @@
 /*
 ** test_text_history.cc
-** Texts as their changes: patches, and histories of them
+** Tests of patches, which turn one version of a text into the next, and of the
+** history of them
 */
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 
 namespace {
 
-std::string text_of(unsigned lines, unsigned seed) {
+std::string random_text(unsigned lines, unsigned seed) {
   std::minstd_rand random(seed);
   std::string text;
   for (unsigned i = 0; i < lines; i++)
@@ -25,7 +26,7 @@
   return text;
 }
 
-std::string patched(const std::string &from, GBytes *patch) {
+std::string apply_patch(const std::string &from, GBytes *patch) {
   char *text = text_patch_apply(from.c_str(), g_bytes_get_data(patch, nullptr),
                                 g_bytes_get_size(patch));
   std::string out = text != nullptr ? text : "none";
@@ -33,25 +34,25 @@
   return out;
 }
 
-TEST(TextPatch, MakesTheNewTextOfTheOldOneAlone) {
+TEST(TextPatchTest, AppliesToTheOldTextOnly) {
   std::minstd_rand random(1);
   for (unsigned lines : {0u, 1u, 50u, 8000u}) {
-    std::string older = text_of(lines, 3);
+    std::string older = random_text(lines, 3);
     std::string newer = older;
     newer.insert(random() % (newer.size() + 1), "another line\n");
     newer.erase(random() % newer.size(), 7);
     GBytes *patch = text_patch_new(older.c_str(), newer.c_str());
-    EXPECT_EQ(patched(older, patch), newer);
+    EXPECT_EQ(apply_patch(older, patch), newer);
     EXPECT_LE(g_bytes_get_size(patch), 200u) << lines;
     if (lines > 0) {
-      EXPECT_EQ(patched(older + "x", patch), "none");
+      EXPECT_EQ(apply_patch(older + "x", patch), "none");
     }
     g_bytes_unref(patch);
   }
 }
 
-TEST(TextPatch, ASpoiltOneMakesNoOtherText) {
-  std::string older = text_of(40, 5);
+TEST(TextPatchTest, CorruptPatchProducesNoOtherText) {
+  std::string older = random_text(40, 5);
   std::string newer = older + "more\n";
   GBytes *patch = text_patch_new(older.c_str(), newer.c_str());
   gsize size;
@@ -59,17 +60,17 @@
   ASSERT_TRUE(text_patch_is_patch(bytes, size));
   EXPECT_FALSE(text_patch_is_patch("{\"at\":5}", 8));
   for (gsize i = 0; i < size; i++) {
-    std::string spoilt(bytes, size);
-    spoilt[i] = static_cast<char>(spoilt[i] ^ 0x20);
-    char *made = text_patch_apply(older.c_str(), spoilt.data(), size);
-    EXPECT_TRUE(made == nullptr || newer == made) << i;
-    g_free(made);
+    std::string corrupt(bytes, size);
+    corrupt[i] = static_cast<char>(corrupt[i] ^ 0x20);
+    char *result = text_patch_apply(older.c_str(), corrupt.data(), size);
+    EXPECT_TRUE(result == nullptr || newer == result) << i;
+    g_free(result);
     EXPECT_EQ(text_patch_apply(older.c_str(), bytes, i), nullptr) << i;
   }
   g_bytes_unref(patch);
 }
 
-struct Kept : ::testing::Test {
+struct TextHistoryTest : ::testing::Test {
   TextHistory *history = text_history_new();
 
   void TearDown() override {
@@ -82,8 +83,9 @@
                      patch);
     g_bytes_unref(patch);
   }
-  /* revisions at which the changes since begin; empty: it does not reach */
-  std::vector<gint64> since(gint64 revision) {
+  /* Returns the revision at which each change since 'revision' begins; empty
+  ** if the history does not reach back so far or there is no change. */
+  std::vector<gint64> changes_since(gint64 revision) {
     std::vector<gint64> out;
     GArray *changes = text_history_since(history, store_position(0, revision));
     for (guint i = 0; changes != nullptr && i < changes->len; i++)
@@ -94,32 +96,33 @@
   }
 };
 
-using Froms = std::vector<gint64>;
+using Revisions = std::vector<gint64>;
 
-TEST_F(Kept, TellsWhatChangedSinceARevisionOfTheStore) {
+TEST_F(TextHistoryTest, ReturnsTheChangesSinceARevision) {
   add(10, 14);
   add(14, 20);
-  EXPECT_EQ(since(10), (Froms{10, 14}));
-  EXPECT_EQ(since(13), (Froms{10, 14})); /* the text of 10 stood then */
-  EXPECT_EQ(since(14), (Froms{14}));
-  EXPECT_EQ(since(9), Froms{});
-  EXPECT_EQ(since(20), Froms{});
+  EXPECT_EQ(changes_since(10), (Revisions{10, 14}));
+  EXPECT_EQ(changes_since(13),
+            (Revisions{10, 14})); /* the text was still that of 10 */
+  EXPECT_EQ(changes_since(14), (Revisions{14}));
+  EXPECT_EQ(changes_since(9), Revisions{});
+  EXPECT_EQ(changes_since(20), Revisions{});
 }
 
-TEST_F(Kept, BeginsAnewBehindAGap) {
+TEST_F(TextHistoryTest, StartsAgainAfterAGap) {
   add(10, 14);
   add(16, 20);
-  EXPECT_EQ(since(10), Froms{});
-  EXPECT_EQ(since(16), (Froms{16}));
+  EXPECT_EQ(changes_since(10), Revisions{});
+  EXPECT_EQ(changes_since(16), (Revisions{16}));
 }
 
-TEST_F(Kept, ForgetsTheOldestWhenItHasTooMany) {
+TEST_F(TextHistoryTest, DropsTheOldestChangesBeyondItsBounds) {
   for (gint64 i = 0; i < 500; i++)
     add(i, i + 1);
-  EXPECT_EQ(since(0), Froms{});
-  EXPECT_EQ(since(499 - 127).size(), 128u);
+  EXPECT_EQ(changes_since(0), Revisions{});
+  EXPECT_EQ(changes_since(499 - 127).size(), 128u);
   add(500, 501, 1 << 20);
-  EXPECT_EQ(since(500), Froms{});
+  EXPECT_EQ(changes_since(500), Revisions{});
 }
 
 } // namespace
