--- a/test/test_follower.cc
+++ b/test/test_follower.cc
@@ -425,9 +425,9 @@
   }
 };
 
-/* A patch named by the answer's revision would not be sent to peers that know
-** everything up to the revision of the text itself. */
-TEST_F(FollowerPatchTest, RevisionIsThatOfTheTextNotOfTheAnswer) {
+/* If a change were announced with the position of the answer, instances that
+** know everything up to the change itself would seem to lack it. */
+TEST_F(FollowerPatchTest, ChangeIsAnnouncedWithItsOwnRevisionNotTheAnswers) {
   feed_object(&relay, 14, older, 30); /* as a watch does */
   EXPECT_EQ(relay.changed.revision, 14);
   EXPECT_EQ(relay.known.revision, 30);
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -6,7 +6,7 @@
 ** Each scenario is a random sequence of what an instance receives: answers and
 ** their signals, lists, digests of peers, time with and without ticks, hangups
 ** of callers. Every dispatch is compared with a model of the announcements
-** alone: which lives of an endpoint leave, and until when each rests. A
+** alone: which incarnations of an endpoint leave, and until when each rests. A
 ** scenario that fails is reduced to the steps that it needs. In the
 ** environment, GATE_HISTORIES sets the number of scenarios, and GATE_SEED the
 ** first seed.
@@ -35,17 +35,17 @@
 
 enum Action {
   ACT_REQUEST,
-  ACT_END,     /* an open dispatch ends somehow */
+  ACT_END,     /* an open dispatch ends with some outcome */
   ACT_SIGNAL,  /* the answer to an open dispatch carries signals */
   ACT_PROBE,   /* an answer of any endpoint carries signals */
-  ACT_LIST,    /* a record of the same life, perhaps an older one */
+  ACT_LIST,    /* a record of the same incarnation, perhaps an older one */
   ACT_LAPSE,   /* an endpoint is removed from the list */
-  ACT_RESTART, /* a record of a later life */
+  ACT_RESTART, /* a record of a later incarnation */
   ACT_PEER,    /* a digest names endpoints that leave */
   ACT_TIME,    /* time passes with ticks of the router */
   ACT_SUSPEND, /* time passes without ticks */
   ACT_HANGUP,
-  ACT_LEASE, /* orders may be given */
+  ACT_LEASE, /* the lease on sending orders is granted */
   ACT_COUNT
 };
 
@@ -69,11 +69,11 @@
 struct EndpointModel {
   gint64 started_unix_ms = 1000;
   bool is_listed = true, is_ready = true;
-  std::set<gint64> leaving_lives; /* starts of the lives that leave */
-  gint64 rest_until = 0;          /* of the present life */
-  bool has_released = false;      /* in the present rest */
+  std::set<gint64> leaving_incarnations; /* by their starts */
+  gint64 rest_until = 0;                 /* of the present incarnation */
+  bool has_released = false;             /* in the present rest */
   bool is_leaving() const {
-    return !is_ready || leaving_lives.count(started_unix_ms) > 0;
+    return !is_ready || leaving_incarnations.count(started_unix_ms) > 0;
   }
 };
 
@@ -130,7 +130,7 @@
     if (!is_present)
       return;
     if (signals.leaving == SIGNAL_GIVEN)
-      models[i].leaving_lives.insert(models[i].started_unix_ms);
+      models[i].leaving_incarnations.insert(models[i].started_unix_ms);
     if (signals.rest == SIGNAL_GIVEN && signals.rest_time > 0) {
       if (models[i].rest_until <= world.now)
         models[i].has_released = false;
@@ -184,7 +184,7 @@
   }
   void receive_digest(unsigned i, unsigned how) {
     mp_LoadDigest digest = {};
-    /* if an earlier life leaves, the present one does not */
+    /* that an earlier one leaves says nothing of the present one */
     gint64 started_unix_ms = how % 2 == 0 ? models[i].started_unix_ms
                                           : models[i].started_unix_ms - 1;
     digest.leaving_count = 1;
@@ -192,7 +192,7 @@
     router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), ++sequence,
                      &digest, world.now);
     if (how % 2 == 0 && models[i].is_listed)
-      models[i].leaving_lives.insert(models[i].started_unix_ms);
+      models[i].leaving_incarnations.insert(models[i].started_unix_ms);
   }
   void restart_endpoint(unsigned i) {
     models[i].started_unix_ms += 1000;
--- a/test/test_lease.cc
+++ b/test/test_lease.cc
@@ -93,7 +93,7 @@
   next();
   answer(STORE_NOT_FOUND);
   next();
-  now += 2 * second; /* the store was slow */
+  now += 2 * second; /* the store answers slowly */
   answer(STORE_OK, 7);
   EXPECT_TRUE(is_held());
   now += second;
--- a/test/test_overload.cc
+++ b/test/test_overload.cc
@@ -45,10 +45,10 @@
 
 /* One caller and all attempts of its request. */
 struct Caller {
-  gint64 first = 0;    /* time of the first attempt */
-  gint64 retry_at = 0; /* time of the next attempt; 0: none */
+  gint64 first_sent_at = 0; /* time of the first attempt */
+  gint64 retry_at = 0;      /* time of the next attempt; 0: none */
   unsigned tries = 0;
-  bool in_time = false;
+  bool is_in_time = false;
 };
 
 class OverloadedService {
@@ -97,10 +97,10 @@
     unsigned count = 0;
     unsigned good = 0;
     for (const Caller &caller : callers) {
-      if (caller.first < from || caller.first >= until)
+      if (caller.first_sent_at < from || caller.first_sent_at >= until)
         continue;
       count++;
-      good += caller.in_time;
+      good += caller.is_in_time;
     }
     return count > 0 ? static_cast<double>(good) / count : 0;
   }
@@ -111,13 +111,13 @@
   struct Run {
     size_t instance;
     guint64 dispatch;
-    gint64 at;
+    gint64 ends_at;
     bool is_prefill;
   };
   struct Instance {
     std::unique_ptr<World> world;
     size_t handled_dispatches = 0;
-    guint64 told = 0;
+    guint64 reported_version = 0;
     guint32 sequence = 0;
     std::map<guint64, size_t> callers_of_open_requests; /* by its number */
   };
@@ -134,7 +134,7 @@
   void send(size_t which) {
     Caller &caller = callers[which];
     Instance &one = all[random() % all.size()];
-    gint64 left = deadline_ms - (now - caller.first) / ms;
+    gint64 left = deadline_ms - (now - caller.first_sent_at) / ms;
     caller.tries++;
     caller.retry_at = 0;
     if (left <= 0)
@@ -150,7 +150,7 @@
     std::poisson_distribution<unsigned> draw(expected);
     for (unsigned n = draw(random); n > 0; n--) {
       Caller caller;
-      caller.first = now;
+      caller.first_sent_at = now;
       callers.push_back(caller);
       send(callers.size() - 1);
     }
@@ -180,7 +180,8 @@
     if (it == one.callers_of_open_requests.end())
       return;
     Caller &caller = callers[it->second];
-    caller.in_time |= now + first_token_time - caller.first <= objective;
+    caller.is_in_time |=
+        now + first_token_time - caller.first_sent_at <= objective;
     one.callers_of_open_requests.erase(it);
   }
 
@@ -188,7 +189,7 @@
     std::vector<Run> open;
     std::vector<Run> due;
     for (const Run &run : runs)
-      (run.at <= now ? due : open).push_back(run);
+      (run.ends_at <= now ? due : open).push_back(run);
     runs.swap(open);
     for (const Run &run : due) {
       World &world = *all[run.instance].world;
@@ -228,9 +229,9 @@
     for (auto &from : all) {
       mp_LoadDigest digest = {};
       Router *router = from.world->router;
-      if (router_load_version(router) == from.told)
+      if (router_load_version(router) == from.reported_version)
         continue;
-      from.told = router_load_version(router);
+      from.reported_version = router_load_version(router);
       router_load_digest(router, &digest, now);
       from.sequence++;
       for (auto &to : all) {
@@ -253,12 +254,12 @@
 
 /* Shares of callers served in time, by the time of their first attempt. */
 struct InTimeShares {
-  double before, within, next, after;
+  double before, during, next_5_s, following_10_s;
 };
 
 /* Simulates a burst of twice the load, six seconds long. Outside of it the
-** engines can start 1 / 0.85 of the requests that arrive. 'next' covers the
-** 5 s after the burst, 'after' the 10 s after those. */
+** engines can start 1 / 0.85 of the requests that arrive. next_5_s covers the
+** 5 s after the burst, following_10_s the 10 s after those. */
 InTimeShares simulate_burst(const ServiceSize &size, unsigned seed) {
   OverloadedService fleet(size, seed);
   gint64 start = fleet.now;
@@ -277,12 +278,12 @@
   const ServiceSize &size = GetParam();
   for (unsigned seed = 1; seed <= size.seeds; seed++) {
     InTimeShares shares = simulate_burst(size, seed);
-    EXPECT_GE(shares.after, 0.9 * shares.before)
+    EXPECT_GE(shares.following_10_s, 0.9 * shares.before)
         << "seed " << seed << ", in time " << shares.before << " before, "
-        << shares.within << " in the burst, " << shares.next
+        << shares.during << " in the burst, " << shares.next_5_s
         << " in the next 5 s";
     /* The engines can start 1 / 1.7 = 0.59 of the requests in the burst. */
-    EXPECT_GE(shares.within, 0.5) << "seed " << seed;
+    EXPECT_GE(shares.during, 0.5) << "seed " << seed;
   }
 }
 
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -141,7 +141,7 @@
   rate_limits_set(limits, endpoint, 4, now);
   receive_news(4, 0, 100);
   now += second;
-  receive_news(4, 0, 104); /* four more */
+  receive_news(4, 0, 104); /* four more than 100 */
   EXPECT_EQ(send_all_allowed(), 0u);
   now += 2 * second;
   EXPECT_GT(send_all_allowed(), 0u);
--- a/test/test_router.cc
+++ b/test/test_router.cc
@@ -193,7 +193,7 @@
 }
 
 /*
-** Time
+** Timeouts, deadlines and hangups
 */
 
 TEST_F(RouterTest, RouteTimeoutRefusesTheRequestAndCancelsItsRun) {
--- a/test/test_stages.cc
+++ b/test/test_stages.cc
@@ -20,7 +20,7 @@
 namespace {
 
 /*
-** The plan
+** The number of engines that should change their stage
 */
 
 StageUse usage(guint prefill, guint decode, double busy, double full) {
@@ -88,7 +88,7 @@
 }
 
 /*
-** The orders
+** Sending the orders
 */
 
 constexpr gint64 lease_length = 3 * second;
--- a/test/test_text_history.cc
+++ b/test/test_text_history.cc
@@ -102,8 +102,8 @@
   add(10, 14);
   add(14, 20);
   EXPECT_EQ(changes_since(10), (Revisions{10, 14}));
-  EXPECT_EQ(changes_since(13),
-            (Revisions{10, 14})); /* the text was still that of 10 */
+  /* at 13 the text was still that of 10 */
+  EXPECT_EQ(changes_since(13), (Revisions{10, 14}));
   EXPECT_EQ(changes_since(14), (Revisions{14}));
   EXPECT_EQ(changes_since(9), Revisions{});
   EXPECT_EQ(changes_since(20), Revisions{});
