--- a/test/test_account_limits.cc
+++ b/test/test_account_limits.cc
@@ -21,7 +21,8 @@
 constexpr gint64 ms = 1000;
 constexpr gint64 second = 1000 * ms;
 constexpr gint64 time_step = 5 * ms;
-constexpr double request_tokens = 5300;
+constexpr double default_request_tokens = 5300;
+constexpr double request_tokens = default_request_tokens;
 /* Tokens a second: the smallest limit and a large one of a deployment with 88
 ** instances. */
 constexpr double least_rate = 36000;
@@ -160,7 +161,7 @@
         send_summary(i);
     }
   }
-  bool request(Instance &one, double tokens = request_tokens) {
+  bool request(Instance &one, double tokens = default_request_tokens) {
     LimitSharers who = sharers(one);
     gint64 come_back = 0;
     std::uniform_real_distribution<double> draw(0, 1);
