--- a/bench/slopes.c
+++ b/bench/slopes.c
@@ -8,7 +8,8 @@
 ** line runs NODES cores in virtual time between stand-ins that answer at
 ** once, first idle, then with RATE requests a second, then through one
 ** change of configuration. Bytes are those of the encoded datagrams with
-** their UDP and IP headers; processor time is that of mp_feed and mp_take
+** their UDP and IP headers; processor time is that of mp_feed and
+*mp_next_effect
 ** alone; memory is what the allocator handed out for the cores. HTTP and
 ** the kernel are not in it (docs/CAPACITY.md adds them, measured apart).
 */
@@ -106,11 +107,11 @@
   unsigned behind;
   Sum s;
   zero(R);
-  slopes_publish(R, 2);
-  slopes_tell(R);
+  slopes_publish_config(R, 2);
+  slopes_answer_watches(R);
   begun = R->now;
   do {
-    slopes_runto(R, R->now + 10 * MP_MS);
+    slopes_run_until(R, R->now + 10 * MP_MS);
     behind = 0;
     for (i = 0; i < R->nodes; i++) {
       mp_Status st;
@@ -142,23 +143,23 @@
   R.watches = g_ptr_array_new();
   R.node = g_new0(Node, nodes);
   R.gone = g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, NULL);
-  R.list = slopes_makelist(&R);
-  slopes_publish(&R, 1);
+  R.list = slopes_make_instance_list(&R);
+  slopes_publish_config(&R, 1);
   before_ = mallinfo2().uordblks;
-  slopes_boot(&R);
-  slopes_runto(&R, R.now + SETTLE);
+  slopes_start_cores(&R);
+  slopes_run_until(&R, R.now + SETTLE);
   printf("%u nodes, %u data centres, %u workers: list %zu bytes\n", nodes,
          centres, workers, strlen(R.list));
   printf("  memory   of a core, idle: %.0f KB\n",
          (double)(mallinfo2().uordblks - before_) / nodes / 1024);
   zero(&R);
-  slopes_runto(&R, R.now + IDLE);
+  slopes_run_until(&R, R.now + IDLE);
   s = sum(&R);
   show(&R, "idle", &s, (double)IDLE / MP_SEC);
   change(&R, s.bytes / nodes / ((double)IDLE / MP_SEC));
   zero(&R);
-  slopes_push(&R, slopes_due(&R, R.now, W_CALL, 0));
-  slopes_runto(&R, R.now + LOADED);
+  slopes_schedule(&R, slopes_new_event(&R, R.now, SCHEDULED_REQUEST, 0));
+  slopes_run_until(&R, R.now + LOADED);
   s = sum(&R);
   show(&R, "loaded", &s, (double)LOADED / MP_SEC);
   printf("  request  at %.0f/s of %u tokens: %.1f messages and %.0f bytes "
@@ -176,7 +177,7 @@
   for (i = 0; i < nodes; i++)
     mp_free(R.node[i].M);
   while (R.heap->len > 0) {
-    Due *d = slopes_pop(&R);
+    Due *d = slopes_take_event(&R);
     g_free(d->msg);
     g_free(d->text);
     g_free(d);
--- a/bench/slopes.h
+++ b/bench/slopes.h
@@ -11,7 +11,13 @@
 #define LINK (1 * MP_MS)
 
 /* something that will happen */
-typedef enum What { W_TICK, W_MSG, W_X, W_STORE, W_CALL } What;
+typedef enum What {
+  SCHEDULED_TICK,
+  SCHEDULED_MSG,
+  SCHEDULED_ENDPOINT,
+  SCHEDULED_STORE,
+  SCHEDULED_REQUEST
+} What;
 
 typedef struct Due {
   mp_Time t;
@@ -23,8 +29,10 @@
   mp_EndpointEvent x;
   char *text;
   mp_StoreEvent store;
-  uint32_t tokens; /* W_X: of the answer that are still to come */
-  int load;        /* W_X: an answer to a load call; 'from' is the engine */
+  uint32_t
+      tokens; /* SCHEDULED_ENDPOINT: of the answer that are still to come */
+  int load;   /* SCHEDULED_ENDPOINT: an answer to a load call; 'from' is the
+                 engine */
 } Due;
 
 typedef struct Node {
@@ -46,7 +54,7 @@
   GHashTable *gone; /* xcalls that were aborted: node << 48 ^ xcall */
   char *list, *manifest;
   char *section[2]; /* accounts, and what changes */
-  char digest[2][MP_DIGEST + 1];
+  char digest[2][MP_SHA256_HEX + 1];
   uint64_t manifestversion;
   GPtrArray *watches; /* Due, answered by the next change */
   uint64_t answered, refused;
@@ -55,28 +63,28 @@
 } Run;
 
 /* into the queue */
-void slopes_push(Run *R, Due *d);
+void slopes_schedule(Run *R, Due *d);
 /* where node i hears the others */
-mp_Addr slopes_nodeaddr(unsigned i);
+mp_Addr slopes_node_address(unsigned i);
 /* where worker i is */
-mp_Addr slopes_workeraddr(unsigned i);
+mp_Addr slopes_worker_address(unsigned i);
 /* is worker i a prefill engine? */
-int slopes_prefills(const Run *R, unsigned i);
+int slopes_is_prefill_worker(const Run *R, unsigned i);
 /* what node i's core asks for */
-void slopes_perform(Run *R, unsigned i);
+void slopes_perform_effects(Run *R, unsigned i);
 /* the first one out of the queue */
-Due *slopes_pop(Run *R);
+Due *slopes_take_event(Run *R);
 /* something due at a node; it is not in the queue yet */
-Due *slopes_due(Run *R, mp_Time t, What w, unsigned node);
+Due *slopes_new_event(Run *R, mp_Time t, What w, unsigned node);
 /* let time pass until then */
-void slopes_runto(Run *R, mp_Time until);
+void slopes_run_until(Run *R, mp_Time until);
 /* the instance list as a text; free it */
-char *slopes_makelist(const Run *R);
+char *slopes_make_instance_list(const Run *R);
 /* a version of the configuration is in the store */
-void slopes_publish(Run *R, uint64_t version);
+void slopes_publish_config(Run *R, uint64_t version);
 /* watches of the store are answered */
-void slopes_tell(Run *R);
+void slopes_answer_watches(Run *R);
 /* all cores start */
-void slopes_boot(Run *R);
+void slopes_start_cores(Run *R);
 
 #endif
--- a/bench/slopes_world.c
+++ b/bench/slopes_world.c
@@ -23,13 +23,13 @@
   g_snprintf(out, 16, "dc-%u", i % R->centres);
 }
 
-char *slopes_makelist(const Run *R) {
+char *slopes_make_instance_list(const Run *R) {
   GString *g = g_string_new("{\"version\": 1, \"instances\": [");
   char a[24];
   char dc[16];
   unsigned i;
   for (i = 0; i < R->nodes; i++) {
-    mp_addr_text(slopes_nodeaddr(i), a);
+    mp_addr_text(slopes_node_address(i), a);
     dcname(i, R, dc);
     g_string_append_printf(g,
                            "%s{\"kind\":\"entry\",\"name\":\"e%u\","
@@ -38,22 +38,22 @@
                            i > 0 ? "," : "", i, dc, a);
   }
   for (i = 0; i < R->workers; i++) {
-    mp_addr_text(slopes_workeraddr(i), a);
+    mp_addr_text(slopes_worker_address(i), a);
     dcname(i, R, dc);
-    g_string_append_printf(g,
-                           ",{\"kind\":\"endpoint\",\"name\":\"w%u\","
-                           "\"data_centre\":\"%s\",\"address\":\"%s\","
-                           "\"service\":\"llm\",\"role\":\"%s\","
-                           "\"state\":\"live\"}",
-                           i, dc, a,
-                           slopes_prefills(R, i) ? "prefill" : "decode");
+    g_string_append_printf(
+        g,
+        ",{\"kind\":\"endpoint\",\"name\":\"w%u\","
+        "\"data_centre\":\"%s\",\"address\":\"%s\","
+        "\"service\":\"llm\",\"role\":\"%s\","
+        "\"state\":\"live\"}",
+        i, dc, a, slopes_is_prefill_worker(R, i) ? "prefill" : "decode");
   }
   g_string_append(g, "]}");
   return g_string_free(g, FALSE);
 }
 
 static void manyaccounts(GString *g) {
-  char d[MP_DIGEST + 1];
+  char d[MP_SHA256_HEX + 1];
   char key[32];
   unsigned i;
   g_string_append(g, "accounts:\n");
@@ -110,7 +110,7 @@
   return g_string_free(g, FALSE);
 }
 
-void slopes_publish(Run *R, uint64_t version) {
+void slopes_publish_config(Run *R, uint64_t version) {
   static const char *const names[] = {"accounts.yaml", "rest.yaml"};
   GString *accounts = g_string_new(NULL);
   mp_Manifest m = {0};
@@ -136,7 +136,7 @@
 }
 
 /* the platform tells those that watch */
-void slopes_tell(Run *R) {
+void slopes_answer_watches(Run *R) {
   guint i;
   for (i = 0; i < R->watches->len; i++) {
     Due *d = R->watches->pdata[i];
@@ -144,18 +144,18 @@
     d->store.status = MP_STORE_OK;
     d->store.version = R->manifestversion;
     d->text = g_strdup(R->manifest);
-    slopes_push(R, d);
+    slopes_schedule(R, d);
   }
   g_ptr_array_set_size(R->watches, 0);
 }
 
-void slopes_boot(Run *R) {
+void slopes_start_cores(Run *R) {
   unsigned i;
   for (i = 0; i < R->nodes; i++) {
     mp_Options o = {0};
     char dc[16];
     dcname(i, R, dc);
-    o.self = slopes_nodeaddr(i);
+    o.self = slopes_node_address(i);
     o.dc = dc;
     o.start = 1;
     o.seed = i + 1;
@@ -163,7 +163,7 @@
     o.mask = 0xff000000;
     o.codec = mp_codec();
     R->node[i].M = mp_new(&o, R->now);
-    slopes_perform(R, i);
+    slopes_perform_effects(R, i);
   }
 }
 
--- a/cli/apply.c
+++ b/cli/apply.c
@@ -21,7 +21,7 @@
 #define KEY_MANIFEST "config/manifest"
 #define KEY_SECTION "config/section/"
 
-char *nowtext(void) {
+char *utc_time_text(void) {
   GDateTime *t = g_date_time_new_now_utc();
   char *s = g_date_time_format(t, "%Y-%m-%dT%H:%M:%SZ");
   g_date_time_unref(t);
@@ -50,10 +50,10 @@
     if (strcmp(d->man.section[i].name, name) == 0)
       break;
   }
-  if (i == MP_MAXSECTIONS || strlen(name) > MP_MAXNAME) {
+  if (i == MP_SECTIONS_MAX || strlen(name) > MP_NAME_MAX) {
     g_set_error(err, MP_ERROR, MP_ERR_SETTINGS,
                 "%s: at most %d files with names up to %d bytes; join some",
-                name, MP_MAXSECTIONS, MP_MAXNAME);
+                name, MP_SECTIONS_MAX, MP_NAME_MAX);
     return 0;
   }
   if (i == d->man.n)
@@ -124,7 +124,7 @@
 }
 
 static GBytes *section(const char *digest, GError **err) {
-  char key[sizeof KEY_SECTION + MP_DIGEST];
+  char key[sizeof KEY_SECTION + MP_SHA256_HEX];
   int absent;
   GString *s;
   snprintf(key, sizeof key, "%s%s", KEY_SECTION, digest);
@@ -168,7 +168,7 @@
 
 void audit(const char *key, const char *by, const char *what, uint64_t from,
            uint64_t to, const char *outcome) {
-  char *when = nowtext();
+  char *when = utc_time_text();
   json_t *j =
       json_pack("{s:s, s:s, s:s, s:I, s:I, s:s}", "who", by, "when", when,
                 "what", what, "from", (json_int_t)from, "to", (json_int_t)to,
@@ -199,7 +199,7 @@
 
 /* sections are named by their text: writing one twice changes nothing */
 static int upload(const Draft *d, GError **err) {
-  char key[sizeof KEY_SECTION + MP_DIGEST];
+  char key[sizeof KEY_SECTION + MP_SHA256_HEX];
   unsigned i;
   for (i = 0; i < d->man.n; i++) {
     int absent = 0;
@@ -270,16 +270,16 @@
   return r;
 }
 
-static void newid(char out[MP_MAXNAME + 1]) {
+static void newid(char out[MP_NAME_MAX + 1]) {
   gchar *u = g_uuid_string_random();
-  g_strlcpy(out, u, MP_MAXNAME + 1);
+  g_strlcpy(out, u, MP_NAME_MAX + 1);
   g_free(u);
 }
 
 int apply(Draft *d, const Draft *base, uint64_t object, const char *by,
           GError **err) {
   mp_Manifest other;
-  char *when = nowtext();
+  char *when = utc_time_text();
   gchar *key;
   PutResult r;
   d->man.version = base->man.version + 1;
--- a/cli/apply.h
+++ b/cli/apply.h
@@ -11,7 +11,7 @@
 /* a configuration as texts */
 typedef struct Draft {
   mp_Manifest man;
-  GBytes *text[MP_MAXSECTIONS];
+  GBytes *text[MP_SECTIONS_MAX];
 } Draft;
 
 /* all *.yaml of a folder, checked as a whole; 0 and an error */
@@ -42,6 +42,6 @@
            uint64_t to, const char *outcome);
 
 /* the time now, as audit records have it */
-char *nowtext(void);
+char *utc_time_text(void);
 
 #endif
--- a/cli/client.c
+++ b/cli/client.c
@@ -126,7 +126,7 @@
     r = PUT_CONFLICT;
   else if (c.end == HTTP_END_CONNECT || c.reply.status == 503 ||
            c.reply.status == 429)
-    r = PUT_DOWN;
+    r = PUT_UNAVAILABLE;
   g_string_free(c.reply.text, TRUE);
   g_free(uri);
   return r;
--- a/cli/client.h
+++ b/cli/client.h
@@ -19,7 +19,7 @@
   PUT_DONE,
   PUT_CONFLICT,
   PUT_UNKNOWN,
-  PUT_DOWN
+  PUT_UNAVAILABLE
 } PutResult;
 
 void client_init(mp_Addr platform);
--- a/cli/madderpier.c
+++ b/cli/madderpier.c
@@ -362,7 +362,7 @@
   if (s == NULL)
     return fail(a, err);
   g_string_free(s, TRUE);
-  when = nowtext();
+  when = utc_time_text();
   key = g_strdup_printf("audit/stop-%s-%s", a->word[1], when);
   audit(key, a->by, "stop", 0, 0, "draining");
   g_free(key);
@@ -542,7 +542,7 @@
   argp_parse(&argp, argc, argv, 0, NULL, &a);
   if (a.by == NULL)
     a.by = "unknown";
-  if (strlen(a.by) > MP_MAXNAME)
+  if (strlen(a.by) > MP_NAME_MAX)
     return usage("--by takes at most 63 bytes");
   at = a.platform != NULL ? mp_addr_parse(a.platform) : 0;
   if (at == 0 && strcmp(a.word[0], "check") != 0 &&
--- a/conf/check.c
+++ b/conf/check.c
@@ -70,12 +70,12 @@
 }
 
 static gboolean sizes(const mp_Config *c, GError **err) {
-  if (c->data_centres_count == 0 || c->data_centres_count > MP_MAXDCS)
+  if (c->data_centres_count == 0 || c->data_centres_count > MP_DCS_MAX)
     return bad(err, "data_centres: from 1 to %d are needed, there are %u",
-               MP_MAXDCS, c->data_centres_count);
-  if (c->models_count > MP_MAXMODELS)
+               MP_DCS_MAX, c->data_centres_count);
+  if (c->models_count > MP_MODELS_MAX)
     return bad(err, "models: at most %d, there are %u; split the platform",
-               MP_MAXMODELS, c->models_count);
+               MP_MODELS_MAX, c->models_count);
   if (c->policy->refuse_at < 50 || c->policy->refuse_at > 1000)
     return bad(err,
                "policy: refuse_at is %u; set 50 to 1000 (percent of "
--- a/conf/conf.h
+++ b/conf/conf.h
@@ -29,8 +29,8 @@
 /* the caller frees the text by g_free */
 MP_API char *mp_manifest_write(const mp_Manifest *m);
 
-MP_API mp_List *mp_list_read(const char *text, size_t n, GError **err);
-MP_API void mp_list_free(mp_List *l);
+MP_API mp_InstanceList *mp_list_read(const char *text, size_t n, GError **err);
+MP_API void mp_list_free(mp_InstanceList *l);
 
 MP_API const char *mp_role_name(mp_Role r);
 
--- a/conf/docs.c
+++ b/conf/docs.c
@@ -50,14 +50,14 @@
 static gboolean sections(const json_t *j, mp_Manifest *m, GError **err) {
   size_t i;
   size_t n = json_array_size(j);
-  if (n == 0 || n > MP_MAXSECTIONS)
+  if (n == 0 || n > MP_SECTIONS_MAX)
     return malformed(err, "'sections'");
   for (i = 0; i < n; i++) {
     const json_t *s = json_array_get(j, i);
     mp_Section *o = &m->section[i];
     if (!str(s, "name", o->name, sizeof o->name) ||
         !str(s, "digest", o->digest, sizeof o->digest) ||
-        strlen(o->digest) != MP_DIGEST)
+        strlen(o->digest) != MP_SHA256_HEX)
       return malformed(err, "a section");
   }
   m->n = (unsigned)n;
@@ -126,10 +126,10 @@
 }
 
 static int instance(const json_t *j, mp_Instance *in) {
-  char kind[MP_MAXNAME + 1];
-  char addr[MP_MAXNAME + 1];
-  char state[MP_MAXNAME + 1];
-  char rolename[MP_MAXNAME + 1];
+  char kind[MP_NAME_MAX + 1];
+  char addr[MP_NAME_MAX + 1];
+  char state[MP_NAME_MAX + 1];
+  char rolename[MP_NAME_MAX + 1];
   if (!str(j, "kind", kind, sizeof kind) ||
       !str(j, "name", in->name, sizeof in->name) ||
       !str(j, "data_centre", in->dc, sizeof in->dc) ||
@@ -151,17 +151,17 @@
          role(rolename, &in->role);
 }
 
-mp_List *mp_list_read(const char *text, size_t n, GError **err) {
+mp_InstanceList *mp_list_read(const char *text, size_t n, GError **err) {
   json_t *j = load(text, n, "instance list", err);
   const json_t *a;
-  mp_List *l;
+  mp_InstanceList *l;
   size_t i;
   json_int_t v;
   if (j == NULL)
     return NULL;
   a = json_object_get(j, "instances");
   v = json_integer_value(json_object_get(j, "version"));
-  l = g_new0(mp_List, 1);
+  l = g_new0(mp_InstanceList, 1);
   l->version = (uint64_t)MAX(v, 0);
   l->n = (unsigned)json_array_size(a);
   l->inst = g_new0(mp_Instance, l->n + 1);
@@ -179,7 +179,7 @@
   return l;
 }
 
-void mp_list_free(mp_List *l) {
+void mp_list_free(mp_InstanceList *l) {
   g_free(l->inst);
   g_free(l);
 }
--- a/conf/yaml.c
+++ b/conf/yaml.c
@@ -21,10 +21,10 @@
 */
 
 #define STR(t, f) \
-  CYAML_FIELD_STRING_PTR(#f, CYAML_FLAG_POINTER, t, f, 1, MP_MAXNAME)
+  CYAML_FIELD_STRING_PTR(#f, CYAML_FLAG_POINTER, t, f, 1, MP_NAME_MAX)
 #define OPTSTR(t, k, f)                                                     \
   CYAML_FIELD_STRING_PTR(k, CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL, t, f, \
-                         1, MP_MAXNAME)
+                         1, MP_NAME_MAX)
 #define UINT(t, f) CYAML_FIELD_UINT(#f, CYAML_FLAG_DEFAULT, t, f)
 #define OPTUINT(t, f) CYAML_FIELD_UINT(#f, CYAML_FLAG_OPTIONAL, t, f)
 #define LIST(t, f, flags, entry)                                         \
@@ -32,7 +32,7 @@
                        CYAML_UNLIMITED)
 
 static const cyaml_schema_value_t name = {
-    CYAML_VALUE_STRING(CYAML_FLAG_POINTER, char, 1, MP_MAXNAME)};
+    CYAML_VALUE_STRING(CYAML_FLAG_POINTER, char, 1, MP_NAME_MAX)};
 
 static const cyaml_schema_field_t dcfields[] = {
     STR(mp_Dc, name), STR(mp_Dc, region), CYAML_FIELD_END};
@@ -93,7 +93,7 @@
 static const cyaml_schema_field_t accountfields[] = {
     STR(mp_Account, name),
     CYAML_FIELD_STRING_PTR("key_sha256", CYAML_FLAG_POINTER, mp_Account,
-                           key_sha256, MP_DIGEST, MP_DIGEST),
+                           key_sha256, MP_SHA256_HEX, MP_SHA256_HEX),
     LIST(mp_Account, classes, CYAML_FLAG_DEFAULT, &name),
     OPTUINT(mp_Account, requests_per_s),
     OPTUINT(mp_Account, burst),
@@ -105,7 +105,7 @@
     {"stay", MP_KV_STAY}, {"region", MP_KV_REGION}, {"any", MP_KV_ANY}};
 static const cyaml_schema_field_t rulefields[] = {
     CYAML_FIELD_STRING_PTR("class", CYAML_FLAG_POINTER, mp_Rule, class_name, 1,
-                           MP_MAXNAME),
+                           MP_NAME_MAX),
     OPTSTR(mp_Rule, "account", account),
     LIST(mp_Rule, run_in, CYAML_FLAG_DEFAULT, &name),
     CYAML_FIELD_ENUM("kv_move", CYAML_FLAG_STRICT, mp_Rule, kv_move, moves,
@@ -242,7 +242,7 @@
 
 mp_Config *mp_config_read(const mp_Manifest *m, GBytes *const *text,
                           GError **err) {
-  int first[MP_MAXSECTIONS];
+  int first[MP_SECTIONS_MAX];
   GString *all = join(m, text, first);
   Said said = {g_string_new(NULL), 0};
   cyaml_config_t rd = reader(&said);
--- a/core/admit.c
+++ b/core/admit.c
@@ -22,7 +22,7 @@
 
 /* Returns the account that the caller's key belongs to, or NULL. */
 static const mp_Account *find_account(const mp_State *state, const char *key) {
-  char digest[MP_DIGEST + 1];
+  char digest[MP_SHA256_HEX + 1];
   guint i;
   if (key == NULL)
     return NULL;
@@ -145,7 +145,7 @@
   p.what = MP_REPLY_ERROR;
   p.error = e;
   p.ran = MP_RAN_NO;
-  p.retry_s = mp_error_retry(e);
+  p.retry_s = mp_error_retry_after_s(e);
   state_count(state, REFUSED);
   effect_log(state, MP_LOG_REFUSE, " kind=%s ran=no", mp_error_name(e));
   effect_caller_reply(state, &p);
@@ -196,11 +196,11 @@
   if (admitted)
     flow_begin(state, r);
   else
-    flow_refuse(state, r, MP_ERR_QUOTA, mp_error_retry(MP_ERR_QUOTA));
+    flow_refuse(state, r, MP_ERR_QUOTA, mp_error_retry_after_s(MP_ERR_QUOTA));
 }
 
 /*
-** A draining instance still admits requests for MP_DRAIN_LINGER after the
+** A draining instance still admits requests for MP_DRAIN_ADMIT_TIME after the
 ** drain began, since load balancers learn of it late.
 */
 void admit_call(mp_State *state, const mp_Call *c) {
@@ -210,11 +210,11 @@
   int admitted;
   state_count(state, REQUESTS);
   if (state->draining &&
-      state->now - state->drain_started_at > MP_DRAIN_LINGER)
+      state->now - state->drain_started_at > MP_DRAIN_ADMIT_TIME)
     e = MP_ERR_DRAINING;
   else if (state->config == NULL)
     e = MP_ERR_NO_CONFIG;
-  else if (c->key != NULL && strlen(c->key) > MP_MAXKEY)
+  else if (c->key != NULL && strlen(c->key) > MP_KEY_MAX)
     e = MP_ERR_BAD_REQUEST;
   else
     e = resolve_call(state, c, &target);
--- a/core/answer.c
+++ b/core/answer.c
@@ -24,7 +24,8 @@
 static void resume_or_fail(mp_State *state, Request *r, CallFailure why);
 
 /*
-** Timer: no new piece came for MP_STALL_TIME since the call or the last piece.
+** Timer: no new piece came for MP_STREAM_TIMEOUT since the call or the last
+*piece.
 */
 static void on_stall_timeout(mp_State *state, void *ud) {
   Request *r = ud;
@@ -34,7 +35,7 @@
 }
 
 static void arm_stall_timer(mp_State *state, Request *r) {
-  timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME,
+  timer_arm(&state->timers, &r->timer, state->now + MP_STREAM_TIMEOUT,
             on_stall_timeout, r);
 }
 
@@ -42,9 +43,9 @@
 ** Calls the decode endpoint after a check of the placement rules; 'op' is
 ** MP_X_DECODE or MP_X_RESUME.
 */
-void flow_start_decode(mp_State *state, Request *r, mp_XcallOp op) {
+void flow_start_decode(mp_State *state, Request *r, mp_EndpointOp op) {
   Attempt *a = &r->decode;
-  mp_Xcall x;
+  mp_EndpointCall x;
   if (flow_check_place(state, r, a) == NULL) {
     flow_place_denied(state, r, a);
     return;
@@ -99,7 +100,7 @@
                        const mp_EndpointEvent *e) {
   mp_Reply p = {0};
   p.call = r->call;
-  p.what = MP_REPLY_PIECE;
+  p.what = MP_REPLY_CHUNK;
   p.text = e->text;
   p.len = e->len;
   effect_caller_reply(state, &p);
@@ -149,7 +150,7 @@
   switch (e->what) {
   case MP_EP_HEAD:
     break;
-  case MP_EP_PIECE:
+  case MP_EP_CHUNK:
     on_piece(state, r, e);
     break;
   case MP_EP_DONE:
@@ -218,7 +219,7 @@
     timer_arm(&state->timers, &r->timer, r->deadline, on_plain_timeout, r);
     send_head(state, r, e->status, e->head);
     break;
-  case MP_EP_PIECE:
+  case MP_EP_CHUNK:
     send_piece(state, r, e);
     break;
   case MP_EP_DONE:
@@ -235,7 +236,7 @@
 void flow_start_plain(mp_State *state, Request *r) {
   Endpoint *e = choice_plain_endpoint(state, r);
   Attempt *a = &r->decode;
-  mp_Xcall x;
+  mp_EndpointCall x;
   if (e == NULL) {
     flow_refuse_no_endpoint(state, r);
     return;
--- a/core/board.h
+++ b/core/board.h
@@ -55,9 +55,9 @@
 /* an engine, or an endpoint of a plain service */
 typedef struct Endpoint {
   mp_Addr addr;
-  char name[MP_MAXNAME + 1];
-  char dc[MP_MAXNAME + 1];
-  char service[MP_MAXNAME + 1];
+  char name[MP_NAME_MAX + 1];
+  char dc[MP_NAME_MAX + 1];
+  char service[MP_NAME_MAX + 1];
   uint32_t dc_hash;
   mp_Role role;
   int leaving; /* by the instance list, or by its own load report */
@@ -136,10 +136,10 @@
 typedef struct Request {
   uint64_t call; /* the host's number of the call */
   mp_Token token;
-  char class_name[MP_MAXNAME + 1];
-  char account[MP_MAXNAME + 1];
-  char model[MP_MAXNAME + 1];
-  char service[MP_MAXNAME + 1];
+  char class_name[MP_NAME_MAX + 1];
+  char account[MP_NAME_MAX + 1];
+  char model[MP_NAME_MAX + 1];
+  char service[MP_NAME_MAX + 1];
   uint32_t prompt_tokens, max_tokens;
   uint64_t prefix; /* hash of the prompt's beginning; 0: unknown */
   mp_Time arrived, deadline;
@@ -172,7 +172,7 @@
   int head;              /* the answer's head went to the caller */
   uint32_t got;          /* tokens passed to the caller */
   GString *text;         /* text passed to the caller, to resume after it */
-  mp_Addr avoid[MP_MAXTRIES]; /* endpoints that failed in this step */
+  mp_Addr avoid[MP_STEP_ATTEMPTS_MAX]; /* endpoints that failed in this step */
   unsigned avoid_count;
   Timer timer;          /* timeout or retry of the step */
   Timer deadline_timer; /* the deadline */
--- a/core/cancel.c
+++ b/core/cancel.c
@@ -51,7 +51,7 @@
 
 /* Sends the cancel once more. The wait until the next time grows with each. */
 static void send_cancel(mp_State *state, Cancel *c) {
-  mp_Xcall x = {0};
+  mp_EndpointCall x = {0};
   x.op = MP_X_CANCEL;
   x.endpoint = c->endpoint;
   x.token = c->token;
--- a/core/claim.c
+++ b/core/claim.c
@@ -6,7 +6,7 @@
 ** soft state. They are rebuilt from two sources: holders announce their
 ** claims when the home changes, and durable claims are in the platform's
 ** object of the shard. A new home grants no ID that it was not the home of
-** before until MP_HOME_SETTLE is over, which gives the holders time to
+** before until MP_HOME_SETTLE_TIME is over, which gives the holders time to
 ** announce.
 **
 ** A row ends ttl_ms after its home first saw it, by the home's monotonic
@@ -117,10 +117,10 @@
 /*
 ** Does this home know whether the ID is claimed? It does when it was the home
 ** before the last change of the live set too, or when that change was at least
-** MP_HOME_SETTLE ago, so that every holder has announced.
+** MP_HOME_SETTLE_TIME ago, so that every holder has announced.
 */
 static int is_home_settled(const mp_State *state, const uint64_t id[2]) {
-  if (state->now - state->set_changed_at >= MP_HOME_SETTLE)
+  if (state->now - state->set_changed_at >= MP_HOME_SETTLE_TIME)
     return 1;
   return state->set_change_count == 1 &&
          member_previous_home(state, SHARD_KEY + claim_shard_of(id)) ==
@@ -286,8 +286,8 @@
     return;
   }
   /* no reply, not the home, or a home that is not settled: ask again */
-  timer_arm(&state->timers, &a->timer, state->now + 2 * MP_RPC_WAIT, ask_home,
-            a);
+  timer_arm(&state->timers, &a->timer, state->now + 2 * MP_RPC_RETRY_DELAY,
+            ask_home, a);
 }
 
 /* timer function: ask the home, or end the request when its time is over */
@@ -300,7 +300,7 @@
     return;
   }
   if (home == 0) {
-    timer_arm(&state->timers, &a->timer, state->now + 2 * MP_RPC_WAIT,
+    timer_arm(&state->timers, &a->timer, state->now + 2 * MP_RPC_RETRY_DELAY,
               ask_home, a);
     return;
   }
@@ -308,7 +308,7 @@
   m.u.claim = a->claim;
   a->rpc = effect_rpc_call(state, home, &m,
                            a->claim.durable ? a->expires_at - state->now
-                                            : 8 * MP_RPC_WAIT,
+                                            : 8 * MP_RPC_RETRY_DELAY,
                            on_claim_reply, a);
 }
 
@@ -322,7 +322,7 @@
   a->claim.token = *t;
   a->claim.ttl_ms = (uint32_t)(ttl / MP_MS);
   a->claim.durable = (uint8_t)(durable != 0);
-  a->expires_at = state->now + MP_STORE_TIMEOUT + MP_HOME_SETTLE;
+  a->expires_at = state->now + MP_STORE_TIMEOUT + MP_HOME_SETTLE_TIME;
   a->fn = fn;
   a->ud = ud;
   state_table_set(state->claims->requests, a->number, a);
@@ -403,7 +403,7 @@
 }
 
 /* timer function: announce, drop the rows whose time is over, and have their
-** shards written; runs each third of MP_HOME_SETTLE */
+** shards written; runs each third of MP_HOME_SETTLE_TIME */
 static void run_periodic(mp_State *state, void *ud) {
   GHashTableIter it;
   gpointer v;
@@ -419,7 +419,7 @@
   }
   shard_write_freed(state);
   timer_arm(&state->timers, &state->claims->timer,
-            state->now + MP_HOME_SETTLE / 3, run_periodic, NULL);
+            state->now + MP_HOME_SETTLE_TIME / 3, run_periodic, NULL);
 }
 
 void claim_on_homes_changed(mp_State *state) {
@@ -466,7 +466,7 @@
   C->held = g_hash_table_new_full(id_hash, claim_id_equal, NULL, g_free);
   C->requests = state_table_new(free_request);
   shard_init(state);
-  timer_arm(&state->timers, &C->timer, state->now + MP_HOME_SETTLE / 3,
+  timer_arm(&state->timers, &C->timer, state->now + MP_HOME_SETTLE_TIME / 3,
             run_periodic, NULL);
 }
 
--- a/core/doc.c
+++ b/core/doc.c
@@ -2,10 +2,12 @@
 ** doc.c
 ** Distribution of the configuration and of the instance list
 **
-** MP_RELAYS instances of each data centre, the relays, watch both documents on
+** MP_RELAYS_PER_DC instances of each data centre, the relays, watch both
+*documents on
 ** the platform. Every instance also learns of new versions from probes and
 ** fetches them from the instance that sent the probe; one that is no relay
-** reads the platform only every MP_DOC_POLL. A configuration is a manifest and
+** reads the platform only every MP_DOC_POLL_INTERVAL. A configuration is a
+*manifest and
 ** sections; the manifest names each section by the digest of its text, so only
 ** the changed ones are fetched. Section texts are kept for the configuration
 ** in force and the one that is being fetched.
@@ -30,9 +32,9 @@
   int active;   /* a fetch is under way */
   mp_Addr from; /* peer to fetch from; 0: the platform */
   uint64_t version;
-  GString *buffer;            /* what has come of the document or section */
-  char digest[MP_DIGEST + 1]; /* of the section; "": the document itself */
-  GBytes *text;               /* the document itself; NULL: not complete yet */
+  GString *buffer; /* what has come of the document or section */
+  char digest[MP_SHA256_HEX + 1]; /* of the section; "": the document itself */
+  GBytes *text;             /* the document itself; NULL: not complete yet */
   mp_Manifest manifest;     /* of a configuration, once its text is complete */
   uint32_t rpc;             /* open call to the peer; 0: none */
   uint64_t highest_invalid; /* the highest version found invalid */
@@ -53,7 +55,7 @@
 
 /* is this instance one of the relays of its data centre? */
 static int is_relay(const mp_State *state) {
-  return member_is_among_first(state, RELAY_KEY, MP_RELAYS);
+  return member_is_among_first(state, RELAY_KEY, MP_RELAYS_PER_DC);
 }
 
 static void poll_after(mp_State *state, mp_DocKind k, mp_Time wait) {
@@ -89,9 +91,9 @@
     return;
   if (!ok) {
     state->docs->platform_version[c->kind] = 0;
-    poll_after(state, c->kind, MP_STORE_RETRY);
+    poll_after(state, c->kind, MP_STORE_RETRY_INTERVAL);
   } else
-    poll_after(state, c->kind, is_relay(state) ? 0 : MP_DOC_POLL);
+    poll_after(state, c->kind, is_relay(state) ? 0 : MP_DOC_POLL_INTERVAL);
 }
 
 /*
@@ -161,7 +163,7 @@
 
 /* all sections are here: decode the configuration, put it into force */
 static void apply_config(mp_State *state, Incoming *c) {
-  GBytes *text[MP_MAXSECTIONS];
+  GBytes *text[MP_SECTIONS_MAX];
   GError *err = NULL;
   mp_Config *config;
   unsigned i;
@@ -196,7 +198,7 @@
   GError *err = NULL;
   gsize n;
   const char *s = g_bytes_get_data(c->text, &n);
-  mp_List *l = state->codec->list(s, n, &err);
+  mp_InstanceList *l = state->codec->list(s, n, &err);
   if (l == NULL) {
     effect_log(state, MP_LOG_CONFIG_BAD, " document=list error=\"%s\"",
                err->message);
@@ -248,7 +250,7 @@
 /* a section whose text doesn't match its digest ends the fetch */
 static void on_section_text(mp_State *state, Incoming *c, const char *s,
                             size_t n) {
-  char d[MP_DIGEST + 1];
+  char d[MP_SHA256_HEX + 1];
   mp_digest(s, n, d);
   if (strcmp(d, c->digest) != 0) {
     finish_fetch(state, c, 0);
@@ -275,7 +277,7 @@
   const mp_Fetch *f = m != NULL ? &m->u.fetch : NULL;
   (void)from;
   c->rpc = 0;
-  if (f == NULL || f->total == 0 || f->total > MP_MAXDOC ||
+  if (f == NULL || f->total == 0 || f->total > MP_DOCUMENT_MAX ||
       f->offset != c->buffer->len) {
     finish_fetch(state, c, 0);
     return;
@@ -318,7 +320,7 @@
     const char *s = g_bytes_get_data(b, &n);
     f->total = (uint32_t)n;
     if (q->offset < n) {
-      f->n = (uint32_t)MIN(n - q->offset, MP_CHUNK);
+      f->n = (uint32_t)MIN(n - q->offset, MP_CHUNK_SIZE);
       memcpy(f->data, s + q->offset, f->n);
     }
   }
@@ -348,7 +350,7 @@
 /* fetch the next missing section, or apply the complete configuration */
 static void fetch_next_section(mp_State *state, Incoming *c) {
   unsigned i;
-  char key[sizeof DOC_KEY_SECTION + MP_DIGEST];
+  char key[sizeof DOC_KEY_SECTION + MP_SHA256_HEX];
   for (i = 0; i < c->manifest.n; i++) {
     if (!g_hash_table_contains(state->docs->section_texts,
                                c->manifest.section[i].digest))
@@ -412,7 +414,9 @@
   } else if (e->status == MP_STORE_ABSENT || state->doc[k].version == 0)
     poll_after(state, k, MP_SEC);
   else
-    poll_after(state, k, is_relay(state) ? MP_STORE_RETRY : MP_DOC_POLL);
+    poll_after(state, k,
+               is_relay(state) ? MP_STORE_RETRY_INTERVAL
+                               : MP_DOC_POLL_INTERVAL);
 }
 
 static void on_config_read(mp_State *state, void *ud, const mp_StoreEvent *e) {
@@ -435,7 +439,7 @@
   state->docs->is_reading[k] = 1;
   if (platform_version != 0 && is_relay(state))
     effect_store_call(state, MP_ST_WATCH, document_keys[k], platform_version,
-                      NULL, 0, MP_WATCH_TIME + MP_STORE_TIMEOUT, fn, NULL);
+                      NULL, 0, MP_WATCH_TIMEOUT + MP_STORE_TIMEOUT, fn, NULL);
   else
     effect_store_call(state, MP_ST_GET, document_keys[k], 0, NULL, 0,
                       MP_STORE_TIMEOUT, fn, NULL);
--- a/core/doc.h
+++ b/core/doc.h
@@ -32,7 +32,7 @@
                        const uint64_t *versions);
 
 /* handle FETCH: answer with one part of a document or section, at most
-** MP_CHUNK bytes; its 'total' is 0 when this instance doesn't have it */
+** MP_CHUNK_SIZE bytes; its 'total' is 0 when this instance doesn't have it */
 void document_on_fetch(mp_State *state, mp_Addr from, const mp_Msg *m);
 
 #endif
--- a/core/ending.c
+++ b/core/ending.c
@@ -161,17 +161,18 @@
 void flow_give_up(mp_State *state, Request *r) {
   if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
-                mp_error_retry(MP_ERR_PLACE_AWAY));
+                mp_error_retry_after_s(MP_ERR_PLACE_AWAY));
   else if (r->repeatable)
     flow_refuse(state, r, MP_ERR_INCOMPLETE,
-                mp_error_retry(MP_ERR_INCOMPLETE));
+                mp_error_retry_after_s(MP_ERR_INCOMPLETE));
   else
     flow_refuse(state, r, MP_ERR_LOST, 0);
 }
 
 /* Timer: the request's deadline passed. */
 void flow_on_deadline(mp_State *state, void *ud) {
-  flow_refuse(state, ud, MP_ERR_DEADLINE, mp_error_retry(MP_ERR_DEADLINE));
+  flow_refuse(state, ud, MP_ERR_DEADLINE,
+              mp_error_retry_after_s(MP_ERR_DEADLINE));
 }
 
 /* }================================================================== */
@@ -182,9 +183,9 @@
 ** ===================================================================
 */
 
-/* Endpoints beyond the first MP_MAXTRIES are not remembered. */
+/* Endpoints beyond the first MP_STEP_ATTEMPTS_MAX are not remembered. */
 void flow_avoid_endpoint(Request *r, mp_Addr a) {
-  if (r->avoid_count < MP_MAXTRIES)
+  if (r->avoid_count < MP_STEP_ATTEMPTS_MAX)
     r->avoid[r->avoid_count++] = a;
 }
 
@@ -211,7 +212,7 @@
   mp_Time wait;
   r->tries++;
   wait = retry_backoff(state, r->tries);
-  if ((!clean && !r->repeatable) || r->tries >= MP_MAXTRIES ||
+  if ((!clean && !r->repeatable) || r->tries >= MP_STEP_ATTEMPTS_MAX ||
       state->now + wait >= r->deadline || !retry_budget_try_withdraw(state)) {
     flow_give_up(state, r);
     return;
--- a/core/err.c
+++ b/core/err.c
@@ -36,7 +36,7 @@
   return error_kinds[e].status;
 }
 
-int mp_error_retry(mp_Error e) {
+int mp_error_retry_after_s(mp_Error e) {
   g_assert(e < MP_ERR_COUNT);
   return error_kinds[e].retry;
 }
--- a/core/fleet.c
+++ b/core/fleet.c
@@ -5,10 +5,11 @@
 ** A row whose endpoint is not in the list any more stays, as leaving, while
 ** this instance has attempts there.
 **
-** Ejection: after MP_EJECT_FAILS failures in a row an endpoint gets no new
+** Ejection: after MP_EJECT_FAILURES failures in a row an endpoint gets no new
 ** work for MP_EJECT_TIME; this time doubles with each ejection since the last
-** success, up to MP_EJECT_MAX. An endpoint is ejected only if at least
-** MP_EJECT_FLOOR percent of its pool, and at least one endpoint, stay open.
+** success, up to MP_EJECT_TIME_MAX. An endpoint is ejected only if at least
+** MP_EJECT_OPEN_PERCENT_MIN percent of its pool, and at least one endpoint,
+*stay open.
 ** After the time the next request is the test: if it fails, the endpoint is
 ** ejected again at once.
 */
@@ -32,7 +33,7 @@
   Endpoint *e = g_new0(Endpoint, 1);
   e->addr = in->addr;
   e->role = in->role;
-  e->slots = MP_SLOTS;
+  e->slots = MP_SLOTS_DEFAULT;
   g_strlcpy(e->name, in->name, sizeof e->name);
   g_strlcpy(e->dc, in->dc, sizeof e->dc);
   g_strlcpy(e->service, in->service, sizeof e->service);
@@ -121,7 +122,7 @@
     if (o != e && fleet_is_open(state, o))
       open++;
   }
-  return open > 0 && open * 100 >= all * MP_EJECT_FLOOR;
+  return open > 0 && open * 100 >= all * MP_EJECT_OPEN_PERCENT_MIN;
 }
 
 void fleet_call_failed(mp_State *state, mp_Addr a) {
@@ -130,12 +131,12 @@
   if (e == NULL)
     return;
   e->consecutive_failures++;
-  if (e->consecutive_failures < MP_EJECT_FAILS && e->ejection_count == 0)
+  if (e->consecutive_failures < MP_EJECT_FAILURES && e->ejection_count == 0)
     return;
   if (e->ejected_until > state->now || !may_eject(state, e))
     return;
   t = MP_EJECT_TIME << MIN(e->ejection_count, 4);
-  e->ejected_until = state->now + MIN(t, MP_EJECT_MAX);
+  e->ejected_until = state->now + MIN(t, MP_EJECT_TIME_MAX);
   e->ejection_count++;
   state_count(state, EJECTIONS);
   effect_log(state, MP_LOG_EJECT, " endpoint=%s seconds=%d", e->name,
--- a/core/flow.c
+++ b/core/flow.c
@@ -41,7 +41,7 @@
     return;
   }
   if (v == MP_UNAVAILABLE) {
-    flow_refuse(state, r, MP_ERR_CLAIM, mp_error_retry(MP_ERR_CLAIM));
+    flow_refuse(state, r, MP_ERR_CLAIM, mp_error_retry_after_s(MP_ERR_CLAIM));
     return;
   }
   /*
@@ -54,11 +54,12 @@
 
 /*
 ** Asks the home of the request's ID to claim it (claim.h), until
-** MP_CLAIM_GRACE after the deadline. The claim is durable where the work must
+** MP_CLAIM_RETENTION after the deadline. The claim is durable where the work
+*must
 ** not be repeated.
 */
 static void request_claim(mp_State *state, Request *r) {
-  mp_Time ttl = r->deadline - state->now + MP_CLAIM_GRACE;
+  mp_Time ttl = r->deadline - state->now + MP_CLAIM_RETENTION;
   r->durable = !r->repeatable;
   r->open_claim = claim_request(state, r->id, &r->token, ttl, r->durable,
                                 on_claim_answer, r);
--- a/core/fx.c
+++ b/core/fx.c
@@ -77,7 +77,7 @@
   return copy_text(f, i, s, s == NULL ? 0 : strlen(s));
 }
 
-int mp_take(mp_State *state, mp_Effect *out) {
+int mp_next_effect(mp_State *state, mp_Effect *out) {
   free_effect(state->taken_effect);
   state->taken_effect = g_queue_pop_head(&state->effects);
   if (state->taken_effect == NULL)
@@ -152,7 +152,7 @@
   c->msg = *m;
   c->msg.seq = c->seq;
   c->msg.reply = 0;
-  c->resend_wait = MP_RPC_WAIT;
+  c->resend_wait = MP_RPC_RETRY_DELAY;
   c->deadline = state->now + patience;
   c->fn = fn;
   c->ud = ud;
@@ -167,7 +167,7 @@
   state_table_remove(state->rpcs, seq);
 }
 
-mp_MsgKind mp_pending(const mp_State *state, uint32_t seq) {
+mp_MsgKind mp_pending_call_kind(const mp_State *state, uint32_t seq) {
   const RpcCall *c = state_table_get(state->rpcs, seq);
   return c != NULL ? c->msg.kind : (mp_MsgKind)0;
 }
@@ -199,10 +199,10 @@
 ** ===================================================================
 */
 
-uint64_t effect_endpoint_call(mp_State *state, mp_Xcall *x,
+uint64_t effect_endpoint_call(mp_State *state, mp_EndpointCall *x,
                               EndpointCallback fn, void *ud) {
   EndpointCall *o = g_new0(EndpointCall, 1);
-  QueuedEffect *f = push_effect(state, MP_FX_XCALL);
+  QueuedEffect *f = push_effect(state, MP_FX_ENDPOINT_CALL);
   x->xcall = ++state->last_call_number;
   o->fn = fn;
   o->ud = ud;
@@ -217,7 +217,7 @@
   if (state_table_get(state->endpoint_calls, xcall) == NULL)
     return;
   state_table_remove(state->endpoint_calls, xcall);
-  push_effect(state, MP_FX_XABORT)->e.u.xabort = xcall;
+  push_effect(state, MP_FX_ENDPOINT_ABORT)->e.u.xabort = xcall;
 }
 
 int effect_on_endpoint_event(mp_State *state, const mp_EndpointEvent *e) {
--- a/core/fx.h
+++ b/core/fx.h
@@ -4,7 +4,8 @@
 **
 ** An effect is something that only the host can do: send a message, call an
 ** endpoint or the platform, answer a caller, write a log line. The functions
-** here queue effects, which mp_take hands to the host in order; none acts
+** here queue effects, which mp_next_effect hands to the host in order; none
+*acts
 ** at once. The answer to a call comes through the callback given with it,
 ** exactly once (for a call to an endpoint: once for each event up to the
 ** last), unless the call is cancelled before that. 'ud' is passed to
@@ -27,7 +28,8 @@
 
 /*
 ** Call another instance, or this one. The message is sent again, first
-** after MP_RPC_WAIT and each time after twice the wait before, until a reply
+** after MP_RPC_RETRY_DELAY and each time after twice the wait before, until a
+*reply
 ** comes or 'patience' (us) has passed. Returns the call's sequence number,
 ** never 0, for effect_rpc_cancel.
 */
@@ -48,7 +50,7 @@
 ** call, never 0. There is no timeout: the caller arms one itself. Texts in
 ** '*x' are copied.
 */
-uint64_t effect_endpoint_call(mp_State *state, mp_Xcall *x,
+uint64_t effect_endpoint_call(mp_State *state, mp_EndpointCall *x,
                               EndpointCallback fn, void *ud);
 /* forget the call and have its connection closed; an unknown is ignored */
 void effect_endpoint_abort(mp_State *state, uint64_t xcall);
--- a/core/holder.c
+++ b/core/holder.c
@@ -62,8 +62,8 @@
   v->weight = r->weight;
   e->own_attempts++;
   e->reserved_since_load += a->role == MP_ROLE_DECODE ? 1 : a->tokens;
-  r->keeper_rpc =
-      effect_rpc_call(state, keeper, &m, 4 * MP_RPC_WAIT, on_reserve_reply, r);
+  r->keeper_rpc = effect_rpc_call(state, keeper, &m, 4 * MP_RPC_RETRY_DELAY,
+                                  on_reserve_reply, r);
 }
 
 void holder_release(mp_State *state, Request *r, Attempt *a, int kept) {
--- a/core/keep.c
+++ b/core/keep.c
@@ -75,12 +75,12 @@
 
 /* decode: us per token, measured or estimated */
 static mp_Time token_time(const Endpoint *e) {
-  return e->rate > 0 ? (mp_Time)e->rate : MP_TOKEN_TIME;
+  return e->rate > 0 ? (mp_Time)e->rate : MP_TOKEN_TIME_DEFAULT;
 }
 
 /* prefill: tokens a second, measured or estimated */
 static uint32_t prefill_rate(const Endpoint *e) {
-  return e->rate > 0 ? e->rate : MP_PREFILL_RATE;
+  return e->rate > 0 ? e->rate : MP_PREFILL_RATE_DEFAULT;
 }
 
 /* the probability that a running decode ends within 'within' (us) */
@@ -97,7 +97,7 @@
 ** count as work ahead of them; long prompts wait for each other.
 */
 static int is_long_prompt(const Hold *h) {
-  return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT;
+  return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT_MIN;
 }
 
 /* 'within': time (us) by which decodes are to have ended; 0: none counted */
@@ -142,7 +142,7 @@
     return n - MIN(u.ending_decodes, e->slots * OVERBOOK_SHARE_MAX) <
            (double)e->slots;
   }
-  if (tokens >= MP_LONG_PROMPT)
+  if (tokens >= MP_LONG_PROMPT_MIN)
     return policy(state)->long_cap ? u.long_prompts == 0
                                    : u.long_prompts <= LONG_PROMPTS_AHEAD_MAX;
   if (u.tokens == 0)
@@ -264,8 +264,8 @@
   r->slots = e->slots;
   r->used = e->used;
   r->wait_ms = estimated_wait_ms(state, e, INT64_MAX);
-  effect_rpc_call(state, h->token.owner, &m, MP_LEASE / 2, on_grant_reply,
-                  NULL);
+  effect_rpc_call(state, h->token.owner, &m, MP_RESERVATION_LEASE / 2,
+                  on_grant_reply, NULL);
 }
 
 /*
@@ -316,7 +316,7 @@
 static void grant_hold(mp_State *state, Hold *h) {
   h->state = MP_HOLD_BUSY;
   h->since = state->now;
-  h->lease_end = state->now + MP_LEASE;
+  h->lease_end = state->now + MP_RESERVATION_LEASE;
 }
 
 /* grant what may start, then update the load; 'old': the row before */
@@ -344,7 +344,7 @@
 ** ===================================================================
 */
 
-/* a new hold, waiting, with MP_QUEUE_LEASE until it is dropped */
+/* a new hold, waiting, with MP_WAITING_LEASE until it is dropped */
 static Hold *add_hold(mp_State *state, const mp_Token *t, uint32_t attempt,
                       const Endpoint *e, uint32_t tokens) {
   Hold *h = g_new0(Hold, 1);
@@ -356,7 +356,7 @@
   h->since = state->now;
   h->start_by = INT64_MAX;
   h->slot_needed_at = state->now;
-  h->lease_end = state->now + MP_QUEUE_LEASE;
+  h->lease_end = state->now + MP_WAITING_LEASE;
   g_ptr_array_add(state->holds, h);
   return h;
 }
@@ -369,7 +369,7 @@
   if (h != NULL) /* the call was sent again */
     return h->state == MP_HOLD_WAIT ? MP_QUEUED : MP_GRANTED;
   r->wait_ms = estimated_wait_ms(state, e, start_by);
-  if (e->role == MP_ROLE_PREFILL && r->tokens >= MP_LONG_PROMPT)
+  if (e->role == MP_ROLE_PREFILL && r->tokens >= MP_LONG_PROMPT_MIN)
     r->wait_ms += (uint32_t)((uint64_t)count_long_prompts(state, e) *
                              r->tokens * 1000 / prefill_rate(e));
   if (!fleet_is_open(state, e) || e->role != (mp_Role)r->role)
@@ -428,7 +428,7 @@
       h = add_hold(state, &t, w->attempt, e, w->tokens);
     if (w->state != MP_HOLD_WAIT)
       h->state = (mp_HoldState)w->state;
-    h->lease_end = state->now + MP_LEASE;
+    h->lease_end = state->now + MP_RESERVATION_LEASE;
   }
 }
 
@@ -477,10 +477,10 @@
 ** before.
 */
 static void cancel_orphans(mp_State *state, const Endpoint *e,
-                           const mp_LoadAnswer *l) {
+                           const mp_LoadReport *l) {
   unsigned i;
   for (i = 0; i < l->nhold; i++) {
-    const mp_HoldNews *w = &l->hold[i];
+    const mp_HoldReport *w = &l->hold[i];
     char key[64];
     mp_Time *first;
     mp_token_text(&w->token, w->attempt, key);
@@ -545,7 +545,7 @@
                           const mp_EndpointEvent *ev) {
   LoadCall *g = ud;
   Endpoint *e = fleet_get(state, g->ep);
-  const mp_LoadAnswer *l = ev->what == MP_EP_DONE ? ev->load : NULL;
+  const mp_LoadReport *l = ev->what == MP_EP_DONE ? ev->load : NULL;
   Endpoint old;
   if (ev->what != MP_EP_DONE && ev->what != MP_EP_FAIL)
     return;
@@ -579,7 +579,7 @@
 /* call the endpoint for its load unless such a call is open */
 static void request_load(mp_State *state, Endpoint *e) {
   LoadCall *g;
-  mp_Xcall x = {0};
+  mp_EndpointCall x = {0};
   if (state_table_get(state->open_load_calls, e->addr) != NULL)
     return;
   g = g_new0(LoadCall, 1);
--- a/core/keep.h
+++ b/core/keep.h
@@ -40,7 +40,7 @@
 ** load that came with a probe, when it is newer than the known one.
 */
 void keeper_fill_loads(mp_State *state, mp_Probe *p, const Member *to);
-void keeper_merge_load(mp_State *state, const mp_LoadNews *n);
+void keeper_merge_load(mp_State *state, const mp_LoadUpdate *n);
 
 /* record and log whether the endpoint is down; logs only a change */
 void keeper_set_down(mp_State *state, Endpoint *e, int down);
--- a/core/keep_loads.c
+++ b/core/keep_loads.c
@@ -9,7 +9,7 @@
 #include "member.h"
 
 static void add_load(mp_Probe *p, const Endpoint *e) {
-  mp_LoadNews *n = &p->load[p->nload++];
+  mp_LoadUpdate *n = &p->load[p->nload++];
   n->addr = e->addr;
   n->stamp = e->stamp;
   n->slots = (uint16_t)MIN(e->slots, 65535);
@@ -57,7 +57,7 @@
   }
 }
 
-void keeper_merge_load(mp_State *state, const mp_LoadNews *n) {
+void keeper_merge_load(mp_State *state, const mp_LoadUpdate *n) {
   Endpoint *e = fleet_get(state, n->addr);
   if (e == NULL || n->stamp <= e->stamp || n->role > MP_ROLE_PLAIN)
     return;
--- a/core/member.c
+++ b/core/member.c
@@ -4,7 +4,7 @@
 **
 ** A member that answers neither a probe nor the indirect probes, sent through
 ** other members, is suspected. A suspect that doesn't refute this within
-** MP_SUSPECT_TIME is dead. Updates about a member are ordered by (start,
+** MP_SUSPECT_TIMEOUT is dead. Updates about a member are ordered by (start,
 ** incarnation, state), so they may arrive in any order and more than once.
 ** Only instances of its own data centre suspect a member; for other data
 ** centres it only counts whether they are reachable.
@@ -67,11 +67,11 @@
 
 /*
 ** Record a change of the live set for claim.c. 'old' is the set before it,
-** and is consumed. Changes that follow within MP_HOME_SETTLE count as a
+** and is consumed. Changes that follow within MP_HOME_SETTLE_TIME count as a
 ** series, and previous_live_set stays what it was before the first.
 */
 static void on_live_set_changed(mp_State *state, GArray *old) {
-  if (state->now - state->set_changed_at < MP_HOME_SETTLE) {
+  if (state->now - state->set_changed_at < MP_HOME_SETTLE_TIME) {
     state->set_change_count++;
     g_array_unref(old);
   } else {
@@ -124,13 +124,13 @@
   return m;
 }
 
-/* drop dead members that no list names, MP_DEAD_KEEP after their death */
+/* drop dead members that no list names, MP_DEAD_RETENTION after their death */
 static void drop_old_members(mp_State *state) {
   guint i = 0;
   while (i < state->members->len) {
     Member *m = state->members->pdata[i];
     if (m->state == MP_MEMBER_DEAD && !m->is_listed &&
-        state->now - m->state_since > MP_DEAD_KEEP) {
+        state->now - m->state_since > MP_DEAD_RETENTION) {
       state_table_remove(state->member_by_addr, m->addr);
       g_ptr_array_remove_index(state->members, i); /* frees the row */
     } else
@@ -163,7 +163,7 @@
     return 1;
   for (i = 0; i < state->dc_contact_count; i++) {
     if (state->dc_contact[i].dc == dc)
-      return state->now - state->dc_contact[i].last_heard < MP_DC_SILENT;
+      return state->now - state->dc_contact[i].last_heard < MP_DC_TIMEOUT;
   }
   return 0;
 }
@@ -174,7 +174,7 @@
   for (i = 0; i < state->dc_contact_count && state->dc_contact[i].dc != dc;
        i++)
     ;
-  if (i == MP_MAXDCS)
+  if (i == MP_DCS_MAX)
     return;
   if (i == state->dc_contact_count)
     state->dc_contact[state->dc_contact_count++].dc = dc;
@@ -214,7 +214,7 @@
 }
 
 /* is (start, incarnation, state) of the update higher than what is known? */
-static int is_newer(const Member *m, const mp_MemberNews *n) {
+static int is_newer(const Member *m, const mp_MemberUpdate *n) {
   if (n->start != m->start)
     return n->start > m->start;
   if (n->incarnation != m->incarnation)
@@ -223,7 +223,7 @@
 }
 
 /* an update says that this instance is suspected or dead: refute it */
-static void on_own_state(mp_State *state, const mp_MemberNews *n) {
+static void on_own_state(mp_State *state, const mp_MemberUpdate *n) {
   if (n->start != state->start || n->incarnation < state->incarnation)
     return;
   if (n->state != MP_MEMBER_SUSPECT && n->state != MP_MEMBER_DEAD)
@@ -234,7 +234,7 @@
 }
 
 /* merge an update about one member; unknown ones are added if trusted */
-static void merge_member(mp_State *state, const mp_MemberNews *n) {
+static void merge_member(mp_State *state, const mp_MemberUpdate *n) {
   Member *m;
   if (n->addr == state->self) {
     on_own_state(state, n);
@@ -282,13 +282,13 @@
   Member *about = member_get(state, to);
   /* a receiver that is not alive here must learn it, to refute it */
   if (about != NULL && about->state != MP_MEMBER_ALIVE) {
-    mp_MemberNews n = {about->addr, about->start, about->incarnation,
-                       about->dc, (uint8_t)about->state};
+    mp_MemberUpdate n = {about->addr, about->start, about->incarnation,
+                         about->dc, (uint8_t)about->state};
     p->member[p->nmember++] = n;
   }
   while (p->nmember < MP_GOSSIP_MEMBERS) {
     Member *m = least_gossiped(state, p, to);
-    mp_MemberNews n;
+    mp_MemberUpdate n;
     if (m == NULL)
       break;
     n.addr = m->addr;
@@ -317,7 +317,7 @@
 
 /* merge all that a probe, or the answer to one, says */
 static void merge_probe(mp_State *state, mp_Addr from, const mp_Probe *p) {
-  mp_MemberNews n = {from, p->start, p->incarnation, p->dc, p->state};
+  mp_MemberUpdate n = {from, p->start, p->incarnation, p->dc, p->state};
   unsigned i;
   Member *m;
   merge_member(state, &n);
@@ -471,7 +471,8 @@
 /*
 ** Timer function: tell all members that are not dead that this instance is
 ** alive, by probing them. The instances that hold claims learn from it that
-** they must announce them to a new home, before the home's MP_HOME_SETTLE is
+** they must announce them to a new home, before the home's MP_HOME_SETTLE_TIME
+*is
 ** over.
 */
 static void announce_alive(mp_State *state, void *ud) {
@@ -515,7 +516,7 @@
   for (i = 0; i < state->members->len; i++) {
     m = state->members->pdata[i];
     if (m->state == MP_MEMBER_SUSPECT &&
-        state->now - m->state_since > MP_SUSPECT_TIME)
+        state->now - m->state_since > MP_SUSPECT_TIMEOUT)
       set_member_state(state, m, MP_MEMBER_DEAD);
   }
   m = next_in_turn(state, &state->next_local_probe, 0);
--- a/core/member.h
+++ b/core/member.h
@@ -76,7 +76,7 @@
 
 /*
 ** Did a probe or reply come directly from a member of the data centre less
-** than MP_DC_SILENT ago? Always true of this instance's own data centre.
+** than MP_DC_TIMEOUT ago? Always true of this instance's own data centre.
 */
 int member_is_dc_reachable(const mp_State *state, uint32_t dc);
 
--- a/core/order.c
+++ b/core/order.c
@@ -100,7 +100,7 @@
       orders->version_seen = state->now;
     orders->version = v;
   }
-  arm_step_timer(state, MP_ORDER_RENEW);
+  arm_step_timer(state, MP_ORDER_RENEW_INTERVAL);
 }
 
 static void read_lease(mp_State *state) {
@@ -140,7 +140,7 @@
   orders->version = e->version;
   orders->version_seen = state->now;
   orders->valid_until = orders->write_sent + MP_ORDER_LEASE;
-  arm_step_timer(state, MP_ORDER_RENEW);
+  arm_step_timer(state, MP_ORDER_RENEW_INTERVAL);
 }
 
 /*
@@ -232,7 +232,7 @@
   if (s->checks_fence)
     return 1;
   return state->now - state->orders->held_since >
-         MP_ORDER_LEASE + MP_ORDER_MAX + MP_ORDER_MARGIN;
+         MP_ORDER_LEASE + MP_ORDER_TIMEOUT + MP_ORDER_MARGIN;
 }
 
 static void on_audit_written(mp_State *state, void *ud,
@@ -286,7 +286,8 @@
 }
 
 /*
-** Timer: no answer within MP_ORDER_MAX. The engine's next load report shows
+** Timer: no answer within MP_ORDER_TIMEOUT. The engine's next load report
+*shows
 ** which role it has.
 */
 static void on_order_timeout(mp_State *state, void *ud) {
@@ -296,12 +297,13 @@
 }
 
 /*
-** Orders an engine to change its role. The order is valid for MP_ORDER_MAX,
+** Orders an engine to change its role. The order is valid for
+*MP_ORDER_TIMEOUT,
 ** but not beyond the lease.
 */
 static void send_order(mp_State *state, Endpoint *e, mp_Role role) {
   Orders *orders = state->orders;
-  mp_Xcall x = {0};
+  mp_EndpointCall x = {0};
   if (!is_lease_valid(state)) /* checked right before the order goes out */
     return;
   x.op = MP_X_ORDER;
@@ -309,11 +311,12 @@
   x.role = role;
   x.fence = orders->version;
   x.valid_ms =
-      (uint32_t)(MIN(MP_ORDER_MAX, orders->valid_until - state->now) / MP_MS);
+      (uint32_t)(MIN(MP_ORDER_TIMEOUT, orders->valid_until - state->now) /
+                 MP_MS);
   orders->target = e->addr;
   orders->old_role = e->role;
   orders->xcall = effect_endpoint_call(state, &x, on_order_event, NULL);
-  timer_arm(&state->timers, &orders->timeout, state->now + MP_ORDER_MAX,
+  timer_arm(&state->timers, &orders->timeout, state->now + MP_ORDER_TIMEOUT,
             on_order_timeout, NULL);
   state_count(state, ORDERS);
   effect_log(state, MP_LOG_ORDER_SENT,
@@ -323,7 +326,8 @@
 
 /*
 ** Orders one engine of the service to change its role when a role has needed
-** engines for MP_ROLE_PATIENCE, the service may be given orders, and the other
+** engines for MP_ROLE_CHANGE_DELAY, the service may be given orders, and the
+*other
 ** role's pool has more engines than it must keep.
 */
 static void balance_service(mp_State *state, const mp_Service *s) {
@@ -346,7 +350,7 @@
     orders->wanted_role = want;
     return;
   }
-  if (state->now - orders->pressed_since < MP_ROLE_PATIENCE ||
+  if (state->now - orders->pressed_since < MP_ROLE_CHANGE_DELAY ||
       !may_order_service(state, s))
     return;
   if (donor->idlest == NULL ||
@@ -359,7 +363,8 @@
 /* }================================================================== */
 
 /*
-** Timer, MP_ORDER_RENEW after the last read or write of the lease ended: gives
+** Timer, MP_ORDER_RENEW_INTERVAL after the last read or write of the lease
+*ended: gives
 ** orders under the lease, then renews it, takes it when it has expired, or
 ** reads it again.
 */
@@ -369,7 +374,7 @@
   (void)ud;
   if (!is_candidate(state)) {
     drop_lease(state);
-    arm_step_timer(state, MP_ORDER_RENEW);
+    arm_step_timer(state, MP_ORDER_RENEW_INTERVAL);
     return;
   }
   if (orders->is_store_call_open)
@@ -403,7 +408,7 @@
 
 void order_init(mp_State *state) {
   state->orders = g_new0(Orders, 1);
-  arm_step_timer(state, MP_ORDER_RENEW);
+  arm_step_timer(state, MP_ORDER_RENEW_INTERVAL);
 }
 
 void order_free(mp_State *state) {
--- a/core/plan.c
+++ b/core/plan.c
@@ -18,8 +18,8 @@
 
 /* One transfer, queued or under way. */
 typedef struct Transfer {
-  char from[MP_MAXNAME + 1];
-  char to[MP_MAXNAME + 1];
+  char from[MP_NAME_MAX + 1];
+  char to[MP_NAME_MAX + 1];
   mp_Time latest_start; /* a later start misses the KV's expiry */
   int is_started;       /* under way; 0: queued */
   LinkStartFn fn;
@@ -32,7 +32,7 @@
 
 /*
 ** Returns the link's rate in megabytes a second: the configured one, or
-** MP_LINK_MBYTES.
+** MP_LINK_MBYTES_PER_S_DEFAULT.
 */
 static uint32_t link_mbytes_per_s(const mp_State *state, const char *from,
                                   const char *to) {
@@ -42,7 +42,7 @@
     if (strcmp(l->from, from) == 0 && strcmp(l->to, to) == 0)
       return l->mbytes_per_s;
   }
-  return MP_LINK_MBYTES;
+  return MP_LINK_MBYTES_PER_S_DEFAULT;
 }
 
 mp_Time link_transfer_time(const mp_State *state, const char *from,
--- a/core/quota.c
+++ b/core/quota.c
@@ -110,7 +110,7 @@
   refill_bucket(state, b, a);
   r.u.quota.given = (uint32_t)MIN((double)m->u.quota.want, b->level);
   b->level -= r.u.quota.given;
-  r.u.quota.for_ms = MP_SLICE_TIME / MP_MS;
+  r.u.quota.for_ms = MP_QUOTA_SLICE_TIME / MP_MS;
   r.u.quota.verdict = r.u.quota.given > 0 ? MP_GRANTED : MP_DENIED;
   effect_rpc_reply(state, from, m, &r);
 }
@@ -181,7 +181,7 @@
     */
     double share = (double)s->limits.requests_per_s / member_count(state, 1);
     s->remaining = MAX(1.0, share);
-    s->valid_until = state->now + MP_SLICE_TIME;
+    s->valid_until = state->now + MP_QUOTA_SLICE_TIME;
   } else if (q->verdict == MP_GRANTED) {
     s->remaining = q->given;
     s->valid_until = state->now + (mp_Time)q->for_ms * MP_MS;
@@ -209,8 +209,8 @@
   m.kind = MP_MSG_QUOTA;
   m.u.quota.account = s->account;
   m.u.quota.want = (uint32_t)MAX(want, s->waiters->len + SLICE_REQUESTS_MIN);
-  s->rpc =
-      effect_rpc_call(state, home, &m, 3 * MP_RPC_WAIT, on_slice_answer, s);
+  s->rpc = effect_rpc_call(state, home, &m, 3 * MP_RPC_RETRY_DELAY,
+                           on_slice_answer, s);
 }
 
 /* Counts a request in 'recent_per_s', which sizes the next slice. */
--- a/core/quota.h
+++ b/core/quota.h
@@ -5,8 +5,10 @@
 ** Each account has a home, the instance that a rendezvous hash of its name
 ** picks. The home owns the account's token bucket and lends the other
 ** instances slices of it: a number of requests that expires after
-** MP_SLICE_TIME. An instance that cannot reach the home admits an even share
-** of the limit instead, at least one request per MP_SLICE_TIME, so that a
+** MP_QUOTA_SLICE_TIME. An instance that cannot reach the home admits an even
+*share
+** of the limit instead, at least one request per MP_QUOTA_SLICE_TIME, so that
+*a
 ** network cut neither stops an account nor lifts its limit. With the policy
 ** 'quota_slices' off every instance admits the even share.
 **
--- a/core/retry.c
+++ b/core/retry.c
@@ -11,19 +11,19 @@
 */
 #define BUDGET_MAX 20.0
 
-/* Adds MP_RETRY_FLOOR retries for each second since the last time. */
+/* Adds MP_RETRIES_PER_S retries for each second since the last time. */
 static void add_floor(mp_State *state) {
   double seconds =
       (double)(state->now - state->retry_budget_updated_at) / MP_SEC;
   state->retry_budget_updated_at = state->now;
   state->retry_tokens =
-      MIN(BUDGET_MAX, state->retry_tokens + seconds * MP_RETRY_FLOOR);
+      MIN(BUDGET_MAX, state->retry_tokens + seconds * MP_RETRIES_PER_S);
 }
 
 void retry_budget_deposit(mp_State *state) {
   add_floor(state);
   state->retry_tokens =
-      MIN(BUDGET_MAX, state->retry_tokens + MP_RETRY_SHARE / 100.0);
+      MIN(BUDGET_MAX, state->retry_tokens + MP_RETRY_PERCENT / 100.0);
 }
 
 int retry_budget_try_withdraw(mp_State *state) {
@@ -42,7 +42,7 @@
 ** together.
 */
 mp_Time retry_backoff(mp_State *state, unsigned n) {
-  mp_Time longest = MP_RETRY_WAIT << MIN(n, 4);
+  mp_Time longest = MP_RETRY_DELAY << MIN(n, 4);
   return longest / 2 +
          g_rand_int_range(state->rand, 0, (gint32)(longest / 2 + 1));
 }
--- a/core/retry.h
+++ b/core/retry.h
@@ -3,7 +3,7 @@
 ** The retry budget and the backoff between retries
 **
 ** The budget of this instance grows by a share of a retry with every fresh
-** request, and by MP_RETRY_FLOOR retries a second; every retry takes one out
+** request, and by MP_RETRIES_PER_S retries a second; every retry takes one out
 ** of it. Retries thus stay a share of the fresh traffic and cannot feed an
 ** overload. The module uses none of the shared tables (board.h).
 */
@@ -14,7 +14,7 @@
 #include "state.h"
 
 /*
-** Adds a fresh request's share, MP_RETRY_SHARE percent of a retry. admit.c
+** Adds a fresh request's share, MP_RETRY_PERCENT percent of a retry. admit.c
 ** calls it for each request that is valid, before the account's limit is
 ** checked.
 */
@@ -28,7 +28,7 @@
 
 /*
 ** Returns the wait in microseconds before retry number 'n', counted from 1.
-** The longest wait is MP_RETRY_WAIT times 2 to the power of 'n', with 'n'
+** The longest wait is MP_RETRY_DELAY times 2 to the power of 'n', with 'n'
 ** taken as 4 at most; the wait is random between half of the longest and all
 ** of it.
 */
--- a/core/route.c
+++ b/core/route.c
@@ -57,8 +57,8 @@
 typedef struct Scope {
   const mp_Rule *rule;
   unsigned n;
-  const char *name[MP_MAXDCS];
-  uint32_t dc[MP_MAXDCS];
+  const char *name[MP_DCS_MAX];
+  uint32_t dc[MP_DCS_MAX];
 } Scope;
 
 /*
@@ -224,7 +224,7 @@
 
 /* Returns prompt tokens a second, as measured or, until then, estimated. */
 static uint32_t prefill_rate(const Endpoint *e) {
-  return e->rate > 0 ? e->rate : MP_PREFILL_RATE;
+  return e->rate > 0 ? e->rate : MP_PREFILL_RATE_DEFAULT;
 }
 
 /*
@@ -352,7 +352,7 @@
 static uint32_t prefill_cost_ms(const mp_State *state, const Request *r,
                                 const Endpoint *e, const char *dc) {
   uint32_t ms = choice_prefill_ms(e, 0);
-  if (r->prompt_tokens >= MP_LONG_PROMPT)
+  if (r->prompt_tokens >= MP_LONG_PROMPT_MIN)
     ms += (uint32_t)((uint64_t)e->used * r->prompt_tokens * 1000 /
                      prefill_rate(e));
   if (dc != NULL && strcmp(dc, e->dc) != 0 &&
--- a/core/shard.c
+++ b/core/shard.c
@@ -35,7 +35,8 @@
 typedef struct Shard {
   mp_State *owner;
   unsigned number;
-  char dc[MP_MAXNAME + 1]; /* the home data centre, part of the object's key */
+  char
+      dc[MP_NAME_MAX + 1]; /* the home data centre, part of the object's key */
   ShardState state;
   uint64_t version;    /* of the object as last read or written; 0: none */
   GPtrArray *pending;  /* PendingClaim, not yet in a write */
--- a/core/slots.c
+++ b/core/slots.c
@@ -56,7 +56,8 @@
 ** estimate, at most 30 s; else give up. Ends.
 */
 static void refuse_overloaded(mp_State *state, Request *r) {
-  int s = MAX(mp_error_retry(MP_ERR_OVERLOAD), (int)(r->wait_ms / 1000) + 1);
+  int s = MAX(mp_error_retry_after_s(MP_ERR_OVERLOAD),
+              (int)(r->wait_ms / 1000) + 1);
   if (r->ran != MP_RAN_NO)
     flow_give_up(state, r);
   else
@@ -68,7 +69,7 @@
     refuse_overloaded(state, r);
   else if (r->ran == MP_RAN_NO)
     flow_refuse(state, r, MP_ERR_PLACE_AWAY,
-                mp_error_retry(MP_ERR_PLACE_AWAY));
+                mp_error_retry_after_s(MP_ERR_PLACE_AWAY));
   else
     flow_give_up(state, r);
 }
@@ -105,7 +106,7 @@
     return;
   }
   need = (uint32_t)((uint64_t)r->prompt_tokens * 1000 /
-                    MAX(e->rate > 0 ? e->rate : MP_PREFILL_RATE, 1));
+                    MAX(e->rate > 0 ? e->rate : MP_PREFILL_RATE_DEFAULT, 1));
   flow_init_attempt(r, &r->prefill, e, MP_ROLE_PREFILL,
                     r->prompt_tokens + r->got);
   holder_reserve(state, r, &r->prefill, slack_ms(state, r, need), 0);
@@ -142,7 +143,7 @@
     a->waiting = 1;
     timer_arm(&state->timers, &r->timer,
               state->now + (mp_Time)slack_ms(state, r, 0) * MP_MS +
-                  MP_RPC_WAIT,
+                  MP_RPC_RETRY_DELAY,
               on_queue_timeout, r);
     return;
   }
@@ -152,7 +153,7 @@
   flow_end_attempt(state, r, a);
   if (v == MP_DENIED) {
     r->wait_ms = MAX(r->wait_ms, MAX(wait_ms, 1));
-    if (r->avoid_count >= MP_MAXTRIES)
+    if (r->avoid_count >= MP_STEP_ATTEMPTS_MAX)
       refuse_overloaded(state, r);
     else
       flow_enter_step(state, r, s);
--- a/core/state.c
+++ b/core/state.c
@@ -26,7 +26,7 @@
 ** A core that was fed no event for longer than this (us) counts as paused:
 ** what it knows about the other instances may be out of date.
 */
-#define PAUSE_MIN (MP_PROBE_PERIOD + MP_SUSPECT_TIME / 2)
+#define PAUSE_MIN (MP_PROBE_PERIOD + MP_SUSPECT_TIMEOUT / 2)
 
 /*
 ** {==================================================================
@@ -170,14 +170,14 @@
 
 /*
 ** Timer function: ends the drain when no request and no unconfirmed cancel
-** is left, MP_DRAIN_LINGER has passed since the drain began, and all claim
+** is left, MP_DRAIN_ADMIT_TIME has passed since the drain began, and all claim
 ** rows were sent to their new homes. Else it checks again after half a second.
 ** The linger is there because load balancers that lag still send calls.
 */
 static void check_drained(mp_State *state, void *ud) {
   (void)ud;
   if (state->requests->len == 0 && cancel_pending_count(state) == 0 &&
-      state->now - state->drain_started_at >= MP_DRAIN_LINGER &&
+      state->now - state->drain_started_at >= MP_DRAIN_ADMIT_TIME &&
       claim_hand_over(state) == 0) {
     effect_log(state, MP_LOG_DRAINED, "%s", "");
     effect_drained(state);
@@ -254,8 +254,8 @@
     break;
   case MP_MSG_LOAD_DIGEST: /* the rest go between routers (router/) */
   case MP_MSG_LOAD_NOTE:
-  case MP_MSG_RELAY_BEAT:
-  case MP_MSG_RELAY_ASK:
+  case MP_MSG_RELAY_HEARTBEAT:
+  case MP_MSG_HEARTBEAT_REQUEST:
   case MP_MSG_LOAD_SUMMARY:
   case MP_MSG_CRASHES:
   case MP_MSG_RATES:
@@ -322,7 +322,7 @@
   deliver_loopback(state);
 }
 
-mp_Time mp_wake(const mp_State *state) {
+mp_Time mp_next_tick(const mp_State *state) {
   return timer_next(&state->timers);
 }
 
--- a/core/state.h
+++ b/core/state.h
@@ -35,7 +35,7 @@
 struct mp_State {
   mp_Time now; /* time of the event that is being handled */
   mp_Addr self;
-  char dc[MP_MAXNAME + 1];
+  char dc[MP_NAME_MAX + 1];
   uint32_t dc_hash;
   uint32_t start;     /* start number: grows with every restart */
   uint32_t net, mask; /* network of the instances; mask 0: messages
@@ -45,7 +45,7 @@
   TimerHeap timers;
   GQueue effects;             /* QueuedEffect, not taken yet */
   QueuedEffect *taken_effect; /* the last one taken: its texts must last until
-                              ** the next mp_take */
+                              ** the next mp_next_effect */
   GQueue loopback;            /* mp_Msg from this instance to itself */
   uint64_t count[MP_C_COUNT];
   /* open calls, by number; freed together with their timers */
@@ -57,9 +57,9 @@
   uint32_t last_rpc_seq;
   int is_store_down; /* the platform left its last call unanswered */
   /* tables shared by the controllers */
-  mp_Config *config; /* NULL: none is in force */
-  KeyTable *keys;    /* hashes of the bearer keys of 'config' */
-  mp_List *list;     /* NULL: none is in force */
+  mp_Config *config;     /* NULL: none is in force */
+  KeyTable *keys;        /* hashes of the bearer keys of 'config' */
+  mp_InstanceList *list; /* NULL: none is in force */
   Document doc[MP_DOC_COUNT];
   GPtrArray *members; /* Member, without this instance itself */
   GHashTable *member_by_addr;
@@ -79,14 +79,15 @@
   ** started, took its first list or was paused */
   mp_Time set_changed_at;
   GArray *previous_live_set; /* mp_Addr: the live set before those changes */
-  unsigned set_change_count; /* changes that followed each other within
-                             ** MP_HOME_SETTLE; 2 or more: unknown history */
+  unsigned
+      set_change_count; /* changes that followed each other within
+                        ** MP_HOME_SETTLE_TIME; 2 or more: unknown history */
   unsigned next_local_probe, next_remote_probe; /* index into 'members' */
   unsigned probe_periods;
   struct {
     uint32_t dc;
     mp_Time last_heard; /* last probe or reply from one of its members */
-  } dc_contact[MP_MAXDCS];
+  } dc_contact[MP_DCS_MAX];
   unsigned dc_contact_count;
   GHashTable *probe_contexts; /* owned contexts of open probes */
   int has_announced_start;    /* the members of the first list were probed */
--- a/core/step.h
+++ b/core/step.h
@@ -105,8 +105,8 @@
 void flow_mark_dispatched(Request *r, Attempt *a);
 
 /* the call of an attempt, with the fields that every kind of work fills */
-mp_Xcall flow_make_endpoint_call(const Request *r, const Attempt *a,
-                                 mp_XcallOp op);
+mp_EndpointCall flow_make_endpoint_call(const Request *r, const Attempt *a,
+                                        mp_EndpointOp op);
 
 /* record that the endpoint certainly did not run the newest dispatch */
 void flow_mark_not_run(Request *r);
@@ -148,7 +148,7 @@
 */
 
 /* FLOW_STEP_DECODE; 'op' is MP_X_DECODE or MP_X_RESUME; may end */
-void flow_start_decode(mp_State *state, Request *r, mp_XcallOp op);
+void flow_start_decode(mp_State *state, Request *r, mp_EndpointOp op);
 /* FLOW_STEP_PLAIN; may end */
 void flow_start_plain(mp_State *state, Request *r);
 
--- a/core/text.c
+++ b/core/text.c
@@ -63,9 +63,9 @@
 }
 
 /* the SHA-256 of 'n' bytes in hexadecimal */
-void mp_digest(const char *s, size_t n, char out[MP_DIGEST + 1]) {
+void mp_digest(const char *s, size_t n, char out[MP_SHA256_HEX + 1]) {
   gchar *d =
       g_compute_checksum_for_data(G_CHECKSUM_SHA256, (const guchar *)s, n);
-  g_strlcpy(out, d, MP_DIGEST + 1);
+  g_strlcpy(out, d, MP_SHA256_HEX + 1);
   g_free(d);
 }
--- a/core/timer.h
+++ b/core/timer.h
@@ -2,7 +2,8 @@
 ** timer.h
 ** Timers on the core's own time (mp_State.now), not on a system clock
 **
-** mp_feed runs those that are due; mp_wake tells the host when the next one
+** mp_feed runs those that are due; mp_next_tick tells the host when the next
+*one
 ** is.
 */
 
--- a/core/work.c
+++ b/core/work.c
@@ -36,9 +36,9 @@
 ** smaller 'priority' goes first at the engine: the class's time to the first
 ** token in milliseconds over its weight.
 */
-mp_Xcall flow_make_endpoint_call(const Request *r, const Attempt *a,
-                                 mp_XcallOp op) {
-  mp_Xcall x = {0};
+mp_EndpointCall flow_make_endpoint_call(const Request *r, const Attempt *a,
+                                        mp_EndpointOp op) {
+  mp_EndpointCall x = {0};
   x.op = op;
   x.endpoint = a->endpoint;
   x.token = r->token;
@@ -201,12 +201,12 @@
 
 /*
 ** Sends the prefill to the reserved endpoint. Its timeout is 4 times the
-** estimated time plus MP_STALL_TIME.
+** estimated time plus MP_STREAM_TIMEOUT.
 */
 void flow_start_prefill(mp_State *state, Request *r) {
   Attempt *a = &r->prefill;
   Endpoint *e = gate_new_work(state, r, a);
-  mp_Xcall x;
+  mp_EndpointCall x;
   mp_Time expected;
   if (e == NULL) {
     flow_place_denied(state, r, a);
@@ -218,7 +218,8 @@
   a->xcall = effect_endpoint_call(state, &x, on_prefill_event, r);
   expected = (mp_Time)choice_prefill_ms(e, r->prompt_tokens) * MP_MS;
   timer_arm(&state->timers, &r->timer,
-            state->now + 4 * expected + MP_STALL_TIME, on_prefill_timeout, r);
+            state->now + 4 * expected + MP_STREAM_TIMEOUT, on_prefill_timeout,
+            r);
 }
 
 /* }================================================================== */
@@ -298,7 +299,8 @@
 /*
 ** The link is free: checks the placement rules once more, for this very move,
 ** then tells the target to pull the KV from the source. The timeout is 4 times
-** the estimated time plus half of MP_STALL_TIME, but at most 0.5 s after the
+** the estimated time plus half of MP_STREAM_TIMEOUT, but at most 0.5 s after
+*the
 ** KV expires (or from now, when it has expired already).
 */
 static void start_import(mp_State *state, void *ud) {
@@ -308,7 +310,7 @@
   const Endpoint *source = fleet_get(state, r->kv_source);
   const mp_Rule *rule =
       place_find_rule(state->config, r->class_name, r->account);
-  mp_Xcall x;
+  mp_EndpointCall x;
   mp_Time expected;
   if (target == NULL || source == NULL ||
       !place_may_move_kv(state->config, rule, source->dc, target->dc)) {
@@ -324,7 +326,7 @@
   expected = link_transfer_time(state, source->dc, target->dc,
                                 choice_kv_bytes(state, r));
   timer_arm(&state->timers, &r->timer,
-            MIN(state->now + 4 * expected + MP_STALL_TIME / 2,
+            MIN(state->now + 4 * expected + MP_STREAM_TIMEOUT / 2,
                 MAX(r->kv_expires_at, state->now) + MP_SEC / 2),
             on_import_timeout, r);
 }
--- a/daemon/settings.c
+++ b/daemon/settings.c
@@ -172,7 +172,7 @@
       !settings_network(s->instance_network, &net, &mask))
     return bad(err, path, "instance_network",
                "write a network, as 10.0.0.0/16");
-  if (strlen(s->data_centre) > MP_MAXNAME)
+  if (strlen(s->data_centre) > MP_NAME_MAX)
     return bad(err, path, "data_centre", "use at most 63 bytes");
   return TRUE;
 }
--- a/examples/embed.c
+++ b/examples/embed.c
@@ -22,7 +22,7 @@
 /* take what core 'i' wants, and hand messages to their receiver */
 static void perform(mp_State *core[CORES], int i, mp_Time now) {
   mp_Effect fx;
-  while (mp_take(core[i], &fx)) {
+  while (mp_next_effect(core[i], &fx)) {
     mp_Event e = {0};
     mp_Msg m;
     int to;
--- a/include/madderpier.h
+++ b/include/madderpier.h
@@ -7,7 +7,8 @@
 ** the time, takes typed effects out of it and performs them. Several
 ** hundred states live side by side in one process.
 **
-** Pointers inside an effect stay valid until the next call of mp_take or
+** Pointers inside an effect stay valid until the next call of mp_next_effect
+*or
 ** mp_feed on the same state. Pointers inside an event are copied.
 */
 
@@ -50,13 +51,13 @@
 MP_API void mp_feed(mp_State *state, mp_Time now, const mp_Event *e);
 
 /* take the next effect; 0 when there is none */
-MP_API int mp_take(mp_State *state, mp_Effect *out);
+MP_API int mp_next_effect(mp_State *state, mp_Effect *out);
 
 /* kind of the open call with this number, for decoding its reply; or 0 */
-MP_API mp_MsgKind mp_pending(const mp_State *state, uint32_t seq);
+MP_API mp_MsgKind mp_pending_call_kind(const mp_State *state, uint32_t seq);
 
 /* when the core next wants MP_EV_TICK */
-MP_API mp_Time mp_wake(const mp_State *state);
+MP_API mp_Time mp_next_tick(const mp_State *state);
 
 /* }================================================================== */
 
@@ -151,7 +152,7 @@
 MP_API int mp_token_parse(const char *s, mp_Token *t, uint32_t *attempt);
 
 /* SHA-256 of a text in hexadecimal */
-MP_API void mp_digest(const char *s, size_t n, char out[MP_DIGEST + 1]);
+MP_API void mp_digest(const char *s, size_t n, char out[MP_SHA256_HEX + 1]);
 
 /* }================================================================== */
 
--- a/include/mpbase.h
+++ b/include/mpbase.h
@@ -105,7 +105,7 @@
 MP_API const char *mp_error_text(mp_Error e);
 MP_API int mp_error_status(mp_Error e);
 /* seconds after which coming back makes sense, 0 where it does not */
-MP_API int mp_error_retry(mp_Error e);
+MP_API int mp_error_retry_after_s(mp_Error e);
 
 /* what is known about whether a request was run by an endpoint */
 typedef enum mp_Ran { MP_RAN_NO, MP_RAN_UNKNOWN, MP_RAN_YES } mp_Ran;
--- a/include/mpconfiguration.h
+++ b/include/mpconfiguration.h
@@ -153,37 +153,40 @@
 */
 
 typedef struct mp_Section {
-  char name[MP_MAXNAME + 1];
-  char digest[MP_DIGEST + 1]; /* SHA-256 of the text */
+  char name[MP_NAME_MAX + 1];
+  char digest[MP_SHA256_HEX + 1]; /* SHA-256 of the text */
 } mp_Section;
 
 typedef struct mp_Manifest {
   uint64_t version; /* grows by one with every apply */
-  char apply_id[MP_MAXNAME + 1];
-  char by[MP_MAXNAME + 1];
-  char when[MP_MAXNAME + 1];
+  char apply_id[MP_NAME_MAX + 1];
+  char by[MP_NAME_MAX + 1];
+  char when[MP_NAME_MAX + 1];
   unsigned n;
-  mp_Section section[MP_MAXSECTIONS];
+  mp_Section section[MP_SECTIONS_MAX];
 } mp_Manifest;
 
-typedef enum mp_InstKind { MP_INST_ENTRY, MP_INST_ENDPOINT } mp_InstKind;
+typedef enum mp_InstanceKind {
+  MP_INST_ENTRY,
+  MP_INST_ENDPOINT
+} mp_InstanceKind;
 
 /* one row of the platform's instance list */
 typedef struct mp_Instance {
-  mp_InstKind kind;
-  char name[MP_MAXNAME + 1];
-  char dc[MP_MAXNAME + 1];
-  char service[MP_MAXNAME + 1]; /* endpoints */
-  mp_Role role;                 /* endpoints; load answers correct it */
-  mp_Addr addr;                 /* entry: RPC; endpoint: HTTP */
+  mp_InstanceKind kind;
+  char name[MP_NAME_MAX + 1];
+  char dc[MP_NAME_MAX + 1];
+  char service[MP_NAME_MAX + 1]; /* endpoints */
+  mp_Role role;                  /* endpoints; load answers correct it */
+  mp_Addr addr;                  /* entry: RPC; endpoint: HTTP */
   int leaving;
 } mp_Instance;
 
-typedef struct mp_List {
+typedef struct mp_InstanceList {
   uint64_t version;
   unsigned n;
   mp_Instance *inst;
-} mp_List;
+} mp_InstanceList;
 
 /*
 ** Decoders that the host lends to the core: pure functions, no input or
@@ -192,8 +195,8 @@
 typedef struct mp_Codec {
   gboolean (*manifest)(const char *text, size_t n, mp_Manifest *out,
                        GError **err);
-  mp_List *(*list)(const char *text, size_t n, GError **err);
-  void (*free_list)(mp_List *l);
+  mp_InstanceList *(*list)(const char *text, size_t n, GError **err);
+  void (*free_list)(mp_InstanceList *l);
   mp_Config *(*config)(const mp_Manifest *m, GBytes *const *text,
                        GError **err);
   void (*free_config)(mp_Config *c);
--- a/include/mpeffect.h
+++ b/include/mpeffect.h
@@ -21,16 +21,16 @@
 
 typedef enum mp_EffectKind {
   MP_FX_NONE,
-  MP_FX_SEND,   /* a message to another instance */
-  MP_FX_XCALL,  /* a call to an endpoint */
-  MP_FX_XABORT, /* forget a call: close its connection */
-  MP_FX_REPLY,  /* a part of the answer to a caller */
-  MP_FX_STORE,  /* a call to the platform */
-  MP_FX_LOG,    /* a numbered event */
-  MP_FX_DRAINED /* nothing is left here: the process may exit */
+  MP_FX_SEND,           /* a message to another instance */
+  MP_FX_ENDPOINT_CALL,  /* a call to an endpoint */
+  MP_FX_ENDPOINT_ABORT, /* forget a call: close its connection */
+  MP_FX_REPLY,          /* a part of the answer to a caller */
+  MP_FX_STORE,          /* a call to the platform */
+  MP_FX_LOG,            /* a numbered event */
+  MP_FX_DRAINED         /* nothing is left here: the process may exit */
 } mp_EffectKind;
 
-typedef enum mp_XcallOp {
+typedef enum mp_EndpointOp {
   MP_X_PREFILL,
   MP_X_IMPORT, /* pull a KV result from another engine */
   MP_X_DECODE,
@@ -39,11 +39,11 @@
   MP_X_CANCEL, /* end an attempt and free all it holds */
   MP_X_LOAD,
   MP_X_ORDER
-} mp_XcallOp;
+} mp_EndpointOp;
 
-typedef struct mp_Xcall {
+typedef struct mp_EndpointCall {
   uint64_t xcall;
-  mp_XcallOp op;
+  mp_EndpointOp op;
   mp_Addr endpoint;
   mp_Token token;
   uint32_t attempt;
@@ -57,18 +57,18 @@
   mp_Role role;      /* ORDER */
   uint64_t fence;    /* ORDER */
   uint32_t valid_ms; /* ORDER */
-} mp_Xcall;
+} mp_EndpointCall;
 
-typedef enum mp_ReplyWhat {
+typedef enum mp_ReplyKind {
   MP_REPLY_HEAD,
-  MP_REPLY_PIECE,
+  MP_REPLY_CHUNK,
   MP_REPLY_END,
   MP_REPLY_ERROR
-} mp_ReplyWhat;
+} mp_ReplyKind;
 
 typedef struct mp_Reply {
   uint64_t call;
-  mp_ReplyWhat what;
+  mp_ReplyKind what;
   int status; /* HEAD */
   void *head; /* HEAD of a plain call, as it came in */
   const char *text;
@@ -106,7 +106,7 @@
       mp_Addr to;
       mp_Msg msg;
     } send;
-    mp_Xcall xcall;
+    mp_EndpointCall xcall;
     uint64_t xabort;
     mp_Reply reply;
     mp_StoreCall store;
--- a/include/mpevent.h
+++ b/include/mpevent.h
@@ -42,28 +42,28 @@
   uint64_t prefix; /* hash of the prompt's beginning */
 } mp_Call;
 
-typedef enum mp_EndpointWhat {
+typedef enum mp_EndpointEventKind {
   MP_EP_HEAD,  /* the endpoint accepted the call */
-  MP_EP_PIECE, /* a piece of the answer */
+  MP_EP_CHUNK, /* a piece of the answer */
   MP_EP_DONE,  /* the call ended well */
   MP_EP_FAIL   /* the call ended badly */
-} mp_EndpointWhat;
+} mp_EndpointEventKind;
 
 /* why a call to an endpoint failed */
-typedef enum mp_EndpointFail {
+typedef enum mp_EndpointFailure {
   MP_EPF_CONNECT,  /* no connection: certainly not run */
   MP_EPF_REFUSED,  /* refused before it ran: full, leaving, unknown KV */
   MP_EPF_REJECTED, /* the request itself is at fault */
   MP_EPF_BROKEN    /* connection lost or nonsense: outcome unknown */
-} mp_EndpointFail;
+} mp_EndpointFailure;
 
 /* one hold that an endpoint reports with its load */
-typedef struct mp_HoldNews {
+typedef struct mp_HoldReport {
   mp_Token token;
   uint32_t attempt;
-} mp_HoldNews;
+} mp_HoldReport;
 
-typedef struct mp_LoadAnswer {
+typedef struct mp_LoadReport {
   mp_Role role;
   uint32_t slots;
   uint32_t used;
@@ -72,13 +72,13 @@
   uint64_t fence; /* last fence it obeyed */
   int leaving;
   unsigned nhold;
-  const mp_HoldNews *hold;
-} mp_LoadAnswer;
+  const mp_HoldReport *hold;
+} mp_LoadReport;
 
 typedef struct mp_EndpointEvent {
   uint64_t xcall; /* the core's number of the call */
-  mp_EndpointWhat what;
-  mp_EndpointFail fail;
+  mp_EndpointEventKind what;
+  mp_EndpointFailure fail;
   int status;       /* HTTP status, for plain services */
   uint32_t index;   /* PIECE: number of its first token, from 0 */
   uint32_t tokens;  /* PIECE: tokens in it; DONE: tokens in all */
@@ -86,7 +86,7 @@
   size_t len;
   uint32_t life_ms;          /* DONE of a prefill: how long the KV lives */
   uint32_t cached;           /* DONE of a prefill: tokens found in the cache */
-  const mp_LoadAnswer *load; /* DONE of a load call */
+  const mp_LoadReport *load; /* DONE of a load call */
   void *head;                /* HEAD of a plain call: the host's own */
 } mp_EndpointEvent;
 
--- a/include/mpmessage.h
+++ b/include/mpmessage.h
@@ -40,8 +40,8 @@
   MP_MSG_FETCH,
   MP_MSG_LOAD_DIGEST,
   MP_MSG_LOAD_NOTE,
-  MP_MSG_RELAY_BEAT,
-  MP_MSG_RELAY_ASK,
+  MP_MSG_RELAY_HEARTBEAT,
+  MP_MSG_HEARTBEAT_REQUEST,
   MP_MSG_LOAD_SUMMARY,
   MP_MSG_CRASHES,
   MP_MSG_RATES,
@@ -62,16 +62,16 @@
   MP_DOC_COUNT
 } mp_DocKind;
 
-typedef struct mp_MemberNews {
+typedef struct mp_MemberUpdate {
   mp_Addr addr;
   uint32_t start;
   uint32_t incarnation;
   uint32_t dc; /* hash of the data centre's name */
   uint8_t state;
-} mp_MemberNews;
+} mp_MemberUpdate;
 
 /* load of one endpoint, as its keeper sees it */
-typedef struct mp_LoadNews {
+typedef struct mp_LoadUpdate {
   mp_Addr addr;
   uint32_t stamp;   /* grows with every observation */
   uint16_t slots;   /* decode: slots in all */
@@ -81,7 +81,7 @@
   uint32_t rate;    /* prefill: tokens a second; decode: us per token */
   uint8_t flags;    /* MP_LOAD_* */
   uint8_t role;     /* mp_Role */
-} mp_LoadNews;
+} mp_LoadUpdate;
 
 #define MP_LOAD_LEAVING 1
 #define MP_LOAD_DOWN 2
@@ -94,9 +94,9 @@
   uint8_t state;
   uint64_t doc[MP_DOC_COUNT]; /* versions in force there */
   unsigned nmember;
-  mp_MemberNews member[MP_GOSSIP_MEMBERS];
+  mp_MemberUpdate member[MP_GOSSIP_MEMBERS];
   unsigned nload;
-  mp_LoadNews load[MP_GOSSIP_LOADS];
+  mp_LoadUpdate load[MP_GOSSIP_LOADS];
   mp_Addr target; /* PROBE_VIA: whom to probe; its answer: who answered */
 } mp_Probe;
 
@@ -188,11 +188,11 @@
 typedef struct mp_Fetch {
   uint8_t doc; /* mp_DocKind, when the digest is empty */
   uint64_t version;
-  char digest[MP_DIGEST + 1];
+  char digest[MP_SHA256_HEX + 1];
   uint32_t offset;
   uint32_t total; /* answer; 0: not here */
   uint32_t n;
-  char data[MP_CHUNK];
+  char data[MP_CHUNK_SIZE];
 } mp_Fetch;
 
 /* what one instance has open at one endpoint */
@@ -229,18 +229,18 @@
   uint32_t in_time;   /* of them, that can still be answered in time */
   uint32_t oldest_ms; /* how long the first of those has waited */
   unsigned n;
-  mp_LoadRow row[MP_DIGEST_ROWS];
+  mp_LoadRow row[MP_LOAD_DIGEST_ROWS];
   /* engines that were ordered to change their stage, by hash of their id */
   unsigned changing_count;
-  uint32_t changing[MP_DIGEST_CHANGING];
+  uint32_t changing[MP_LOAD_DIGEST_CHANGING];
   unsigned retry_count;
-  mp_RetryRow retry[MP_DIGEST_SERVICES];
+  mp_RetryRow retry[MP_LOAD_DIGEST_SERVICES];
   unsigned account_count;
-  mp_AccountRow account[MP_DIGEST_ACCOUNTS];
+  mp_AccountRow account[MP_LOAD_DIGEST_ACCOUNTS];
   /* endpoints that said that they leave while the list has them as ready, by
   ** hash of their id and life; more take turns */
   unsigned leaving_count;
-  uint32_t leaving[MP_DIGEST_LEAVING];
+  uint32_t leaving[MP_LOAD_DIGEST_LEAVING];
 } mp_LoadDigest;
 
 /* all that the instances of one data centre have open, told by a relay */
@@ -267,25 +267,25 @@
 } mp_StorePosition;
 
 /* a relay's heartbeat: what it knows of the store (router/relay_group.h) */
-typedef struct mp_RelayBeat {
+typedef struct mp_RelayHeartbeat {
   mp_StorePosition changed[MP_RELAY_KINDS]; /* its newest news, by kind */
   uint32_t age_ms;   /* since the store last answered the relay */
   uint64_t sent_us;  /* the relay's steady clock when it sent this */
   uint32_t proof_ms; /* since its configuration was certainly the newest */
   uint64_t asked_us; /* the asker's clock when this was asked for; 0: nobody's
                      ** question is answered */
-} mp_RelayBeat;
+} mp_RelayHeartbeat;
 
 /* the wish for a heartbeat */
-typedef struct mp_RelayAsk {
+typedef struct mp_HeartbeatRequest {
   uint64_t asked_us; /* the sender's steady clock */
-} mp_RelayAsk;
+} mp_HeartbeatRequest;
 
 /* a request under which endpoints ended (router/quarantine.h) */
 typedef struct mp_CrashRow {
   uint64_t request; /* digest of its content and client account */
   unsigned n;
-  uint32_t crash[MP_CRASHES_EACH]; /* hashes of an endpoint's id and life */
+  uint32_t crash[MP_CRASHES_PER_ROW]; /* hashes of an endpoint's id and life */
 } mp_CrashRow;
 
 /* a request that broke off where an endpoint may have ended
@@ -297,31 +297,31 @@
 } mp_SuspectRow;
 
 /* those that the sender learned of lately */
-typedef struct mp_CrashNews {
+typedef struct mp_CrashUpdate {
   unsigned n;
   mp_CrashRow row[MP_CRASH_ROWS];
   unsigned suspected_n;
   mp_SuspectRow suspected[MP_SUSPECT_ROWS];
-} mp_CrashNews;
+} mp_CrashUpdate;
 
 /* an endpoint that names the rate it takes (router/rate_limits.h) */
 typedef struct mp_RateRow {
   uint32_t endpoint; /* hash of its id and life */
-  uint32_t rate;     /* thousandths of a request a second, or MP_RATE_ANY */
-  uint32_t age_ms;   /* since an answer of the endpoint said so */
+  uint32_t rate; /* thousandths of a request a second, or MP_RATE_UNLIMITED */
+  uint32_t age_ms; /* since an answer of the endpoint said so */
   uint32_t sent; /* requests that the sender has sent there, since it knows */
 } mp_RateRow;
 
 /* it names none any more */
-#define MP_RATE_ANY UINT32_MAX
+#define MP_RATE_UNLIMITED UINT32_MAX
 
 /* all that an instance knows of them, or a relay's sums of a data centre */
-typedef struct mp_RateNews {
+typedef struct mp_RateUpdate {
   mp_Addr relay; /* sums: who made them; others hand them on */
   uint32_t zone; /* sums: hash of the data centre's name; 0: no sums */
   unsigned n;
   mp_RateRow row[MP_RATE_ROWS];
-} mp_RateNews;
+} mp_RateUpdate;
 
 typedef struct mp_Msg {
   mp_MsgKind kind;
@@ -338,11 +338,11 @@
     mp_Fetch fetch;
     mp_LoadDigest digest;
     mp_LoadNote note;
-    mp_RelayBeat beat;
-    mp_RelayAsk ask;
+    mp_RelayHeartbeat beat;
+    mp_HeartbeatRequest ask;
     mp_LoadSummary summary;
-    mp_CrashNews crashes;
-    mp_RateNews rates;
+    mp_CrashUpdate crashes;
+    mp_RateUpdate rates;
   } u;
 } mp_Msg;
 
--- a/io/adapters.h
+++ b/io/adapters.h
@@ -64,12 +64,14 @@
 /* Aborts all calls to endpoints without feeding events for them. */
 void endpoints_free(Endpoints *E);
 /*
-** Performs the effect MP_FX_XCALL: begins a call to an endpoint. Its outcome
+** Performs the effect MP_FX_ENDPOINT_CALL: begins a call to an endpoint. Its
+*outcome
 ** is fed as events from the event loop.
 */
-void endpoints_call(Endpoints *E, const mp_Xcall *x);
+void endpoints_call(Endpoints *E, const mp_EndpointCall *x);
 /*
-** Performs the effect MP_FX_XABORT: aborts the call 'xcall', for which no
+** Performs the effect MP_FX_ENDPOINT_ABORT: aborts the call 'xcall', for which
+*no
 ** further event is fed.
 */
 void endpoints_abort(Endpoints *E, uint64_t xcall);
--- a/io/caller_errors.c
+++ b/io/caller_errors.c
@@ -48,7 +48,8 @@
 
 void caller_send_before_close(evhtp_connection_t *c, mp_Error e,
                               const char *detail) {
-  json_t *j = caller_error_body(e, MP_RAN_NO, mp_error_retry(e), detail, NULL);
+  json_t *j =
+      caller_error_body(e, MP_RAN_NO, mp_error_retry_after_s(e), detail, NULL);
   char *s = json_dumps(j, JSON_COMPACT);
   gchar *all = g_strdup_printf("HTTP/1.1 %d Error\r\n"
                                "Content-Type: application/json\r\n"
--- a/io/callers.c
+++ b/io/callers.c
@@ -198,7 +198,7 @@
   if (!json_is_object(c->body.json))
     return "the body must be a JSON object";
   q->model = json_string_value(json_object_get(c->body.json, "model"));
-  if (q->model == NULL || strlen(q->model) > MP_MAXNAME)
+  if (q->model == NULL || strlen(q->model) > MP_NAME_MAX)
     return "'model' must be a string of at most 63 bytes";
   prompt = json_object_get(c->body.json, c->is_chat ? "messages" : "prompt");
   if (c->is_chat ? !json_is_array(prompt) : !json_is_string(prompt))
@@ -257,7 +257,8 @@
 
 static void reject(Caller *c, mp_Error e, const char *detail) {
   c->is_ended = 1;
-  caller_send_error(c->req, e, MP_RAN_NO, mp_error_retry(e), detail, NULL);
+  caller_send_error(c->req, e, MP_RAN_NO, mp_error_retry_after_s(e), detail,
+                    NULL);
 }
 
 static void on_request(evhtp_request_t *r, void *arg) {
@@ -561,7 +562,7 @@
   case MP_REPLY_HEAD:
     reply_head(c, p);
     break;
-  case MP_REPLY_PIECE:
+  case MP_REPLY_CHUNK:
     reply_piece(c, p);
     break;
   case MP_REPLY_END:
--- a/io/endpoints.c
+++ b/io/endpoints.c
@@ -26,7 +26,7 @@
 typedef struct EndpointRequest {
   Endpoints *E;
   uint64_t xcall;
-  mp_XcallOp op;
+  mp_EndpointOp op;
   char id[64];     /* token and attempt: the request's id at the engine */
   HttpCall *call;  /* NULL once it has ended, or if it could not be made */
   int status;      /* HTTP status; 0: no response was received */
@@ -68,7 +68,7 @@
   free_request(c);
 }
 
-static void fail_call(EndpointRequest *c, mp_EndpointFail f) {
+static void fail_call(EndpointRequest *c, mp_EndpointFailure f) {
   mp_EndpointEvent x = {0};
   x.what = MP_EP_FAIL;
   x.fail = f;
@@ -77,7 +77,7 @@
 }
 
 /* The kind of failure that a status other than 200 means. */
-static mp_EndpointFail failure_of_status(int status) {
+static mp_EndpointFailure failure_of_status(int status) {
   switch (status) {
   case 409:
   case 429:
@@ -127,7 +127,7 @@
     c->tokens = json_uint32(usage, "completion_tokens");
   if (text == NULL)
     return 1;
-  x.what = MP_EP_PIECE;
+  x.what = MP_EP_CHUNK;
   x.index = json_uint32(j, "index");
   x.tokens = json_uint32(j, "tokens");
   x.text = text;
@@ -219,7 +219,7 @@
 ** the reservations that it lists are stored in 'hold', which '*l' then refers
 ** to.
 */
-static int parse_load(const json_t *j, mp_LoadAnswer *l, mp_HoldNews *hold,
+static int parse_load(const json_t *j, mp_LoadReport *l, mp_HoldReport *hold,
                       unsigned most) {
   const json_t *holds = json_object_get(j, "holds");
   size_t i;
@@ -234,7 +234,7 @@
   l->leaving = json_is_true(json_object_get(j, "leaving"));
   for (i = 0; i < json_array_size(holds) && l->nhold < most; i++) {
     const char *s = json_string_value(json_array_get(holds, i));
-    mp_HoldNews *h = &hold[l->nhold];
+    mp_HoldReport *h = &hold[l->nhold];
     if (s != NULL && mp_token_parse(s, &h->token, &h->attempt))
       l->nhold++;
   }
@@ -248,15 +248,15 @@
 /* Ends a call whose response is complete and has status 200. */
 static void finish_whole_response(EndpointRequest *c) {
   mp_EndpointEvent x = {0};
-  mp_LoadAnswer l = {0};
-  mp_HoldNews *hold = NULL;
+  mp_LoadReport l = {0};
+  mp_HoldReport *hold = NULL;
   json_t *j = json_loadb(c->buf->str, c->buf->len, 0, NULL);
   int ok = 1;
   x.what = MP_EP_DONE;
   if (c->op == MP_X_PREFILL)
     ok = parse_prefill(j, &x);
   else if (c->op == MP_X_LOAD) {
-    hold = g_new0(mp_HoldNews, MAX_HOLDS);
+    hold = g_new0(mp_HoldReport, MAX_HOLDS);
     ok = parse_load(j, &l, hold, MAX_HOLDS);
     x.load = &l;
   }
@@ -291,7 +291,7 @@
   EndpointRequest *c = ud;
   mp_EndpointEvent x = {0};
   if (c->op == MP_X_PLAIN) {
-    x.what = MP_EP_PIECE;
+    x.what = MP_EP_CHUNK;
     x.text = s;
     x.len = n;
     feed_event(c, &x);
@@ -336,7 +336,7 @@
 
 /* The caller's JSON with the members that the engine needs in addition. */
 static json_t *work_json(const EndpointRequest *c, const CallBody *b,
-                         const mp_Xcall *x) {
+                         const mp_EndpointCall *x) {
   json_t *j = json_copy(b->json);
   int prefill = x->op == MP_X_PREFILL;
   json_object_set_new(j, "request_id", json_string(c->id));
@@ -354,7 +354,8 @@
 }
 
 /* The body of a request that has no caller; NULL for other operations. */
-static json_t *control_json(const EndpointRequest *c, const mp_Xcall *x) {
+static json_t *control_json(const EndpointRequest *c,
+                            const mp_EndpointCall *x) {
   char from[24];
   switch (x->op) {
   case MP_X_IMPORT:
@@ -390,7 +391,7 @@
 static const HttpHooks hooks = {on_head, on_data, on_end};
 
 static void send_plain(EndpointRequest *c, const CallBody *b,
-                       const mp_Xcall *x) {
+                       const mp_EndpointCall *x) {
   HttpHeader h[] = {{"X-Request-Id", c->id},
                     {"Content-Type", b->content_type},
                     {NULL, NULL}};
@@ -403,8 +404,8 @@
 }
 
 /* Sends a POST with the body 'j', whose reference it takes over; or a GET. */
-static void send_json(EndpointRequest *c, const mp_Xcall *x, const char *uri,
-                      json_t *j) {
+static void send_json(EndpointRequest *c, const mp_EndpointCall *x,
+                      const char *uri, json_t *j) {
   static const HttpHeader h[] = {{"Content-Type", "application/json"},
                                  {NULL, NULL}};
   char *s = j != NULL ? json_dumps(j, JSON_COMPACT) : NULL;
@@ -415,7 +416,7 @@
   json_decref(j);
 }
 
-static void send_work(EndpointRequest *c, const mp_Xcall *x) {
+static void send_work(EndpointRequest *c, const mp_EndpointCall *x) {
   const CallBody *b = callers_body(c->E->node->callers, x->call);
   if (b == NULL)
     return; /* the caller has disconnected; callers.c tells the core */
@@ -425,7 +426,7 @@
     send_json(c, x, b->uri, work_json(c, b, x));
 }
 
-static void send_call(EndpointRequest *c, const mp_Xcall *x) {
+static void send_call(EndpointRequest *c, const mp_EndpointCall *x) {
   char uri[128];
   switch (x->op) {
   case MP_X_PREFILL:
@@ -470,7 +471,7 @@
   g_free(b);
 }
 
-void endpoints_call(Endpoints *E, const mp_Xcall *x) {
+void endpoints_call(Endpoints *E, const mp_EndpointCall *x) {
   EndpointRequest *c = g_new0(EndpointRequest, 1);
   c->E = E;
   c->xcall = x->xcall;
--- a/io/gateway.c
+++ b/io/gateway.c
@@ -378,7 +378,7 @@
   for (kind = 0; kind < MP_RELAY_KINDS; kind++) {
     const NewsState *news = relay_group_news(gateway->group, (StoreKind)kind);
     counts.news_lag[kind] = news_state_lag(news, clock_now());
-    counts.held_at[kind] = news->held;
+    counts.known_positions[kind] = news->held;
     for (field = 0; field < RECORD_FIELD_COUNT; field++)
       counts.bad_objects[kind][field] = directory_bad_objects(
           gateway->directory, (StoreKind)kind, (RecordField)field);
--- a/io/load_exchange.c
+++ b/io/load_exchange.c
@@ -45,7 +45,7 @@
 }
 
 static void send_to_all(LoadExchange *exchange, const mp_Msg *message) {
-  char bytes[MP_MAXDGRAM];
+  char bytes[MP_DATAGRAM_MAX];
   size_t size = rpc_encode(message, bytes, sizeof bytes);
   guint i;
   for (i = 0; i < exchange->peers->len; i++) {
@@ -56,7 +56,7 @@
 
 void load_exchange_send(LoadExchange *exchange, mp_Addr to,
                         const mp_Msg *message) {
-  char bytes[MP_MAXDGRAM];
+  char bytes[MP_DATAGRAM_MAX];
   size_t size = rpc_encode(message, bytes, sizeof bytes);
   datagram_send(exchange->fd, to, bytes, size);
 }
@@ -206,13 +206,14 @@
   exchange->hooks.digest(exchange->hooks.data);
 }
 
-static void handle_crashes(LoadExchange *exchange, const mp_CrashNews *news) {
+static void handle_crashes(LoadExchange *exchange,
+                           const mp_CrashUpdate *news) {
   if (router_receive_crashes(exchange->router, news, clock_now()))
     exchange->hooks.crashes(exchange->hooks.data);
 }
 
 static void handle_rates(LoadExchange *exchange, mp_Addr peer,
-                         const mp_RateNews *news) {
+                         const mp_RateUpdate *news) {
   if (!accepts_loads_of(exchange, peer))
     return;
   router_receive_rates(exchange->router, peer, news, clock_now());
@@ -222,7 +223,7 @@
 static void handle_datagram(LoadExchange *exchange, mp_Addr peer,
                             const char *bytes, size_t size) {
   mp_Msg message;
-  char answer[MP_MAXDGRAM];
+  char answer[MP_DATAGRAM_MAX];
   size_t answer_size;
   if (rpc_decode(bytes, size, no_reply_expected, NULL, &message, answer,
                  sizeof answer, &answer_size) != RPC_CALL)
@@ -242,7 +243,8 @@
   int i;
   (void)what;
   for (i = 0; i < READ_BURST; i++) {
-    char bytes[MP_MAXDGRAM + 1]; /* 1 more, to detect ones that are longer */
+    char bytes[MP_DATAGRAM_MAX +
+               1]; /* 1 more, to detect ones that are longer */
     mp_Addr from;
     ssize_t size = datagram_receive(fd, bytes, sizeof bytes, &from);
     if (size < 0)
--- a/io/metrics.c
+++ b/io/metrics.c
@@ -91,8 +91,8 @@
         text,
         "madderpier_news_era{kind=\"%s\"} %" G_GUINT64_FORMAT "\n"
         "madderpier_news_revision{kind=\"%s\"} %" G_GINT64_FORMAT "\n",
-        kind_names[kind], counts->held_at[kind].era, kind_names[kind],
-        counts->held_at[kind].revision);
+        kind_names[kind], counts->known_positions[kind].era, kind_names[kind],
+        counts->known_positions[kind].revision);
 }
 
 /* One line for each field that was ever wrong, and one with their sum. */
--- a/io/metrics.h
+++ b/io/metrics.h
@@ -42,8 +42,9 @@
   /* objects of the store that could not be read, by StoreKind and by the field
   ** that is wrong */
   guint64 bad_objects[MP_RELAY_KINDS][RECORD_FIELD_COUNT];
-  StorePosition held_at[MP_RELAY_KINDS]; /* by StoreKind: position up to which
-                                         ** changes are known */
+  StorePosition
+      known_positions[MP_RELAY_KINDS]; /* by StoreKind: position up to which
+                                        ** changes are known */
   guint64 store_era; /* latest era of the store that is known; 0: none */
 } AdapterCounts;
 
--- a/io/node.c
+++ b/io/node.c
@@ -22,10 +22,10 @@
   case MP_FX_SEND:
     peers_send(node->peers, e->u.send.to, &e->u.send.msg);
     break;
-  case MP_FX_XCALL:
+  case MP_FX_ENDPOINT_CALL:
     endpoints_call(node->endpoints, &e->u.xcall);
     break;
-  case MP_FX_XABORT:
+  case MP_FX_ENDPOINT_ABORT:
     endpoints_abort(node->endpoints, e->u.xabort);
     break;
   case MP_FX_REPLY:
@@ -46,7 +46,7 @@
 }
 
 static void start_timer(Node *node) {
-  mp_Time wait = mp_wake(node->state) - clock_now();
+  mp_Time wait = mp_next_tick(node->state) - clock_now();
   struct timeval t;
   wait = CLAMP(wait, 0, 10 * MP_SEC);
   t.tv_sec = wait / MP_SEC;
@@ -59,7 +59,7 @@
   g_assert(!node->performing);
   mp_feed(node->state, clock_now(), e);
   node->performing = 1;
-  while (mp_take(node->state, &fx))
+  while (mp_next_effect(node->state, &fx))
     perform(node, &fx);
   node->performing = 0;
   start_timer(node);
--- a/io/peers.c
+++ b/io/peers.c
@@ -20,7 +20,7 @@
 };
 
 void peers_send(Peers *P, mp_Addr to, const mp_Msg *m) {
-  char out[MP_MAXDGRAM];
+  char out[MP_DATAGRAM_MAX];
   size_t n = rpc_encode(m, out, sizeof out);
   /* the limits in mpconf.h let every message fit into a datagram */
   g_assert(n > 0);
@@ -30,12 +30,12 @@
 /* The kind of the call with the number 'seq' whose reply is awaited. */
 static mp_MsgKind pending_call_kind(void *ud, uint32_t seq) {
   const Peers *P = ud;
-  return mp_pending(P->node->state, seq);
+  return mp_pending_call_kind(P->node->state, seq);
 }
 
 static void handle_datagram(Peers *P, mp_Addr from, const char *s, size_t n) {
   mp_Msg m;
-  char out[MP_MAXDGRAM];
+  char out[MP_DATAGRAM_MAX];
   size_t nout;
   mp_Event e = {0};
   switch (rpc_decode(s, n, pending_call_kind, P, &m, out, sizeof out, &nout)) {
@@ -46,10 +46,10 @@
     e.u.msg.msg = &m;
     node_feed(P->node, &e);
     break;
-  case RPC_ANSWER:
+  case RPC_ERROR_REPLY:
     datagram_send(P->fd, from, out, nout);
     break;
-  case RPC_JUNK:
+  case RPC_INVALID:
     break;
   }
 }
@@ -59,7 +59,8 @@
   int i;
   (void)what;
   for (i = 0; i < READ_BURST; i++) {
-    char in[MP_MAXDGRAM + 1]; /* 1 more, to detect datagrams that are longer */
+    char in[MP_DATAGRAM_MAX +
+            1]; /* 1 more, to detect datagrams that are longer */
     mp_Addr from;
     ssize_t n = datagram_receive(fd, in, sizeof in, &from);
     if (n < 0)
--- a/io/relays.c
+++ b/io/relays.c
@@ -56,7 +56,7 @@
 static mp_Msg make_heartbeat(const Relays *relays, gint64 now) {
   mp_Msg message;
   memset(&message, 0, sizeof message);
-  message.kind = MP_MSG_RELAY_BEAT;
+  message.kind = MP_MSG_RELAY_HEARTBEAT;
   message.u.beat.age_ms =
       (guint32)(relay_group_age(relays->group, now) / MP_MS);
   message.u.beat.sent_us = (guint64)now;
@@ -173,7 +173,7 @@
   mp_Msg message;
   unsigned i;
   memset(&message, 0, sizeof message);
-  message.kind = MP_MSG_RELAY_ASK;
+  message.kind = MP_MSG_HEARTBEAT_REQUEST;
   message.u.ask.asked_us = (guint64)clock_now();
   for (i = 0; i < count; i++)
     load_exchange_send(relays->exchange, asked[i], &message);
@@ -287,7 +287,8 @@
                            gint64 now) {
   if (message->u.summary.zone == relays->zone)
     return;
-  router_zone_load(relays->router, message->seq, &message->u.summary, now);
+  router_receive_summary(relays->router, message->seq, &message->u.summary,
+                         now);
   if (from == message->u.summary.relay &&
       relay_group_is_first_relay(relays->group, now))
     send_to_all(relays, relay_group_members(relays->group), message);
@@ -296,7 +297,7 @@
 /* The same for rates. */
 static void handle_rates(Relays *relays, mp_Addr from, const mp_Msg *message,
                          gint64 now) {
-  const mp_RateNews *news = &message->u.rates;
+  const mp_RateUpdate *news = &message->u.rates;
   if (news->zone == relays->zone)
     return;
   router_receive_rates(relays->router, from, news, now);
@@ -307,10 +308,10 @@
 void relays_receive(Relays *relays, mp_Addr from, const mp_Msg *message) {
   gint64 now = clock_now();
   switch (message->kind) {
-  case MP_MSG_RELAY_BEAT:
+  case MP_MSG_RELAY_HEARTBEAT:
     handle_heartbeat(relays, from, message, now);
     break;
-  case MP_MSG_RELAY_ASK:
+  case MP_MSG_HEARTBEAT_REQUEST:
     handle_heartbeat_request(relays, from, message, now);
     break;
   case MP_MSG_LOAD_SUMMARY:
--- a/router/account_limits.c
+++ b/router/account_limits.c
@@ -337,7 +337,7 @@
 ** with the rows that follow. */
 static void write_page(AccountLimits *limits, mp_LoadDigest *out,
                        gboolean with_peers) {
-  guint count = MIN(limits->all->len, MP_DIGEST_ACCOUNTS);
+  guint count = MIN(limits->all->len, MP_LOAD_DIGEST_ACCOUNTS);
   guint i;
   out->account_count = 0;
   for (i = 0; i < count; i++) {
--- a/router/accounts.c
+++ b/router/accounts.c
@@ -80,7 +80,7 @@
 ** then, with the refusal filled in. */
 static const Account *find_account(Router *router, const CallerRequest *call,
                                    Refusal *refusal, gint64 now) {
-  char digest[MP_DIGEST + 1];
+  char digest[MP_SHA256_HEX + 1];
   const Account *account = NULL;
   /* An old configuration may lack a new key, so the caller gets a 503 (come
   ** back) and not a 401 (unknown key). */
--- a/router/admission.c
+++ b/router/admission.c
@@ -391,7 +391,7 @@
 }
 
 /* Late requests start only if every request in time has found room. */
-void admission_start_waiting(Router *router, gint64 now) {
+void admission_start_waiting_requests(Router *router, gint64 now) {
   if (router->waiting->len > 0 && start_some(router, TRUE, now) == 0)
     start_some(router, FALSE, now);
   shortage_schedule_recheck(router, now);
--- a/router/config_proof.c
+++ b/router/config_proof.c
@@ -47,7 +47,7 @@
 ** 'asked_us' of this clock, so the difference bounds the offset from below.
 */
 static void bound_clock(ConfigProof *proof, mp_Addr relay,
-                        const mp_RelayBeat *beat, gint64 now) {
+                        const mp_RelayHeartbeat *beat, gint64 now) {
   RelayClock *clock = g_hash_table_lookup(proof->clocks, &relay);
   if (clock == NULL) {
     clock = g_new0(RelayClock, 1);
@@ -58,7 +58,7 @@
 }
 
 void config_proof_apply_heartbeat(ConfigProof *proof, mp_Addr relay,
-                                  const mp_RelayBeat *beat, gint64 now) {
+                                  const mp_RelayHeartbeat *beat, gint64 now) {
   const RelayClock *clock;
   gint64 at;
   if (beat->asked_us != 0 && (gint64)beat->asked_us <= now)
--- a/router/config_proof.h
+++ b/router/config_proof.h
@@ -54,7 +54,7 @@
 ** changes that it names.
 */
 void config_proof_apply_heartbeat(ConfigProof *proof, mp_Addr relay,
-                                  const mp_RelayBeat *beat, gint64 now);
+                                  const mp_RelayHeartbeat *beat, gint64 now);
 /*
 ** Returns TRUE when the relay should be sent a request so that the offset to
 ** its clock can be bounded.
--- a/router/loads.c
+++ b/router/loads.c
@@ -92,13 +92,13 @@
   ConnectionsView view = {0};
   guint i;
   out->n = 0;
-  for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
+  for (i = 0; i < all->len && out->n < MP_LOAD_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
     guint failing = failing_percent(endpoint, now);
     if (has_reportable_load(endpoint, failing))
       write_row(endpoint, out, failing);
   }
-  for (i = 0; i < all->len && out->n < MP_DIGEST_ROWS; i++) {
+  for (i = 0; i < all->len && out->n < MP_LOAD_DIGEST_ROWS; i++) {
     const Endpoint *endpoint = all->pdata[i];
     guint failing = failing_percent(endpoint, now);
     if (!has_reportable_load(endpoint, failing) &&
@@ -115,7 +115,7 @@
   retry_exchange_write(router, out);
   account_limits_write(router->limits, out);
   out->changing_count = stages_list_changing(router->stages, out->changing,
-                                             MP_DIGEST_CHANGING, now);
+                                             MP_LOAD_DIGEST_CHANGING, now);
   signals_write_digest(router, out, now);
 }
 
@@ -152,8 +152,8 @@
   return account_limits_unreported_share(router->limits);
 }
 
-void router_zone_load(Router *router, guint32 sequence,
-                      const mp_LoadSummary *summary, gint64 now) {
+void router_receive_summary(Router *router, guint32 sequence,
+                            const mp_LoadSummary *summary, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
   const mp_LoadDigest *known =
       peer_loads_latest_summary(peers, summary->relay);
@@ -170,14 +170,14 @@
   account_limits_receive_summary(router->limits, summary->relay,
                                  &summary->loads, &sharers, now);
   signals_read_digest(router, &summary->loads, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 void router_peer_load(Router *router, mp_Addr peer, guint32 sequence,
                       const mp_LoadDigest *digest, gint64 now) {
   PeerLoads *peers = router->endpoints->peers;
   const mp_LoadDigest *known = peer_loads_latest_digest(peers, peer);
-  mp_LoadDigest before; /* as in router_zone_load */
+  mp_LoadDigest before; /* as in router_receive_summary */
   LimitSharers sharers;
   if (known != NULL)
     before = *known;
@@ -187,7 +187,7 @@
   sharers = accounts_sharers(router, now);
   account_limits_receive(router->limits, peer, digest, &sharers, now);
   signals_read_digest(router, digest, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 void router_peer_reservation(Router *router, mp_Addr peer,
--- a/router/peer_loads.c
+++ b/router/peer_loads.c
@@ -192,7 +192,7 @@
     if (out->row[i].endpoint == row->endpoint)
       break;
   }
-  if (i == MP_DIGEST_ROWS)
+  if (i == MP_LOAD_DIGEST_ROWS)
     return; /* no room: the rows with the most load mostly came first */
   if (i == out->n) {
     out->row[out->n++] = *row;
@@ -209,7 +209,7 @@
     if (out->changing[i] == endpoint)
       return;
   }
-  if (out->changing_count < MP_DIGEST_CHANGING)
+  if (out->changing_count < MP_LOAD_DIGEST_CHANGING)
     out->changing[out->changing_count++] = endpoint;
 }
 
@@ -245,7 +245,7 @@
   mp_LoadRow row = {note->endpoint, note->tokens, 0, 0};
   /* A newer digest includes the reservation already. */
   if (peer == NULL || peer->sequence != note->after ||
-      peer->reservations->len >= MP_DIGEST_ROWS)
+      peer->reservations->len >= MP_LOAD_DIGEST_ROWS)
     return;
   g_array_append_val(peer->reservations, row);
   add_row(loads, &row);
--- a/router/quarantine.c
+++ b/router/quarantine.c
@@ -343,7 +343,7 @@
   guint i;
   out->request = row->content;
   out->n = 0;
-  for (i = 0; i < row->count && out->n < MP_CRASHES_EACH; i++) {
+  for (i = 0; i < row->count && out->n < MP_CRASHES_PER_ROW; i++) {
     if (!row->strikes[i].is_off)
       out->crash[out->n++] = row->strikes[i].crash;
   }
@@ -351,7 +351,7 @@
 
 /* Adds the row, or puts it in the place of the row with the fewest strikes if
 ** the message is full and that row has fewer than this one. */
-static void add_or_replace_row(mp_CrashNews *out, const mp_CrashRow *row) {
+static void add_or_replace_row(mp_CrashUpdate *out, const mp_CrashRow *row) {
   unsigned least = 0;
   unsigned i;
   if (out->n < MP_CRASH_ROWS) {
@@ -367,7 +367,7 @@
 }
 
 void quarantine_write_news(const Quarantine *quarantine,
-                           gboolean with_received, mp_CrashNews *out,
+                           gboolean with_received, mp_CrashUpdate *out,
                            gint64 now) {
   GHashTableIter iterator;
   gpointer value;
--- a/router/quarantine.h
+++ b/router/quarantine.h
@@ -44,7 +44,7 @@
 #define QUARANTINE_HOLD_STRIKES 3
 /* A request with this many strikes or more is held until an operator lifts the
 ** hold. The platform allows three more runs. */
-#define QUARANTINE_STRIKES_MAX MP_CRASHES_EACH
+#define QUARANTINE_STRIKES_MAX MP_CRASHES_PER_ROW
 
 /* the strikes of one request, as instances report them and the store keeps
 ** them */
@@ -118,7 +118,7 @@
 ** this instance saw a strike itself, or with 'with_received' every one. If
 ** there are too many, those with the most strikes are written. */
 void quarantine_write_news(const Quarantine *quarantine,
-                           gboolean with_received, mp_CrashNews *out,
+                           gboolean with_received, mp_CrashUpdate *out,
                            gint64 now);
 
 /*
--- a/router/rate_limits.c
+++ b/router/rate_limits.c
@@ -264,15 +264,17 @@
 
 static guint32 encode_rate(double rate) {
   double steps = rate * RATE_STEPS_PER_UNIT;
-  return rate < 0 ? MP_RATE_ANY : (guint32)MIN(steps, MP_RATE_ANY - 1);
+  return rate < 0 ? MP_RATE_UNLIMITED
+                  : (guint32)MIN(steps, MP_RATE_UNLIMITED - 1);
 }
 
 static double decode_rate(guint32 steps) {
-  return steps == MP_RATE_ANY ? RATE_UNLIMITED : steps / RATE_STEPS_PER_UNIT;
+  return steps == MP_RATE_UNLIMITED ? RATE_UNLIMITED
+                                    : steps / RATE_STEPS_PER_UNIT;
 }
 
 static void write_rows(const RateLimits *limits, gboolean with_peers,
-                       mp_RateNews *out, gint64 now) {
+                       mp_RateUpdate *out, gint64 now) {
   GHashTableIter iterator;
   gpointer key;
   gpointer value;
@@ -293,24 +295,24 @@
   }
 }
 
-void rate_limits_write(const RateLimits *limits, mp_RateNews *out,
+void rate_limits_write(const RateLimits *limits, mp_RateUpdate *out,
                        gint64 now) {
   write_rows(limits, FALSE, out, now);
 }
 
-void rate_limits_write_summary(const RateLimits *limits, mp_RateNews *out,
+void rate_limits_write_summary(const RateLimits *limits, mp_RateUpdate *out,
                                gint64 now) {
   write_rows(limits, TRUE, out, now);
 }
 
 /* Returns the key of the sender's totals. A relay's sums and its own totals
 ** are stored under different keys. */
-static guint64 sender_address(mp_Addr peer, const mp_RateNews *news) {
+static guint64 sender_address(mp_Addr peer, const mp_RateUpdate *news) {
   return news->zone != 0 ? news->relay | 1ULL << 63 : peer;
 }
 
 void rate_limits_receive(RateLimits *limits, mp_Addr peer,
-                         const mp_RateNews *news, const RateSharers *sharers,
+                         const mp_RateUpdate *news, const RateSharers *sharers,
                          gint64 now) {
   PeerTotals *totals =
       shared_totals_receive(limits->peers, sender_address(peer, news), now);
--- a/router/rate_limits.h
+++ b/router/rate_limits.h
@@ -105,15 +105,16 @@
 /* Returns a number that grows whenever there is something new to report. */
 guint64 rate_limits_version(const RateLimits *limits);
 /* Writes what this instance knows of the rates and has sent itself. */
-void rate_limits_write(const RateLimits *limits, mp_RateNews *out, gint64 now);
+void rate_limits_write(const RateLimits *limits, mp_RateUpdate *out,
+                       gint64 now);
 /* Writes the same for other data centres, with what the instances whose
 ** messages come here have sent included. */
-void rate_limits_write_summary(const RateLimits *limits, mp_RateNews *out,
+void rate_limits_write_summary(const RateLimits *limits, mp_RateUpdate *out,
                                gint64 now);
 /* Applies a message from another instance, or from a relay that reports the
 ** sums of its data centre. */
 void rate_limits_receive(RateLimits *limits, mp_Addr peer,
-                         const mp_RateNews *news, const RateSharers *sharers,
+                         const mp_RateUpdate *news, const RateSharers *sharers,
                          gint64 now);
 
 #endif
--- a/router/rates.c
+++ b/router/rates.c
@@ -186,8 +186,8 @@
   return rate_limits_version(router->rates);
 }
 
-void router_report_rates(const Router *router, gboolean sums, mp_RateNews *out,
-                         gint64 now) {
+void router_report_rates(const Router *router, gboolean sums,
+                         mp_RateUpdate *out, gint64 now) {
   if (sums)
     rate_limits_write_summary(router->rates, out, now);
   else
@@ -196,7 +196,7 @@
 
 /* Removes the rows of endpoints that are not listed here, which come again
 ** with later messages, and stores the present rate of each row that stays. */
-static void keep_listed(const Router *router, mp_RateNews *news,
+static void keep_listed(const Router *router, mp_RateUpdate *news,
                         double before[MP_RATE_ROWS]) {
   unsigned n = 0;
   unsigned i;
@@ -210,17 +210,17 @@
 }
 
 void router_receive_rates(Router *router, mp_Addr peer,
-                          const mp_RateNews *message, gint64 now) {
+                          const mp_RateUpdate *message, gint64 now) {
   RateSharers sharers = rates_sharers(router, NULL, now);
   double before[MP_RATE_ROWS];
-  mp_RateNews news = *message;
+  mp_RateUpdate news = *message;
   unsigned i;
   keep_listed(router, &news, before);
   rate_limits_receive(router->rates, peer, &news, &sharers, now);
   for (i = 0; i < news.n; i++)
     log_change(router, find_listed(router, news.row[i].endpoint), before[i],
                "instance", news.row[i].age_ms, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* }================================================================== */
--- a/router/relay_group.c
+++ b/router/relay_group.c
@@ -81,7 +81,7 @@
   ** for which all that the relay had then is known here.
   */
   gint64 synced_at;
-  mp_RelayBeat beat;
+  mp_RelayHeartbeat beat;
 } Relay;
 
 struct RelayGroup {
@@ -305,7 +305,7 @@
   return MAX(relay->synced_at, last_answer_time(relay));
 }
 
-static void advance_newest(RelayGroup *group, const mp_RelayBeat *beat,
+static void advance_newest(RelayGroup *group, const mp_RelayHeartbeat *beat,
                            gint64 now) {
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
@@ -313,7 +313,7 @@
 }
 
 /* Returns the latest era that the heartbeat names. */
-static guint64 latest_era(const mp_RelayBeat *beat) {
+static guint64 latest_era(const mp_RelayHeartbeat *beat) {
   guint64 era = 0;
   int kind;
   for (kind = 0; kind < MP_RELAY_KINDS; kind++)
@@ -330,7 +330,7 @@
 }
 
 void relay_group_receive_heartbeat(RelayGroup *group, mp_Addr from,
-                                   const mp_RelayBeat *beat, gint64 now) {
+                                   const mp_RelayHeartbeat *beat, gint64 now) {
   Relay *relay = g_hash_table_lookup(group->relays, &from);
   if (relay == NULL) {
     relay = g_new0(Relay, 1);
--- a/router/relay_group.h
+++ b/router/relay_group.h
@@ -118,7 +118,7 @@
 void relay_group_skip_start_wait(RelayGroup *group);
 /* Handles a heartbeat from the relay 'from'. */
 void relay_group_receive_heartbeat(RelayGroup *group, mp_Addr from,
-                                   const mp_RelayBeat *beat, gint64 now);
+                                   const mp_RelayHeartbeat *beat, gint64 now);
 /*
 ** Returns the proof of the configuration's age (config_proof.h), owned by the
 ** group.
--- a/router/retry_exchange.c
+++ b/router/retry_exchange.c
@@ -20,7 +20,7 @@
   gpointer value;
   out->retry_count = 0;
   g_hash_table_iter_init(&iterator, router->services);
-  while (out->retry_count < MP_DIGEST_SERVICES &&
+  while (out->retry_count < MP_LOAD_DIGEST_SERVICES &&
          g_hash_table_iter_next(&iterator, &name, &value)) {
     const ServiceState *state = value;
     mp_RetryRow *row = &out->retry[out->retry_count++];
--- a/router/route_table.c
+++ b/router/route_table.c
@@ -132,7 +132,7 @@
 }
 
 void route_table_add_key(RouteTable *table, const char *key) {
-  char digest[MP_DIGEST + 1];
+  char digest[MP_SHA256_HEX + 1];
   mp_digest(key, strlen(key), digest);
   key_table_add(table->keys, digest, table->accounts->len - 1);
 }
--- a/router/router.c
+++ b/router/router.c
@@ -322,7 +322,7 @@
   if (request == NULL)
     return;
   finish_hangup(router, request, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* Returns TRUE if the outcome shows that the endpoint itself answered. */
@@ -346,7 +346,7 @@
     prefill_handle_outcome(router, request, outcome, now);
   else
     outcomes_handle(router, request, outcome, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* }================================================================== */
@@ -416,14 +416,14 @@
 
 void router_tick(Router *router, gint64 now) {
   if (peer_loads_expire(router->endpoints->peers, now))
-    admission_start_waiting(router, now);
+    admission_start_waiting_requests(router, now);
   while (handle_one_due(router, now)) {
   }
   stages_tick(router->stages, now);
   crash_watch_expire(router->crashes, now);
   quarantine_expire(router->quarantine, now);
   suspicions_expire(router->suspicions, now);
-  admission_start_waiting(router, now);
+  admission_start_waiting_requests(router, now);
 }
 
 /* }================================================================== */
--- a/router/router.h
+++ b/router/router.h
@@ -325,8 +325,8 @@
 ** near instances since the last summary. */
 double router_limits_unreported(const Router *router);
 /* Handles the summary that a relay sent of another data centre. */
-void router_zone_load(Router *router, guint32 sequence,
-                      const mp_LoadSummary *summary, gint64 now);
+void router_receive_summary(Router *router, guint32 sequence,
+                            const mp_LoadSummary *summary, gint64 now);
 
 /* Handles the notice that another instance has reserved memory
 ** (RouterHost.note there). */
@@ -339,12 +339,12 @@
 
 /* Handles what another instance knows of them. Returns TRUE if something was
 ** new. */
-gboolean router_receive_crashes(Router *router, const mp_CrashNews *news,
+gboolean router_receive_crashes(Router *router, const mp_CrashUpdate *news,
                                 gint64 now);
 /* Writes what to send to others: what this instance saw, or with 'all'
 ** everything that it knows. */
 void router_report_crashes(const Router *router, gboolean all,
-                           mp_CrashNews *out, gint64 now);
+                           mp_CrashUpdate *out, gint64 now);
 /* Returns a number that grows when there is something new to send. */
 guint64 router_crash_version(const Router *router);
 /* Applies an object that the store has at this position. */
@@ -368,11 +368,11 @@
 
 /* Handles what another instance, or a relay for its data centre, has sent. */
 void router_receive_rates(Router *router, mp_Addr peer,
-                          const mp_RateNews *news, gint64 now);
+                          const mp_RateUpdate *news, gint64 now);
 /* Writes what to send: this instance's own counts, or with 'sums' those of
 ** the near instances added. */
-void router_report_rates(const Router *router, gboolean sums, mp_RateNews *out,
-                         gint64 now);
+void router_report_rates(const Router *router, gboolean sums,
+                         mp_RateUpdate *out, gint64 now);
 /* Returns a number that grows when there is something new to send. */
 guint64 router_rates_version(const Router *router);
 
--- a/router/signals.c
+++ b/router/signals.c
@@ -105,7 +105,8 @@
 ** ===================================================================
 */
 
-/* A digest names at most MP_DIGEST_LEAVING endpoints. If more are leaving,
+/* A digest names at most MP_LOAD_DIGEST_LEAVING endpoints. If more are
+*leaving,
 ** the digests of each span of this length name the next ones in turn; it is
 ** the longest time between two digests. */
 #define ROTATION_INTERVAL (500 * MP_MS)
@@ -138,13 +139,13 @@
   guint place = 0;
   guint i;
   out->leaving_count = 0;
-  if (count > MP_DIGEST_LEAVING)
-    first = (guint)(now / ROTATION_INTERVAL * MP_DIGEST_LEAVING % count);
+  if (count > MP_LOAD_DIGEST_LEAVING)
+    first = (guint)(now / ROTATION_INTERVAL * MP_LOAD_DIGEST_LEAVING % count);
   for (i = 0; i < all->len; i++) {
     const Endpoint *endpoint = all->pdata[i];
     if (!must_report_leaving(endpoint))
       continue;
-    if ((place + count - first) % count < MP_DIGEST_LEAVING)
+    if ((place + count - first) % count < MP_LOAD_DIGEST_LEAVING)
       out->leaving[out->leaving_count++] = endpoint->hash;
     place++;
   }
--- a/router/stages.c
+++ b/router/stages.c
@@ -39,7 +39,7 @@
 ** digests, so that the other instances know of the change before. */
 #define ANNOUNCE_TIME (200 * MP_MS)
 /* the most engines that change at a time, because a digest names no more */
-#define CHANGES_MAX MP_DIGEST_CHANGING
+#define CHANGES_MAX MP_LOAD_DIGEST_CHANGING
 /* pause after a round of changes, until its effect shows */
 #define ROUND_PAUSE (2 * MP_SEC)
 /* A service must have been in use this long before its use is acted on: the
--- a/router/state.h
+++ b/router/state.h
@@ -98,7 +98,7 @@
   const Route *route;     /* of 'table' */
   const Service *service; /* of 'table' */
   const Account *account; /* of 'table'; NULL: it needs none */
-  char key_digest[MP_DIGEST + 1];
+  char key_digest[MP_SHA256_HEX + 1];
   double cost;     /* charged to the account's limit, in the limit's unit */
   guint64 content; /* digest of CallerRequest.content and the account */
   guint32 prompt_tokens, output_tokens;
@@ -430,7 +430,7 @@
 /* Returns how many requests that wait here can still be answered in time. */
 guint admission_count_in_time(const Router *router, gint64 now);
 /* Starts the waiting requests that fit; called whenever there may be room. */
-void admission_start_waiting(Router *router, gint64 now);
+void admission_start_waiting_requests(Router *router, gint64 now);
 /* Records that a stream ended, which frees memory. */
 void admission_note_run_end(Router *router, gint64 now);
 
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -133,7 +133,7 @@
     out->crashes[i] = row->crash[i];
 }
 
-gboolean router_receive_crashes(Router *router, const mp_CrashNews *news,
+gboolean router_receive_crashes(Router *router, const mp_CrashUpdate *news,
                                 gint64 now) {
   gboolean is_new = FALSE;
   unsigned i;
@@ -152,7 +152,7 @@
 }
 
 void router_report_crashes(const Router *router, gboolean all,
-                           mp_CrashNews *out, gint64 now) {
+                           mp_CrashUpdate *out, gint64 now) {
   quarantine_write_news(router->quarantine, all, out, now);
   suspicions_write(router->suspicions, all, out, now);
 }
--- a/router/suspicions.c
+++ b/router/suspicions.c
@@ -105,7 +105,7 @@
 }
 
 void suspicions_write(const Suspicions *suspicions, gboolean with_received,
-                      mp_CrashNews *out, gint64 now) {
+                      mp_CrashUpdate *out, gint64 now) {
   guint i;
   out->suspected_n = 0;
   for (i = suspicions->all->len; i > 0 && out->suspected_n < MP_SUSPECT_ROWS;
@@ -123,7 +123,7 @@
   }
 }
 
-gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashNews *news,
+gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashUpdate *news,
                             gint64 now) {
   gboolean is_new = FALSE;
   unsigned i;
--- a/router/suspicions.h
+++ b/router/suspicions.h
@@ -56,9 +56,9 @@
 /* Writes suspicions for other instances, the newest first: this instance's
 ** own, or with 'with_received' those that it received too. */
 void suspicions_write(const Suspicions *suspicions, gboolean with_received,
-                      mp_CrashNews *out, gint64 now);
+                      mp_CrashUpdate *out, gint64 now);
 /* Adds what another instance suspects. Returns TRUE if some of it was new. */
-gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashNews *news,
+gboolean suspicions_receive(Suspicions *suspicions, const mp_CrashUpdate *news,
                             gint64 now);
 /* Removes the suspicions that have expired. */
 void suspicions_expire(Suspicions *suspicions, gint64 now);
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -89,7 +89,7 @@
 m whole "3: an end is checked against the count" core/answer.c \
   'if (e->tokens != r->got) {' 'if (0) {'
 m silent "3: a stalled stream is ended" core/answer.c \
-  'timer_arm(&state->timers, &r->timer, state->now + MP_STALL_TIME,
+  'timer_arm(&state->timers, &r->timer, state->now + MP_STREAM_TIMEOUT,
             on_stall_timeout, r);' ';'
 m ran "4: dispatched work may have run" core/work.c \
   'r->ran = MP_RAN_UNKNOWN;
@@ -113,7 +113,7 @@
   core/ending.c '  flow_end_attempt(state, r, &r->prefill);
   if (!flow_policy(state)->decode_first' '  if (!flow_policy(state)->decode_first'
 m longs "short work does not wait behind long prompts" core/keep.c \
-  'return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT;' \
+  'return h->role == MP_ROLE_PREFILL && h->tokens >= MP_LONG_PROMPT_MIN;' \
   'return 0;'
 m pause "a paused home does not trust what it knew" core/state.c \
   'member_on_pause(state);' ''
--- a/standin/engine.c
+++ b/standin/engine.c
@@ -34,18 +34,18 @@
   guint i;
   for (i = 0; i < e->work->len; i++) {
     const Work *w = e->work->pdata[i];
-    if (w->kind != W_PLAIN)
+    if (w->kind != WORK_PLAIN)
       json_array_append_new(holds, json_string(w->id));
-    if (w->kind == W_PREFILL)
+    if (w->kind == WORK_PREFILL)
       queued += w->left;
   }
   return json_pack(
       "{s:s, s:i, s:i, s:I, s:I, s:I, s:b, s:o}", "role",
       mp_role_name(e->role), "slots", (int)engine_site.rates.slots, "used",
-      (int)engine_count(e, W_IMPORT, W_DECODE), "queued_tokens",
+      (int)engine_count_work(e, WORK_IMPORT, WORK_DECODE), "queued_tokens",
       (json_int_t)queued, "rate",
       (json_int_t)(e->role == MP_ROLE_PREFILL ? engine_site.rates.prefill_rate
-                                              : engine_pace(e)),
+                                              : engine_token_interval(e)),
       "fence", (json_int_t)e->fence, "leaving", e->leaving, "holds", holds);
 }
 
@@ -82,15 +82,16 @@
       i++;
       continue;
     }
-    if (w->kind == W_PREFILL || w->kind == W_DECODE || w->kind == W_PLAIN)
-      engine_ledger(e, id, engine_op_name(w->kind), "cancelled",
-                    w->kind == W_DECODE ? w->made : w->tokens - w->left,
-                    w->cached);
+    if (w->kind == WORK_PREFILL || w->kind == WORK_DECODE ||
+        w->kind == WORK_PLAIN)
+      engine_add_to_ledger(
+          e, id, engine_op_name(w->kind), "cancelled",
+          w->kind == WORK_DECODE ? w->made : w->tokens - w->left, w->cached);
     engine_break_reader(w);
     engine_free_work(w);
     n++;
   }
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
   serve_json(r, 200, json_pack("{s:i}", "freed", n));
 }
 
@@ -107,7 +108,7 @@
   }
   e->fence = MAX(e->fence, fence);
   e->role = strcmp(role, "prefill") == 0 ? MP_ROLE_PREFILL : MP_ROLE_DECODE;
-  engine_ledger(e, "order", role, "done", 0, 0);
+  engine_add_to_ledger(e, "order", role, "done", 0, 0);
   serve_json(r, 200, json_pack("{s:s}", "role", role));
 }
 
@@ -129,7 +130,7 @@
   for (i = 0; i < held->len; i++)
     handle(e, held->pdata[i]);
   g_ptr_array_unref(held);
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
 }
 
 static void heldgone(struct evhttp_connection *c, void *arg) {
@@ -154,8 +155,8 @@
   e->deaduntil = engine_now() + (mp_Time)ms * MP_MS;
   while (e->work->len > 0) {
     Work *w = e->work->pdata[0];
-    engine_ledger(e, w->id, engine_op_name(w->kind), "killed",
-                  w->tokens - w->left, w->cached);
+    engine_add_to_ledger(e, w->id, engine_op_name(w->kind), "killed",
+                         w->tokens - w->left, w->cached);
     engine_break_reader(w);
     engine_free_work(w);
   }
@@ -265,7 +266,7 @@
   e->cache =
       g_hash_table_new_full(g_int64_hash, g_int64_equal, g_free, g_free);
   e->dead = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-  e->chunk = evtimer_new(engine_site.base, engine_chunk_done, e);
+  e->chunk = evtimer_new(engine_site.base, engine_on_chunk_done, e);
   e->loadnow = load(e);
   g_hash_table_insert(engine_site.engines, &e->in.addr, e);
   serve_new(engine_site.base, in->addr, request, e);
@@ -286,7 +287,7 @@
   GError *err = NULL;
   size_t n;
   char *s;
-  mp_List *l;
+  mp_InstanceList *l;
   unsigned i;
   struct timeval lag = {0, LOAD_LAG_US};
   if (argc < 2) {
@@ -297,7 +298,7 @@
   engine_site.base = event_base_new();
   engine_site.engines = g_hash_table_new(g_int64_hash, g_int64_equal);
   engine_site.rates = model_rates();
-  s = serve_file(argv[1], &n);
+  s = serve_read_file(argv[1], &n);
   l = mp_list_read(s, n, &err);
   g_free(s);
   if (l == NULL) {
--- a/standin/engine_decode.c
+++ b/standin/engine_decode.c
@@ -37,14 +37,14 @@
 /* the whole is with the reader: nothing is held any more */
 static void decodedone(Work *w) {
   struct evbuffer *b = evbuffer_new();
-  struct evhttp_request *r = engine_let_go(w);
+  struct evhttp_request *r = engine_detach_reader(w);
   sendsse(r, json_pack("{s:s, s:{s:i}}", "id", w->id, "usage",
                        "completion_tokens", (int)w->total));
   evbuffer_add_printf(b, "data: [DONE]\n\n");
   evhttp_send_reply_chunk(r, b);
   evbuffer_free(b);
   evhttp_send_reply_end(r);
-  engine_ledger(w->e, w->id, "decode", "done", w->total, 0);
+  engine_add_to_ledger(w->e, w->id, "decode", "done", w->total, 0);
   engine_free_work(w);
 }
 
@@ -66,8 +66,8 @@
   return 1;
 }
 
-mp_Time engine_pace(const Engine *e) {
-  unsigned busy = engine_count(e, W_IMPORT, W_DECODE);
+mp_Time engine_token_interval(const Engine *e) {
+  unsigned busy = engine_count_work(e, WORK_IMPORT, WORK_DECODE);
   return engine_site.rates.token_us +
          engine_site.rates.token_us * busy / (2 * engine_site.rates.slots);
 }
@@ -82,7 +82,7 @@
       return;
   }
   if (w->made < w->total)
-    engine_arm(w, token, engine_pace(w->e));
+    engine_set_timer(w, token, engine_token_interval(w->e));
 }
 
 static void startstream(Work *w, struct evhttp_request *r) {
@@ -91,7 +91,7 @@
   evhttp_send_reply_start(r, 200, NULL);
   w->req = r;
   evhttp_connection_set_closecb(evhttp_request_get_connection(r),
-                                engine_reader_gone, w);
+                                engine_on_reader_closed, w);
 }
 
 void engine_decode(Engine *e, struct evhttp_request *r, json_t *j,
@@ -103,8 +103,8 @@
   const char *partial = json_string_value(json_object_get(j, "partial"));
   if (!engine_admit(e, r, id, MP_ROLE_DECODE))
     return;
-  in = engine_find(e, id, W_IMPORT);
-  if (in == NULL || engine_find(e, id, W_DECODE) != NULL) {
+  in = engine_find_work(e, id, WORK_IMPORT);
+  if (in == NULL || engine_find_work(e, id, WORK_DECODE) != NULL) {
     engine_refuse(r, 409, in == NULL ? "no KV imported" : "decodes already");
     return;
   }
@@ -115,19 +115,19 @@
     engine_refuse(r, 422, "partial text does not fit");
     return;
   }
-  w = engine_add_work(e, W_DECODE, id, NULL);
+  w = engine_add_work(e, WORK_DECODE, id, NULL);
   w->hash = in->hash;
   w->tokens = in->tokens;
   w->total = model_length(in->hash, max > 0 ? max : 256);
   w->made = w->sent = MIN(from, w->total);
   engine_free_work(in);
   startstream(w, r);
-  engine_arm(w, token, engine_pace(e));
+  engine_set_timer(w, token, engine_token_interval(e));
 }
 
 void engine_resume(Engine *e, struct evhttp_request *r, const char *id) {
-  Work *w = engine_find(e, id, W_DECODE);
-  int64_t from = serve_query(r, "from", 0);
+  Work *w = engine_find_work(e, id, WORK_DECODE);
+  int64_t from = serve_query_number(r, "from", 0);
   if (w == NULL || from < 0 || from > w->made) {
     engine_refuse(r, 409, "unknown stream");
     return;
@@ -152,7 +152,7 @@
   Engine *e = w->e;
   (void)fd;
   (void)what;
-  engine_ledger(e, w->id, "plain", "done", 0, 0);
+  engine_add_to_ledger(e, w->id, "plain", "done", 0, 0);
   if (r != NULL) {
     const char *uri = evhttp_request_get_uri(r);
     struct evbuffer *b = evhttp_request_get_input_buffer(r);
@@ -170,8 +170,8 @@
       evhttp_find_header(evhttp_request_get_input_headers(r), "X-Request-Id");
   if (!engine_admit(e, r, id, MP_ROLE_PLAIN))
     return;
-  engine_arm(engine_add_work(e, W_PLAIN, id, r), plaindone,
-             engine_site.rates.plain_ms * MP_MS);
+  engine_set_timer(engine_add_work(e, WORK_PLAIN, id, r), plaindone,
+                   engine_site.rates.plain_ms * MP_MS);
 }
 
 /* }================================================================== */
--- a/standin/engine_prefill.c
+++ b/standin/engine_prefill.c
@@ -14,8 +14,8 @@
 #define BLOCK 256         /* bytes of prompt in one cached block */
 #define CACHE_BLOCKS 4096 /* blocks one engine's prefix cache keeps */
 
-static mp_Time linkfree[MP_MAXDCS][MP_MAXDCS]; /* link busy until */
-static GPtrArray *dcnames;                     /* places in that table */
+static mp_Time linkfree[MP_DCS_MAX][MP_DCS_MAX]; /* link busy until */
+static GPtrArray *dcnames;                       /* places in that table */
 
 /*
 ** {==================================================================
@@ -48,18 +48,18 @@
   Work *w = arg;
   (void)fd;
   (void)what;
-  engine_ledger(w->e, w->id, "kv", "expired", w->tokens, 0);
+  engine_add_to_ledger(w->e, w->id, "kv", "expired", w->tokens, 0);
   engine_free_work(w);
 }
 
 static void prefilldone(Work *w) {
   Engine *e = w->e;
   Work *kv;
-  engine_ledger(e, w->id, "prefill", "done", w->tokens, w->cached);
-  kv = engine_add_work(e, W_KV, w->id, NULL);
+  engine_add_to_ledger(e, w->id, "prefill", "done", w->tokens, w->cached);
+  kv = engine_add_work(e, WORK_KV, w->id, NULL);
   kv->tokens = w->tokens;
   kv->hash = w->hash;
-  engine_arm(kv, kvexpired, engine_site.rates.kv_life_ms * MP_MS);
+  engine_set_timer(kv, kvexpired, engine_site.rates.kv_life_ms * MP_MS);
   engine_reply(w, json_pack("{s:s, s:{s:s, s:i}, s:{s:i, s:i}}", "id", w->id,
                             "kv_transfer_params", "kv_id", w->id, "expires_ms",
                             (int)engine_site.rates.kv_life_ms, "usage",
@@ -68,7 +68,7 @@
   engine_free_work(w);
 }
 
-void engine_chunk_done(evutil_socket_t fd, short what, void *arg) {
+void engine_on_chunk_done(evutil_socket_t fd, short what, void *arg) {
   Engine *e = arg;
   Work *w = e->running;
   (void)fd;
@@ -79,10 +79,10 @@
     if (w->left == 0)
       prefilldone(w);
   }
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
 }
 
-void engine_next_prefill(Engine *e) {
+void engine_start_next_chunk(Engine *e) {
   Work *win = NULL;
   struct timeval t;
   mp_Time us;
@@ -92,7 +92,8 @@
     return;
   for (i = 0; i < e->work->len; i++) {
     Work *w = e->work->pdata[i];
-    if (w->kind == W_PREFILL && (win == NULL || w->priority < win->priority))
+    if (w->kind == WORK_PREFILL &&
+        (win == NULL || w->priority < win->priority))
       win = w;
   }
   if (win == NULL)
@@ -114,7 +115,7 @@
   if (!engine_admit(e, r, id, MP_ROLE_PREFILL))
     return;
   p = model_prompt(j);
-  w = engine_add_work(e, W_PREFILL, id, r);
+  w = engine_add_work(e, WORK_PREFILL, id, r);
   w->hash = model_hash(p);
   w->tokens = model_tokens(p);
   w->cached = usecache(e, p->str, p->len);
@@ -122,7 +123,7 @@
   w->left = w->tokens - w->cached;
   w->priority = (int)json_integer_value(json_object_get(j, "priority"));
   g_string_free(p, TRUE);
-  engine_next_prefill(e);
+  engine_start_next_chunk(e);
 }
 
 /* }================================================================== */
@@ -151,15 +152,15 @@
   const Work *kv;
   (void)fd;
   (void)what;
-  kv = src != NULL ? engine_find((Engine *)src, w->kv, W_KV) : NULL;
+  kv = src != NULL ? engine_find_work((Engine *)src, w->kv, WORK_KV) : NULL;
   if (kv == NULL) { /* it expired on the way */
-    struct evhttp_request *r = engine_let_go(w);
+    struct evhttp_request *r = engine_detach_reader(w);
     if (r != NULL)
       engine_refuse(r, 404, "unknown KV");
     engine_free_work(w);
     return;
   }
-  engine_ledger(w->e, w->id, "import", "done", w->tokens, 0);
+  engine_add_to_ledger(w->e, w->id, "import", "done", w->tokens, 0);
   engine_reply(w, json_pack("{s:s}", "id", w->id));
 }
 
@@ -174,16 +175,17 @@
   mp_Time start;
   if (!engine_admit(e, r, id, MP_ROLE_DECODE))
     return;
-  k = src != NULL && kv != NULL ? engine_find(src, kv, W_KV) : NULL;
+  k = src != NULL && kv != NULL ? engine_find_work(src, kv, WORK_KV) : NULL;
   if (k == NULL) {
     engine_refuse(r, 404, "unknown KV");
     return;
   }
-  if (engine_count(e, W_IMPORT, W_DECODE) >= engine_site.rates.slots) {
+  if (engine_count_work(e, WORK_IMPORT, WORK_DECODE) >=
+      engine_site.rates.slots) {
     engine_refuse(r, 429, "no slot");
     return;
   }
-  w = engine_add_work(e, W_IMPORT, id, r);
+  w = engine_add_work(e, WORK_IMPORT, id, r);
   w->kv = g_strdup(kv);
   w->from = from;
   w->tokens = k->tokens;
@@ -194,7 +196,7 @@
                        (strcmp(src->in.dc, e->in.dc) == 0
                             ? engine_site.rates.local_mbytes
                             : engine_site.rates.link_mbytes);
-  engine_arm(w, imported, *free_ - engine_now());
+  engine_set_timer(w, imported, *free_ - engine_now());
 }
 
 /* }================================================================== */
--- a/standin/engine_work.c
+++ b/standin/engine_work.c
@@ -19,8 +19,9 @@
 ** ===================================================================
 */
 
-void engine_ledger(Engine *e, const char *id, const char *op,
-                   const char *outcome, uint32_t tokens, uint32_t cached) {
+void engine_add_to_ledger(Engine *e, const char *id, const char *op,
+                          const char *outcome, uint32_t tokens,
+                          uint32_t cached) {
   json_t *j =
       json_pack("{s:s, s:s, s:s, s:s, s:s, s:i, s:i}", "engine", e->in.name,
                 "data_centre", e->in.dc, "id", id, "op", op, "outcome",
@@ -46,7 +47,7 @@
 ** ===================================================================
 */
 
-void engine_reader_gone(struct evhttp_connection *c, void *arg) {
+void engine_on_reader_closed(struct evhttp_connection *c, void *arg) {
   Work *w = arg;
   (void)c;
   w->req = NULL;
@@ -62,12 +63,12 @@
   g_ptr_array_add(e->work, w);
   if (r != NULL)
     evhttp_connection_set_closecb(evhttp_request_get_connection(r),
-                                  engine_reader_gone, w);
+                                  engine_on_reader_closed, w);
   return w;
 }
 
 /* the reader has its whole answer, or another one takes over */
-struct evhttp_request *engine_let_go(Work *w) {
+struct evhttp_request *engine_detach_reader(Work *w) {
   struct evhttp_request *r = w->req;
   w->req = NULL;
   if (r != NULL)
@@ -78,14 +79,14 @@
 
 /* break the reader's connection; evhttp frees it when it sees the end */
 void engine_break_reader(Work *w) {
-  struct evhttp_request *r = engine_let_go(w);
+  struct evhttp_request *r = engine_detach_reader(w);
   if (r != NULL)
     serve_cut(r);
 }
 
 void engine_destroy_work(void *p) {
   Work *w = p;
-  engine_let_go(w);
+  engine_detach_reader(w);
   if (w->timer != NULL)
     event_free(w->timer);
   if (w->e->running == w)
@@ -104,7 +105,7 @@
   return names[kind];
 }
 
-Work *engine_find(Engine *e, const char *id, WorkKind k) {
+Work *engine_find_work(Engine *e, const char *id, WorkKind k) {
   guint i;
   for (i = 0; i < e->work->len; i++) {
     Work *w = e->work->pdata[i];
@@ -114,7 +115,7 @@
   return NULL;
 }
 
-void engine_arm(Work *w, event_callback_fn fn, mp_Time wait) {
+void engine_set_timer(Work *w, event_callback_fn fn, mp_Time wait) {
   struct timeval t;
   if (w->e->slow > 0)
     wait = wait * w->e->slow / 100;
@@ -125,7 +126,7 @@
   event_add(w->timer, &t);
 }
 
-unsigned engine_count(const Engine *e, WorkKind a, WorkKind b) {
+unsigned engine_count_work(const Engine *e, WorkKind a, WorkKind b) {
   unsigned n = 0;
   guint i;
   for (i = 0; i < e->work->len; i++) {
@@ -160,7 +161,7 @@
     engine_break_reader(w);
     return;
   }
-  engine_let_go(w);
+  engine_detach_reader(w);
   serve_json(r, 200, j);
 }
 
--- a/standin/engine_work.h
+++ b/standin/engine_work.h
@@ -15,11 +15,11 @@
 typedef struct Engine Engine;
 
 typedef enum WorkKind {
-  W_PREFILL,
-  W_KV,
-  W_IMPORT,
-  W_DECODE,
-  W_PLAIN
+  WORK_PREFILL,
+  WORK_KV,
+  WORK_IMPORT,
+  WORK_DECODE,
+  WORK_PLAIN
 } WorkKind;
 
 /* one piece of work or memory; freed when it ends */
@@ -77,28 +77,29 @@
 mp_Time engine_now(void);
 
 /* the fields of the ledger's lines */
-void engine_ledger(Engine *e, const char *id, const char *op,
-                   const char *outcome, uint32_t tokens, uint32_t cached);
+void engine_add_to_ledger(Engine *e, const char *id, const char *op,
+                          const char *outcome, uint32_t tokens,
+                          uint32_t cached);
 void engine_send_ledger(Engine *e, struct evhttp_request *r);
 
 /* work begins; 'r': who waits for its answer, or NULL */
 Work *engine_add_work(Engine *e, WorkKind k, const char *id,
                       struct evhttp_request *r);
 /* the reader has its whole answer, or another one takes over */
-struct evhttp_request *engine_let_go(Work *w);
+struct evhttp_request *engine_detach_reader(Work *w);
 /* break the reader's connection; evhttp frees it when it sees the end */
 void engine_break_reader(Work *w);
 /* as evhttp calls it */
-void engine_reader_gone(struct evhttp_connection *c, void *arg);
+void engine_on_reader_closed(struct evhttp_connection *c, void *arg);
 void engine_free_work(Work *w);
 /* what a GPtrArray of work frees its elements with */
 void engine_destroy_work(void *p);
 const char *engine_op_name(WorkKind kind);
-Work *engine_find(Engine *e, const char *id, WorkKind k);
+Work *engine_find_work(Engine *e, const char *id, WorkKind k);
 /* call 'fn' after so many microseconds, as slow as the engine is */
-void engine_arm(Work *w, event_callback_fn fn, mp_Time wait);
+void engine_set_timer(Work *w, event_callback_fn fn, mp_Time wait);
 /* work of either kind */
-unsigned engine_count(const Engine *e, WorkKind a, WorkKind b);
+unsigned engine_count_work(const Engine *e, WorkKind a, WorkKind b);
 
 void engine_refuse(struct evhttp_request *r, int status, const char *why);
 /* reply to a piece of work, unless its reader is gone or it is lost */
@@ -113,8 +114,8 @@
 void engine_import(Engine *e, struct evhttp_request *r, json_t *j,
                    const char *id);
 /* compute the next chunk, if there is one and nothing hinders it */
-void engine_next_prefill(Engine *e);
-void engine_chunk_done(evutil_socket_t fd, short what, void *arg);
+void engine_start_next_chunk(Engine *e);
+void engine_on_chunk_done(evutil_socket_t fd, short what, void *arg);
 
 /* engine_decode.c: streams, and answers of plain services */
 void engine_decode(Engine *e, struct evhttp_request *r, json_t *j,
@@ -122,6 +123,6 @@
 void engine_resume(Engine *e, struct evhttp_request *r, const char *id);
 void engine_plain(Engine *e, struct evhttp_request *r);
 /* time between two tokens, by how full it is */
-mp_Time engine_pace(const Engine *e);
+mp_Time engine_token_interval(const Engine *e);
 
 #endif
--- a/standin/fleet.c
+++ b/standin/fleet.c
@@ -61,7 +61,7 @@
   json_t *spec = json_object_get(body, "spec");
   if (kind == NULL || name == NULL || spec == NULL)
     return 0;
-  store_put(kind, name, json_incref(spec));
+  store_put_object(kind, name, json_incref(spec));
   return 1;
 }
 
@@ -71,7 +71,7 @@
     store_restore(json_integer_value(json_object_get(body, "ms")));
     return 1;
   }
-  return mode != NULL && store_fault(mode);
+  return mode != NULL && store_set_fault(mode);
 }
 
 static void on_admin(struct evhttp_request *request, void *data) {
@@ -88,7 +88,7 @@
     return;
   }
   if (strcmp(uri, "/configuration") == 0)
-    store_put("config", "main", json_incref(body));
+    store_put_object("config", "main", json_incref(body));
   else if (strcmp(uri, "/store") == 0)
     done = on_store(body);
   else if (strcmp(uri, "/worker") == 0)
@@ -114,18 +114,18 @@
     return 2;
   }
   signal(SIGPIPE, SIG_IGN);
-  text = serve_file(argv[1], &size);
+  text = serve_read_file(argv[1], &size);
   fleet = json_loadb(text, size, 0, NULL);
   base = event_base_new();
   workers = g_ptr_array_new();
-  workers_start(base);
+  workers_init(base);
   store_start(base, serve_address(fleet, "store"));
   store_up = (json_int_t)(g_get_monotonic_time() / MS);
   serve_new(base, serve_address(fleet, "admin"), on_admin, NULL);
-  store_put("config", "main",
-            json_incref(json_object_get(fleet, "configuration")));
+  store_put_object("config", "main",
+                   json_incref(json_object_get(fleet, "configuration")));
   json_array_foreach(json_object_get(fleet, "workers"), i, row)
-      g_ptr_array_add(workers, worker_open(row));
+      g_ptr_array_add(workers, worker_start(row));
   event_base_dispatch(base);
   return 0;
 }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -141,7 +141,7 @@
 
 static void get(struct evhttp_request *r, const char *key) {
   const Object *o = g_hash_table_lookup(objects, key);
-  int64_t watch = serve_query(r, "watch", -1);
+  int64_t watch = serve_query_number(r, "watch", -1);
   reads++;
   if (watch >= 0 && (o == NULL || o->version == (uint64_t)watch))
     addwatch(r, key);
@@ -153,7 +153,7 @@
 
 static void putreq(struct evhttp_request *r, const char *key) {
   const Object *o = g_hash_table_lookup(objects, key);
-  int64_t expect = serve_query(r, "version", -1);
+  int64_t expect = serve_query_number(r, "version", -1);
   uint64_t have = o != NULL ? o->version : 0;
   struct evbuffer *b = evhttp_request_get_input_buffer(r);
   size_t n = evbuffer_get_length(b);
@@ -279,7 +279,7 @@
   watches = g_ptr_array_new();
   if (argc > 2) {
     size_t n;
-    char *s = serve_file(argv[2], &n);
+    char *s = serve_read_file(argv[2], &n);
     put("instances", s, n);
     g_free(s);
   }
--- a/standin/proxy.c
+++ b/standin/proxy.c
@@ -272,7 +272,7 @@
     return 2;
   }
   signal(SIGPIPE, SIG_IGN);
-  text = serve_file(argv[1], &size);
+  text = serve_read_file(argv[1], &size);
   settings = json_loadb(text, size, 0, NULL);
   base = event_base_new();
   links = g_ptr_array_new();
--- a/standin/serve.c
+++ b/standin/serve.c
@@ -54,7 +54,8 @@
   return json_loadb((const char *)evbuffer_pullup(b, -1), n, 0, NULL);
 }
 
-int64_t serve_query(struct evhttp_request *r, const char *key, int64_t other) {
+int64_t serve_query_number(struct evhttp_request *r, const char *key,
+                           int64_t other) {
   struct evkeyvalq q;
   const char *v;
   const char *s = evhttp_uri_get_query(evhttp_request_get_evhttp_uri(r));
@@ -68,7 +69,7 @@
   return n;
 }
 
-char *serve_file(const char *path, size_t *n) {
+char *serve_read_file(const char *path, size_t *n) {
   gchar *s = NULL;
   gsize len = 0;
   GError *err = NULL;
--- a/standin/serve.h
+++ b/standin/serve.h
@@ -28,12 +28,13 @@
 json_t *serve_body(struct evhttp_request *r);
 
 /* a number from the query, or 'other' */
-int64_t serve_query(struct evhttp_request *r, const char *key, int64_t other);
+int64_t serve_query_number(struct evhttp_request *r, const char *key,
+                           int64_t other);
 
 /* an address in a settings object, or 0 */
 mp_Addr serve_address(const json_t *json, const char *key);
 
 /* read a whole file; exits with a message when it can't be read */
-char *serve_file(const char *path, size_t *n);
+char *serve_read_file(const char *path, size_t *n);
 
 #endif
--- a/standin/store.c
+++ b/standin/store.c
@@ -166,8 +166,8 @@
 }
 
 static void on_watch(struct evhttp_request *request, const char *kind) {
-  int64_t since = serve_query(request, "watch", 0);
-  int64_t wait = serve_query(request, "WaitMs", 1000);
+  int64_t since = serve_query_number(request, "watch", 0);
+  int64_t wait = serve_query_number(request, "WaitMs", 1000);
   struct timeval time = {wait / 1000, wait % 1000 * 1000};
   json_t *events = events_since(kind, since);
   Watch *watch;
@@ -238,13 +238,13 @@
   object->revision = at;
 }
 
-void store_put(const char *kind, const char *name, json_t *spec) {
+void store_put_object(const char *kind, const char *name, json_t *spec) {
   set_object(kind, name, spec, ++revision);
   note(kind, name, spec);
   changed(kind);
 }
 
-void store_remove(const char *kind, const char *name) {
+void store_remove_object(const char *kind, const char *name) {
   if (find(kind, name) == NULL)
     return;
   remove_object(kind, name, ++revision);
@@ -294,7 +294,7 @@
   else if (find(kind, name) != NULL)
     answer(request, 409, write_object(find(kind, name)));
   else {
-    store_put(kind, name, json_incref(json_object_get(body, "Spec")));
+    store_put_object(kind, name, json_incref(json_object_get(body, "Spec")));
     if (lose)
       serve_cut(request);
     else
@@ -314,7 +314,7 @@
   else if (expected != 0 && expected != object->revision)
     answer(request, 409, write_object(object));
   else {
-    store_put(kind, name, json_incref(json_object_get(body, "Spec")));
+    store_put_object(kind, name, json_incref(json_object_get(body, "Spec")));
     if (lose)
       serve_cut(request);
     else
@@ -326,13 +326,13 @@
 static void on_remove(struct evhttp_request *request, const char *kind,
                       const char *name) {
   const Object *object = find(kind, name);
-  int64_t expected = serve_query(request, "Rev", 0);
+  int64_t expected = serve_query_number(request, "Rev", 0);
   if (object == NULL)
     answer(request, 404, json_object());
   else if (expected != 0 && expected != object->revision)
     answer(request, 409, write_object(object));
   else {
-    store_remove(kind, name);
+    store_remove_object(kind, name);
     if (lose)
       serve_cut(request);
     else
@@ -383,7 +383,7 @@
   g_strfreev(parts);
 }
 
-int store_fault(const char *mode) {
+int store_set_fault(const char *mode) {
   static const char *const modes[] = {"ok", "down", "silent", "lose",
                                       "compact"};
   gsize i;
@@ -458,9 +458,9 @@
     if (stands != NULL && stands->revision > copied)
       continue; /* its writer has said something else since */
     if (change->spec != NULL)
-      store_put(change->kind, change->name, json_incref(change->spec));
+      store_put_object(change->kind, change->name, json_incref(change->spec));
     else
-      store_remove(change->kind, change->name);
+      store_remove_object(change->kind, change->name);
   }
   g_ptr_array_set_size(again, 0);
 }
--- a/standin/store.h
+++ b/standin/store.h
@@ -13,15 +13,15 @@
 void store_start(struct event_base *base, mp_Addr at);
 
 /* create or replace an object; takes over 'spec' */
-void store_put(const char *kind, const char *name, json_t *spec);
-void store_remove(const char *kind, const char *name);
+void store_put_object(const char *kind, const char *name, json_t *spec);
+void store_remove_object(const char *kind, const char *name);
 
 /*
 ** "ok", "down" (503 to all), "silent" (no answers), "lose" (writes take
 ** effect and are not answered), "compact" (the history is gone: watches
 ** are told so). 0: no such mode
 */
-int store_fault(const char *mode);
+int store_set_fault(const char *mode);
 
 /*
 ** The store was away and is back from a copy that is so old: what was written
--- a/standin/worker.c
+++ b/standin/worker.c
@@ -283,7 +283,7 @@
   g_free(worker->stage);
   worker->stage = worker->next_stage;
   worker->next_stage = NULL;
-  worker_list(worker);
+  worker_write_entry(worker);
 }
 
 static void on_report(const Worker *worker, struct evhttp_request *request) {
@@ -388,7 +388,7 @@
 
 /* }================================================================== */
 
-void worker_list(const Worker *worker) {
+void worker_write_entry(const Worker *worker) {
   json_t *spec =
       json_pack("{s:s, s:s, s:s, s:i, s:s, s:i, s:I}", "Service",
                 worker->service, "Addr", worker->addr, "Zone", worker->zone,
@@ -396,7 +396,7 @@
                 "ColdLeftMs", 0, "born", worker->born);
   if (worker->stage[0] != '\0')
     json_object_set_new(spec, "Stage", json_string(worker->stage));
-  store_put("servers", worker->id, spec);
+  store_put_object("servers", worker->id, spec);
 }
 
 /*
@@ -418,7 +418,7 @@
   const Worker *worker = data;
   (void)fd;
   (void)what;
-  store_remove("servers", worker->id);
+  store_remove_object("servers", worker->id);
 }
 
 static void on_comeback(evutil_socket_t fd, short what, void *data) {
@@ -431,7 +431,7 @@
   worker->leaving = 0;
   worker->rest[0] = '\0';
   worker->http = serve_new(base, worker->listen, on_request, worker);
-  worker_list(worker);
+  worker_write_entry(worker);
 }
 
 /* the process ends: nothing listens any more, all connections close */
@@ -471,7 +471,7 @@
   if (strcmp(mode, "draining") == 0 || strcmp(mode, "back") == 0) {
     worker->draining = mode[0] == 'd';
     worker->gone = 0;
-    worker_list(worker);
+    worker_write_entry(worker);
     return 1;
   }
   if (g_str_has_prefix(mode, RATE_MODE)) {
@@ -492,13 +492,13 @@
   }
   if (strcmp(mode, "gone") == 0) {
     worker->gone = 1;
-    store_remove("servers", worker->id);
+    store_remove_object("servers", worker->id);
     return 1;
   }
   if (strcmp(mode, "prefill") == 0 || strcmp(mode, "decode") == 0) {
     g_free(worker->stage);
     worker->stage = g_strdup(mode);
-    worker_list(worker);
+    worker_write_entry(worker);
     return 1;
   }
   for (i = 0; i < G_N_ELEMENTS(modes); i++) {
@@ -515,7 +515,7 @@
   return g_strdup(text != NULL ? text : "");
 }
 
-Worker *worker_open(const json_t *json) {
+Worker *worker_start(const json_t *json) {
   Worker *worker = g_new0(Worker, 1);
   worker->id = text_of(json, "id");
   worker->service = text_of(json, "service");
@@ -526,11 +526,11 @@
   worker->listen = serve_address(json, "listen");
   worker->born = unix_ms();
   worker->http = serve_new(base, worker->listen, on_request, worker);
-  worker_list(worker);
+  worker_write_entry(worker);
   return worker;
 }
 
-void workers_start(struct event_base *event_base) {
+void workers_init(struct event_base *event_base) {
   base = event_base;
   working = g_ptr_array_new();
   handles = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/standin/worker.h
+++ b/standin/worker.h
@@ -29,11 +29,11 @@
 } Worker;
 
 /* before the first worker is opened */
-void workers_start(struct event_base *base);
+void workers_init(struct event_base *base);
 /* a worker that listens, and stands in the list; 'json' as in FLEET.json */
-Worker *worker_open(const json_t *json);
+Worker *worker_start(const json_t *json);
 /* its entry in the list, as it is now */
-void worker_list(const Worker *worker);
+void worker_write_entry(const Worker *worker);
 /* as POST /worker of fleet.c; 0: no such mode */
 int worker_set_mode(Worker *worker, const char *mode);
 /* what the workers took: an array of rows, which it owns */
--- a/test/crash_fleet.cc
+++ b/test/crash_fleet.cc
@@ -125,7 +125,7 @@
   }
 }
 
-void Fleet::meet_one(unsigned instance, const Sent &one) {
+void Fleet::meet_one(unsigned instance, const SentDispatch &one) {
   World &world = *all[instance].world;
   const Engine &engine = engine_of(one.endpoint);
   guint64 content = all[instance].content_of[one.request];
@@ -153,13 +153,13 @@
 void Fleet::meet(unsigned instance) {
   Instance &one = all[instance];
   while (one.seen < one.world->dispatches.size()) {
-    Sent dispatch = one.world->dispatches[one.seen++];
+    SentDispatch dispatch = one.world->dispatches[one.seen++];
     if (!dispatch.cancelled)
       meet_one(instance, dispatch);
   }
-  std::vector<Sent> asked;
+  std::vector<SentDispatch> asked;
   asked.swap(one.world->checks);
-  for (const Sent &check : asked) {
+  for (const SentDispatch &check : asked) {
     bool is_up = engine_of(check.endpoint).ended == 0;
     checks++;
     if (!is_up && !ends_are_refused)
@@ -268,7 +268,7 @@
 void Fleet::exchange() {
   for (unsigned i = 0; i < all.size(); i++) {
     Instance &from = all[i];
-    mp_CrashNews news;
+    mp_CrashUpdate news;
     if (router_crash_version(from.world->router) == from.told &&
         now - from.told_at < refresh)
       continue;
--- a/test/crash_fleet.h
+++ b/test/crash_fleet.h
@@ -24,7 +24,7 @@
 
 using routing::ms;
 using routing::second;
-using routing::Sent;
+using routing::SentDispatch;
 using routing::World;
 
 struct FleetOptions {
@@ -115,7 +115,7 @@
   void list_everywhere(const Engine &engine, bool gone);
   void request(unsigned instance, guint64 content);
   void meet(unsigned instance);
-  void meet_one(unsigned instance, const Sent &sent);
+  void meet_one(unsigned instance, const SentDispatch &sent);
   void end_engine(Engine &engine);
   void end_due_runs();
   void come_back();
--- a/test/fuzz/datagram.c
+++ b/test/fuzz/datagram.c
@@ -16,11 +16,11 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size) {
   mp_Msg message;
-  char answer[MP_MAXDGRAM];
-  char again[MP_MAXDGRAM];
+  char answer[MP_DATAGRAM_MAX];
+  char again[MP_DATAGRAM_MAX];
   size_t answer_size = 0;
-  RpcTaken taken = rpc_decode((const char *)data, size, any_kind, NULL,
-                              &message, answer, sizeof answer, &answer_size);
+  RpcDecoded taken = rpc_decode((const char *)data, size, any_kind, NULL,
+                                &message, answer, sizeof answer, &answer_size);
   if (taken == RPC_CALL && rpc_encode(&message, again, sizeof again) == 0)
     abort();
   return 0;
--- a/test/matrix.cc
+++ b/test/matrix.cc
@@ -56,16 +56,16 @@
 
   explicit Play(const Cell &cell) : s(cell.seed), c(cell) {
     for (const char *dc : {"a", "a", "b", "b", "c", "c"})
-      s.addnode(dc);
+      s.add_node(dc);
     for (const char *dc : {"a", "b", "c"}) {
-      s.addengine(dc, MP_ROLE_PREFILL, "llm");
-      s.addengine(dc, MP_ROLE_PREFILL, "llm");
-      s.addengine(dc, MP_ROLE_DECODE, "llm");
-      s.addengine(dc, MP_ROLE_DECODE, "llm");
+      s.add_engine(dc, MP_ROLE_PREFILL, "llm");
+      s.add_engine(dc, MP_ROLE_PREFILL, "llm");
+      s.add_engine(dc, MP_ROLE_DECODE, "llm");
+      s.add_engine(dc, MP_ROLE_DECODE, "llm");
     }
-    s.publishlist();
+    s.publish_instance_list();
     s.publish(version, text());
-    s.startnodes();
+    s.start_nodes();
     s.run(s.now + 4 * sec);
   }
 
@@ -96,9 +96,9 @@
 
   /* the keeper of the decode engine, when that is not the entry itself */
   size_t keeper() {
-    size_t k = s.keeperof(entry, s.engines[decodeno()].addr);
+    size_t k = s.keeper_index(entry, s.engines[decodeno()].addr);
     if (k == entry || k >= s.nodes.size())
-      k = s.keeperof(entry, s.engines[prefillno()].addr);
+      k = s.keeper_index(entry, s.engines[prefillno()].addr);
     return k == entry || k >= s.nodes.size() ? 1 : k;
   }
 
@@ -118,9 +118,9 @@
     s.at(s.now + heals, [this] { s.cut = nullptr; });
   }
 
-  void killengine(size_t e) {
-    s.killengine(e);
-    s.at(s.now + heals, [this, e] { s.reviveengine(e); });
+  void kill_engine(size_t e) {
+    s.kill_engine(e);
+    s.at(s.now + heals, [this, e] { s.revive_engine(e); });
   }
 
   void freeze(size_t e) {
@@ -177,13 +177,13 @@
         pausenode(n);
       break;
     case FAULT_PREFILL_KILLED:
-      killengine(prefillno());
+      kill_engine(prefillno());
       break;
     case FAULT_PREFILL_FROZEN:
       freeze(prefillno());
       break;
     case FAULT_DECODE_KILLED:
-      killengine(decodeno());
+      kill_engine(decodeno());
       break;
     case FAULT_DECODE_FROZEN:
       freeze(decodeno());
@@ -196,10 +196,10 @@
       each([](Engine &e) { e.dup = true; });
       break;
     case FAULT_STALLED:
-      each([](Engine &e) { e.stallimport = 1; });
+      each([](Engine &e) { e.stalled_imports = 1; });
       break;
     case FAULT_KV_EXPIRED:
-      each([](Engine &e) { e.kvlife = 8 * ms; });
+      each([](Engine &e) { e.kv_lifetime = 8 * ms; });
       for (auto &e : s.engines) {
         for (size_t i = 0; i < e.works.size();)
           if (e.works[i]->op == "kv")
@@ -208,7 +208,7 @@
             i++;
       }
       s.at(s.now + 1 * sec,
-           [this] { each([](Engine &e) { e.kvlife = 4 * sec; }); });
+           [this] { each([](Engine &e) { e.kv_lifetime = 4 * sec; }); });
       break;
     case FAULT_LEAVING:
       for (size_t i : {prefillno(), decodeno()}) {
@@ -227,11 +227,11 @@
       s.at(s.now + heals, [this] { s.store_down = false; });
       break;
     case FAULT_STORE_SLOW:
-      s.store_slow = 3 * sec;
-      s.at(s.now + heals, [this] { s.store_slow = 0; });
+      s.store_extra_delay = 3 * sec;
+      s.at(s.now + heals, [this] { s.store_extra_delay = 0; });
       break;
     case FAULT_STORE_LOSE:
-      s.store_lose = 2;
+      s.lost_store_replies = 2;
       break;
     case FAULT_CUT_STORE:
       cutting([](const std::string &, const std::string &to) {
@@ -287,7 +287,7 @@
       s.at(s.now + 700 * ms, [this] { both(); });
   }
 
-  void onlog(size_t n, const mp_Log &l) {
+  void on_log_event(size_t n, const mp_Log &l) {
     static const std::map<std::string, Step> steps = {
         {"step=0", STEP_CLAIM},        {"step=1", STEP_DECODE_SLOT},
         {"step=2", STEP_PREFILL_SLOT}, {"step=3", STEP_PREFILL},
@@ -301,7 +301,7 @@
       reach(it->second);
   }
 
-  void onxcall(size_t n, const mp_Xcall &x) {
+  void onxcall(size_t n, const mp_EndpointCall &x) {
     if (n != entry || x.token.seq != 1 || x.token.start != 1)
       return;
     if (x.op == MP_X_PREFILL)
@@ -313,15 +313,15 @@
     xcalls[x.xcall] = x.op;
   }
 
-  std::map<uint64_t, mp_XcallOp> xcalls;
+  std::map<uint64_t, mp_EndpointOp> xcalls;
 
-  void onx(size_t n, const mp_EndpointEvent &e) {
+  void on_endpoint_event(size_t n, const mp_EndpointEvent &e) {
     if (n != entry || !xcalls.count(e.xcall))
       return;
-    mp_XcallOp op = xcalls[e.xcall];
+    mp_EndpointOp op = xcalls[e.xcall];
     if (op == MP_X_PREFILL && e.what == MP_EP_DONE)
       reach(STEP_KV);
-    if (op == MP_X_DECODE && e.what == MP_EP_PIECE && e.index == 2)
+    if (op == MP_X_DECODE && e.what == MP_EP_CHUNK && e.index == 2)
       reach(STEP_STREAM);
     if (op == MP_X_DECODE && e.what == MP_EP_DONE)
       reach(STEP_LAST);
@@ -329,10 +329,11 @@
 
   Outcome run() {
     const char *cls = c.kind == KIND_ASK ? "ask" : "once";
-    s.onlog = [this](size_t n, const mp_Log &l) { onlog(n, l); };
-    s.onxcall = [this](size_t n, const mp_Xcall &x) { onxcall(n, x); };
-    s.onx = [this](size_t n, uint64_t, const mp_EndpointEvent &e) {
-      onx(n, e);
+    s.on_log_event = [this](size_t n, const mp_Log &l) { on_log_event(n, l); };
+    s.onxcall = [this](size_t n, const mp_EndpointCall &x) { onxcall(n, x); };
+    s.on_endpoint_event = [this](size_t n, uint64_t,
+                                 const mp_EndpointEvent &e) {
+      on_endpoint_event(n, e);
     };
     if (c.step == STEP_ACCEPT)
       reach(STEP_ACCEPT);
--- a/test/matrix.h
+++ b/test/matrix.h
@@ -28,7 +28,7 @@
 #define X(sym, name) STEP_##sym,
   MATRIX_STEPS(X)
 #undef X
-      STEPS
+      STEP_COUNT
 };
 
 /* X(symbol, name): what goes wrong */
--- a/test/rate_fleet.cc
+++ b/test/rate_fleet.cc
@@ -70,7 +70,7 @@
   one.world->max_connections = options.max_connections;
   one.world->configure();
   one.world->started_unix_ms = 1000;
-  for (const Plain &endpoint : endpoints)
+  for (const PlainEndpoint &endpoint : endpoints)
     one.world->endpoint(
         {endpoint.id.c_str(), "app", endpoint.zone.c_str(), STAGE_NONE});
   router_set_instances(one.world->router, static_cast<unsigned>(all.size()),
@@ -115,7 +115,7 @@
     if (all[i].is_frozen)
       continue;
     asked++;
-    all[i].asked[all[i].world->next_number()] = now;
+    all[i].asked[all[i].world->next_request_number()] = now;
     all[i].world->request(options.path, 1500);
     meet(i);
   }
@@ -125,11 +125,11 @@
 void Fleet::meet(unsigned i) {
   Instance &one = all[i];
   for (; one.seen < one.world->dispatches.size(); one.seen++) {
-    const Sent &sent = one.world->dispatches[one.seen];
+    const SentDispatch &sent = one.world->dispatches[one.seen];
     for (unsigned k = 0; k < endpoints.size(); k++) {
       if (endpoints[k].id != sent.endpoint)
         continue;
-      Plain &endpoint = endpoints[k];
+      PlainEndpoint &endpoint = endpoints[k];
       if (options.max_connections > 0 && !connect(i, k)) {
         one.world->outcome(sent.number, OUTCOME_UNREACHABLE);
         break;
@@ -146,7 +146,7 @@
 
 /* the signals of the answer, written down as told */
 EndpointSignals Fleet::signals_of(const Run &run) {
-  Plain &endpoint = endpoints[run.endpoint];
+  PlainEndpoint &endpoint = endpoints[run.endpoint];
   EndpointSignals signals = run.turns_away
                                 ? routing::signals_rest(run.rest)
                                 : routing::signals_rate(endpoint.limit);
@@ -154,13 +154,13 @@
     endpoint.rests.push_back({now, run.instance, run.life, run.rest});
   if (signals.rate == SIGNAL_GIVEN) {
     endpoint.told.insert({run.instance, now});
-    if (endpoint.named_at == 0)
-      endpoint.named_at = now;
+    if (endpoint.rate_named_at == 0)
+      endpoint.rate_named_at = now;
   }
   if (endpoint.is_leaving) {
     signals.leaving = SIGNAL_GIVEN;
     if (!run.turns_away)
-      endpoint.leavings.push_back({now, run.instance, run.life, 0});
+      endpoint.leaving_answers.push_back({now, run.instance, run.life, 0});
   }
   return signals;
 }
@@ -198,7 +198,7 @@
 
 /* one that rests, or a new one; FALSE: the endpoint resets it */
 bool Fleet::connect(unsigned i, unsigned k) {
-  Plain &endpoint = endpoints[k];
+  PlainEndpoint &endpoint = endpoints[k];
   if (!all[i].resting[k].empty()) {
     all[i].resting[k].pop_back();
   } else if (endpoint.connections >= options.max_connections) {
@@ -244,19 +244,20 @@
 }
 
 void Fleet::list(unsigned i, bool ready) {
-  const Plain &plain = endpoints[i];
+  const PlainEndpoint &plain = endpoints[i];
   for (Instance &one : all)
     one.world->endpoint(
         {plain.id.c_str(), "app", plain.zone.c_str(), STAGE_NONE}, ready);
 }
 
-unsigned Fleet::after_leaving(unsigned i, gint64 after, bool of_all) const {
-  const Plain &endpoint = endpoints[i];
+unsigned Fleet::arrivals_after_leaving(unsigned i, gint64 after,
+                                       bool of_all) const {
+  const PlainEndpoint &endpoint = endpoints[i];
   unsigned count = 0;
   for (const Arrival &arrival : endpoint.arrivals) {
     bool is_late =
-        std::any_of(endpoint.leavings.begin(), endpoint.leavings.end(),
-                    [&](const Told &told) {
+        std::any_of(endpoint.leaving_answers.begin(),
+                    endpoint.leaving_answers.end(), [&](const Told &told) {
                       bool binds =
                           of_all || (told.instance == arrival.instance &&
                                      told.life == arrival.life);
@@ -267,9 +268,9 @@
   return count;
 }
 
-unsigned Fleet::most_in_a_rest(unsigned i) const {
+unsigned Fleet::max_arrivals_in_rest(unsigned i) const {
   constexpr gint64 on_its_way = 500 * ms;
-  const Plain &endpoint = endpoints[i];
+  const PlainEndpoint &endpoint = endpoints[i];
   unsigned most = 0;
   for (const Told &told : endpoint.rests) {
     unsigned count = 0;
@@ -310,10 +311,10 @@
   return count;
 }
 
-void Fleet::send_news(unsigned from, unsigned to, const mp_RateNews &news) {
+void Fleet::send_news(unsigned from, unsigned to, const mp_RateUpdate &news) {
   messages++;
   if (has_rate_news && hears(from, to))
-    letters.push_back({now + options.news_delay, to,
+    letters.push_back({now + options.rate_news_delay, to,
                        mp_addr_parse(all[from].address.c_str()), news});
 }
 
@@ -329,7 +330,7 @@
 /* soon when there is something new, and again with each refresh */
 void Fleet::tell_rates(unsigned i) {
   Instance &one = all[i];
-  mp_RateNews news = {};
+  mp_RateUpdate news = {};
   guint64 version = router_rates_version(one.world->router);
   gint64 interval = interval_per_peer * peers_of(i);
   if (now - one.rates_at < (version == one.rates_told ? refresh : interval))
@@ -346,7 +347,7 @@
 
 void Fleet::tell_rate_sums(unsigned i) {
   Instance &one = all[i];
-  mp_RateNews news = {};
+  mp_RateUpdate news = {};
   if (now - one.rate_sums_at < least_between_rate_sums)
     return;
   one.rate_sums_at = now;
@@ -396,7 +397,8 @@
   one.summed_at = now;
   for (unsigned k = 0; k < all.size(); k++) {
     if (all[k].zone != one.zone && hears(i, k))
-      router_zone_load(all[k].world->router, one.sequence, &summary, now);
+      router_receive_summary(all[k].world->router, one.sequence, &summary,
+                             now);
   }
 }
 
@@ -462,11 +464,11 @@
   return sum;
 }
 
-double Fleet::worst_excess(unsigned i, gint64 from, gint64 until, double times,
-                           bool of_all) const {
+double Fleet::max_rate_excess(unsigned i, gint64 from, gint64 until,
+                              double times, bool of_all) const {
   constexpr gint64 window = 4 * second;
   constexpr gint64 told_before = 500 * ms;
-  const Plain &endpoint = endpoints[i];
+  const PlainEndpoint &endpoint = endpoints[i];
   std::deque<gint64> in;
   double worst = -HUGE_VAL;
   for (const Arrival &arrival : endpoint.arrivals) {
--- a/test/rate_fleet.h
+++ b/test/rate_fleet.h
@@ -25,7 +25,7 @@
 
 using routing::ms;
 using routing::second;
-using routing::Sent;
+using routing::SentDispatch;
 using routing::World;
 
 struct FleetOptions {
@@ -38,8 +38,8 @@
   double loss = 0.02;     /* of datagrams */
   gint64 work = 60 * ms;  /* that an endpoint takes for a request */
   const char *path = "/safe/x";
-  double failing = 0;    /* share of the answers that are the endpoint's 500 */
-  gint64 news_delay = 0; /* of news of rates: machines that are slow */
+  double failing = 0; /* share of the answers that are the endpoint's 500 */
+  gint64 rate_news_delay = 0;  /* of news of rates: machines that are slow */
   guint32 max_connections = 0; /* at an endpoint, of all callers; 0: any */
   guint32 retry_slack = 58;
   double retry_ratio = 0.2;
@@ -69,13 +69,13 @@
   double rate;
 };
 
-struct Plain {
-  Plain(const std::string &id_, const std::string &zone_)
+struct PlainEndpoint {
+  PlainEndpoint(const std::string &id_, const std::string &zone_)
       : id(id_), zone(zone_) {
   }
   std::string id, zone;
   double limit = RATE_UNLIMITED; /* that its answers name */
-  gint64 named_at = 0; /* when its first answer named one; 0: none did */
+  gint64 rate_named_at = 0; /* when its first answer named one; 0: none did */
   std::vector<Arrival> arrivals{};
   std::vector<Naming> namings{};
   /* instance -> when it first passed on an answer that named a limit */
@@ -84,7 +84,7 @@
   gint64 rest = 0;      /* it turns all away, and asks for so long; 0: not */
   double resting = 1;   /* share that it turns away then */
   gint64 rest_work = 0; /* time that it takes to turn one away */
-  std::vector<Told> leavings{}, rests{};
+  std::vector<Told> leaving_answers{}, rests{};
   /* of all instances; the most at once, and those that it reset */
   unsigned connections = 0, connections_max = 0, resets = 0;
 };
@@ -107,10 +107,10 @@
   void list(unsigned i, bool ready);
   /* arrivals of requests that were sent later than 'after' behind an answer
   ** that this instance passed on, or else that any had */
-  unsigned after_leaving(unsigned i, gint64 after, bool of_all) const;
+  unsigned arrivals_after_leaving(unsigned i, gint64 after, bool of_all) const;
   /* the most arrivals from one instance in a rest that it was asked for, from
   ** half a second on */
-  unsigned most_in_a_rest(unsigned i) const;
+  unsigned max_arrivals_in_rest(unsigned i) const;
   /* callers come at all */
   bool has_callers = true;
   /* what instances tell each other of rates arrives at all */
@@ -121,10 +121,10 @@
   ** 'times' of what the rates named meanwhile allow; of all instances, or of
   ** those alone that it had told half a second before and that were in no
   ** trouble */
-  double worst_excess(unsigned i, gint64 from, gint64 until, double times,
-                      bool of_all) const;
+  double max_rate_excess(unsigned i, gint64 from, gint64 until, double times,
+                         bool of_all) const;
   unsigned arrived(unsigned i, gint64 from, gint64 until) const;
-  std::vector<Plain> endpoints;
+  std::vector<PlainEndpoint> endpoints;
   unsigned asked = 0, answered = 0, refused = 0;
   std::vector<gint64> retry_after_ms; /* of the refusals */
   unsigned messages = 0;              /* that instances sent for limits */
@@ -146,7 +146,7 @@
     gint64 due;
     unsigned to;
     mp_Addr from;
-    mp_RateNews news;
+    mp_RateUpdate news;
   };
   struct Instance {
     std::unique_ptr<World> world;
@@ -193,7 +193,7 @@
   FleetOptions options;
   std::mt19937 random;
   std::vector<Instance> all;
-  void send_news(unsigned from, unsigned to, const mp_RateNews &news);
+  void send_news(unsigned from, unsigned to, const mp_RateUpdate &news);
   void deliver_news();
   std::deque<Run> runs;
   std::deque<Letter> letters;
--- a/test/relay_world.cc
+++ b/test/relay_world.cc
@@ -119,7 +119,7 @@
       one->world->is_restored() && known->second > text)
     return;
   if (known != seen.end() && known->second > text)
-    one->backwards++;
+    one->older_texts_taken++;
   seen[object->name] = text;
   one->seen_at.emplace(std::string(object->name) + "=" + text,
                        one->world->now);
@@ -211,7 +211,7 @@
 void World::send_beat(Instance &from, mp_Addr to, gint64 asked) {
   if (from.cut_from_all)
     return;
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   mp_Addr address = from.address;
   for (int kind = 0; kind < MP_RELAY_KINDS; kind++)
     told.changed[kind] = from.source[kind].follower.changed;
@@ -354,7 +354,7 @@
       FALSE};
   const std::map<std::string, Object> *from = &objects[kind];
   for (auto &then : past) {
-    if (stale && then.at > now - staleness)
+    if (stale && then.at > now - list_staleness)
       break;
     from = stale ? &then.objects[kind] : from;
     out.at = here(stale ? then.revision : revision);
@@ -439,7 +439,7 @@
   auto what = static_cast<StoreKind>(kind);
   unsigned call = ++one.open[kind];
   StorePosition since = wanted.call.position;
-  (wanted.call.stale ? stale_calls : store_calls)++;
+  (wanted.call.stale ? stale_list_calls : store_calls)++;
   fail_after(one, kind, call, wanted.patience);
   if (!store_up || one.cut_from_store || one.cut_from_all)
     return;
@@ -541,7 +541,7 @@
             static_cast<const char *>(g_bytes_get_data(text, nullptr)), size);
         store_reply_clear(&known);
         g_bytes_unref(text);
-        told_bytes += kind == STORE_CONFIGURATION ? size : 0;
+        configuration_bytes_sent += kind == STORE_CONFIGURATION ? size : 0;
         gint64 span = travel + send_time(*relay, size);
         if (one.open[kind] == call)
           receive(one, kind, call, span);
@@ -615,13 +615,13 @@
   });
 }
 
-void World::forget_history() {
+void World::compact_history() {
   oldest = revision + 1;
   at(now + store_time, [this] { answer_watches(); });
 }
 
-unsigned World::knowing(StoreKind kind, const std::string &name,
-                        const std::string &text) const {
+unsigned World::instances_knowing(StoreKind kind, const std::string &name,
+                                  const std::string &text) const {
   unsigned count = 0;
   for (auto &one : all) {
     auto known = one->seen[kind].find(name);
@@ -631,7 +631,7 @@
   return count;
 }
 
-unsigned World::living() const {
+unsigned World::live_instances() const {
   return static_cast<unsigned>(std::count_if(
       all.begin(), all.end(), [](auto &one) { return one->alive; }));
 }
@@ -643,18 +643,19 @@
       }));
 }
 
-gint64 World::slowest(const std::string &name, const std::string &text) const {
+gint64 World::slowest_delay(const std::string &name,
+                            const std::string &text) const {
   std::string key = name + "=" + text;
-  gint64 slowest = 0;
+  gint64 slowest_delay = 0;
   for (auto &one : all) {
     if (!one->alive)
       continue;
     auto seen = one->seen_at.find(key);
     if (seen == one->seen_at.end())
       return G_MAXINT64;
-    slowest = std::max(slowest, seen->second - written.at(key));
+    slowest_delay = std::max(slowest_delay, seen->second - written.at(key));
   }
-  return slowest;
+  return slowest_delay;
 }
 
 static int version_at(const Instance &one, const std::string &name) {
@@ -664,7 +665,7 @@
              : std::stoi(known->second);
 }
 
-int World::oldest_configuration(const std::string &name) const {
+int World::oldest_configuration_with_store(const std::string &name) const {
   int oldest_known = G_MAXINT;
   for (auto &one : all) {
     if (one->alive && !one->cut_from_store && !one->cut_from_all)
@@ -673,7 +674,7 @@
   return oldest_known;
 }
 
-int World::oldest_of_all(const std::string &name) const {
+int World::oldest_known_configuration(const std::string &name) const {
   int oldest_known = G_MAXINT;
   for (auto &one : all) {
     if (one->alive && !one->cut_from_all)
--- a/test/relay_world.h
+++ b/test/relay_world.h
@@ -70,7 +70,7 @@
   unsigned received_call[MP_RELAY_KINDS] = {};
   std::map<std::string, std::string> seen[MP_RELAY_KINDS];
   std::map<std::string, gint64> seen_at; /* name=text -> when first */
-  unsigned backwards = 0; /* an object took an older text again */
+  unsigned older_texts_taken = 0; /* an object took an older text again */
 };
 
 class World {
@@ -89,22 +89,22 @@
   /* what operators and endpoints do; texts are versions that grow */
   void write(StoreKind kind, const std::string &name, const std::string &text);
   void remove(StoreKind kind, const std::string &name);
-  void forget_history();
+  void compact_history();
   /* the store comes back from a copy that is so old; how an object that was
   ** written since stood at last is written again after a moment */
   void restore(gint64 age, gint64 again_after = 300 * ms);
 
   /* live instances that know this text, and those that should */
-  unsigned knowing(StoreKind kind, const std::string &name,
-                   const std::string &text) const;
-  unsigned living() const;
+  unsigned instances_knowing(StoreKind kind, const std::string &name,
+                             const std::string &text) const;
+  unsigned live_instances() const;
   unsigned with_role(RelayRole role);
   /* the slowest live instance's delay from the write to knowing */
-  gint64 slowest(const std::string &name, const std::string &text) const;
+  gint64 slowest_delay(const std::string &name, const std::string &text) const;
   /* the oldest configuration (a number) of those that reach the store */
-  int oldest_configuration(const std::string &name) const;
+  int oldest_configuration_with_store(const std::string &name) const;
   /* the same of all that are alive and not cut off from everybody */
-  int oldest_of_all(const std::string &name) const;
+  int oldest_known_configuration(const std::string &name) const;
 
   Instance *find(mp_Addr address) const;
   bool is_restored() const {
@@ -116,15 +116,16 @@
   /* set before the start */
   RelayTiming times = {watch_wait, 3 * second};
   bool store_up = true;
-  gint64 staleness = 1500 * ms; /* of a stale list */
+  gint64 list_staleness = 1500 * ms; /* of a stale list */
   /* of the configuration, which each change writes anew, but for one; 0: its
   ** text is its version alone, and links take no time */
   unsigned routes = 0;
   gint64 link_rate = 1250; /* bytes a millisecond: 10 Mbit/s */
   guint64 store_calls = 0;
-  guint64 stale_calls = 0; /* lists that may be old, not among those */
+  guint64 stale_list_calls = 0; /* lists that may be old, not among those */
   guint64 datagrams = 0;
-  guint64 told_bytes = 0; /* by instances, of the configuration */
+  guint64 configuration_bytes_sent =
+      0; /* by instances, of the configuration */
 
 private:
   struct Event {
--- a/test/router_world.cc
+++ b/test/router_world.cc
@@ -11,7 +11,7 @@
 
 void World::on_dispatch(void *data, const Dispatch *dispatch) {
   auto *world = static_cast<World *>(data);
-  Sent sent;
+  SentDispatch sent;
   sent.number = dispatch->number;
   sent.kind = dispatch->kind;
   sent.request = dispatch->request;
@@ -45,7 +45,7 @@
 
 void World::on_answer(void *data, guint64 request, const Outcome *outcome) {
   auto *world = static_cast<World *>(data);
-  Ended &ended = world->ended[request];
+  CallerResult &ended = world->ended[request];
   ended.at = world->now;
   switch (outcome->kind) {
   case OUTCOME_STREAM_HEAD:
@@ -62,7 +62,7 @@
 
 void World::on_refuse(void *data, guint64 request, const Refusal *refusal) {
   auto *world = static_cast<World *>(data);
-  Ended &ended = world->ended[request];
+  CallerResult &ended = world->ended[request];
   ended.refusals++;
   ended.refusal = refusal->kind;
   ended.retry_after_ms = refusal->retry_after_ms;
@@ -86,7 +86,7 @@
 
 void World::on_lease_call(void *data, const StoreCall *call) {
   auto *world = static_cast<World *>(data);
-  LeaseAsked asked;
+  LeaseCallRecord asked;
   asked.operation = call->operation;
   asked.revision = call->position.revision;
   if (call->lease != nullptr) {
@@ -187,7 +187,7 @@
   router_set_endpoint(router, &record, gone, now);
 }
 
-void World::populate() {
+void World::add_default_endpoints() {
   configure();
   endpoint({"app-1", "app", "a", STAGE_NONE});
   endpoint({"app-2", "app", "b", STAGE_NONE});
@@ -218,7 +218,7 @@
   return send(path, call);
 }
 
-guint64 World::resumption(const std::string &path, guint64 session) {
+guint64 World::request_resumption(const std::string &path, guint64 session) {
   CallerRequest call = {};
   call.deadline_ms = 8000;
   call.prompt_tokens = 1000;
@@ -228,7 +228,7 @@
   return send(path, call);
 }
 
-guint64 World::next_number() const {
+guint64 World::next_request_number() const {
   return last_number + 1;
 }
 
@@ -272,7 +272,7 @@
 }
 
 void World::signal(guint64 dispatch, const EndpointSignals &signals) {
-  const Sent &one = sent(dispatch);
+  const SentDispatch &one = sent(dispatch);
   router_endpoint_signals(router, one.endpoint.c_str(), one.life, &signals,
                           now);
 }
@@ -332,23 +332,24 @@
   router_lease_reply(router, &reply, now);
 }
 
-Sent &World::last() {
+SentDispatch &World::last() {
   return dispatches.back();
 }
 
-const Sent &World::sent(guint64 dispatch) const {
-  return *std::find_if(dispatches.begin(), dispatches.end(),
-                       [=](const Sent &s) { return s.number == dispatch; });
+const SentDispatch &World::sent(guint64 dispatch) const {
+  return *std::find_if(
+      dispatches.begin(), dispatches.end(),
+      [=](const SentDispatch &s) { return s.number == dispatch; });
 }
 
 unsigned World::runs(guint64 request) const {
-  return static_cast<unsigned>(
-      std::count_if(dispatches.begin(), dispatches.end(), [=](const Sent &s) {
+  return static_cast<unsigned>(std::count_if(
+      dispatches.begin(), dispatches.end(), [=](const SentDispatch &s) {
         return s.request == request && s.kind == DISPATCH_RUN;
       }));
 }
 
-Ended &World::end(guint64 request) {
+CallerResult &World::end(guint64 request) {
   return ended[request];
 }
 
--- a/test/router_world.h
+++ b/test/router_world.h
@@ -26,7 +26,7 @@
 constexpr gint64 news_age_max = 2500 * ms;
 
 /* a dispatch as it was asked for */
-struct Sent {
+struct SentDispatch {
   guint64 number = 0;
   DispatchKind kind = DISPATCH_RUN;
   guint64 request = 0;
@@ -46,7 +46,7 @@
 };
 
 /* what became of a caller's request */
-struct Ended {
+struct CallerResult {
   int answers = 0; /* whole answers, ends of streams */
   int refusals = 0;
   int broken_off = 0;
@@ -87,7 +87,7 @@
 };
 
 /* a call for the lease as it was asked for */
-struct LeaseAsked {
+struct LeaseCallRecord {
   StoreOperation operation = STORE_READ;
   gint64 revision = 0;
   std::string holder;
@@ -95,7 +95,8 @@
 };
 
 /* the hash of an endpoint's life; 0: it began at a time that is not known */
-inline guint32 life_of(const char *id, gint64 started_unix_ms = 0) {
+inline guint32 incarnation_hash_of(const char *id,
+                                   gint64 started_unix_ms = 0) {
   EndpointRecord record = {};
   record.id = const_cast<char *>(id);
   record.started_unix_ms = started_unix_ms;
@@ -121,14 +122,14 @@
                  gint64 objective = 900 * ms);
   void endpoint(const Place &place, bool ready = true, bool gone = false);
   /* two plain endpoints, one prefill and two decode engines */
-  void populate();
+  void add_default_endpoints();
 
   guint64 request(const std::string &path, gint64 deadline_ms = 10000,
                   guint32 prompt = 1000, guint32 output = 500);
   /* a caller that lost a stream of this session half-way goes on with it */
-  guint64 resumption(const std::string &path, guint64 session);
+  guint64 request_resumption(const std::string &path, guint64 session);
   /* that the next request will have */
-  guint64 next_number() const;
+  guint64 next_request_number() const;
   void hangup(guint64 number);
   void advance(gint64 span);
 
@@ -144,11 +145,11 @@
   void lease(StoreStatus status, gint64 revision, const char *holder,
              guint64 term = 1);
 
-  Sent &last();
-  const Sent &sent(guint64 dispatch) const;
+  SentDispatch &last();
+  const SentDispatch &sent(guint64 dispatch) const;
   /* runs sent for a request */
   unsigned runs(guint64 request) const;
-  Ended &end(guint64 request);
+  CallerResult &end(guint64 request);
 
   /* that a plain endpoint takes of all instances; 0: any */
   guint32 max_connections = 0;
@@ -166,11 +167,11 @@
 
   Router *router;
   gint64 now = 100 * second;
-  std::vector<Sent> dispatches; /* all but checks */
-  std::vector<Sent> checks;     /* does the endpoint take connections? */
-  std::map<guint64, Ended> ended;
+  std::vector<SentDispatch> dispatches; /* all but checks */
+  std::vector<SentDispatch> checks; /* does the endpoint take connections? */
+  std::map<guint64, CallerResult> ended;
   std::vector<std::string> log;
-  std::vector<LeaseAsked> lease_calls;
+  std::vector<LeaseCallRecord> lease_calls;
   std::vector<mp_LoadNote> notes;
 
 private:
