--- a/test/sim.cc
+++ b/test/sim.cc
@@ -14,7 +14,7 @@
 
 namespace sim {
 
-static std::string tokentext(const mp_Token &t) {
+static std::string token_text(const mp_Token &t) {
   char s[64];
   mp_token_text(&t, 0, s);
   return s;
@@ -29,7 +29,7 @@
 }
 
 static std::string sha(const std::string &s) {
-  char d[MP_DIGEST + 1];
+  char d[MP_SHA256_HEX + 1];
   mp_digest(s.data(), s.size(), d);
   return d;
 }
@@ -91,7 +91,7 @@
     mp_free(n.M);
 }
 
-size_t Sim::addnode(const std::string &dc) {
+size_t Sim::add_node(const std::string &dc) {
   Node n;
   n.addr = (0x0a000001ULL + nodes.size()) << 16 | 7000;
   n.dc = dc;
@@ -99,8 +99,8 @@
   return nodes.size() - 1;
 }
 
-size_t Sim::addengine(const std::string &dc, mp_Role role,
-                      const std::string &service) {
+size_t Sim::add_engine(const std::string &dc, mp_Role role,
+                       const std::string &service) {
   Engine e;
   e.addr = (0x0a010001ULL + engines.size()) << 16 | 8000;
   e.dc = dc;
@@ -114,18 +114,18 @@
 void Sim::build(const std::vector<const char *> &node_dcs,
                 const std::vector<std::pair<mp_Role, const char *>> &each) {
   for (const char *dc : node_dcs)
-    addnode(dc);
+    add_node(dc);
   for (const char *dc : {"a", "b", "c"}) {
     for (auto &e : each)
-      addengine(dc, e.first, e.second);
+      add_engine(dc, e.first, e.second);
   }
-  publishlist();
+  publish_instance_list();
   publish(1, config());
-  startnodes();
+  start_nodes();
   run(now + 5 * sec);
 }
 
-void Sim::publishlist() {
+void Sim::publish_instance_list() {
   static const char *const roles[] = {"prefill", "decode", "plain"};
   std::string s = "{\"version\": " + std::to_string(store_version + 1) +
                   ", \"instances\": [";
@@ -191,7 +191,7 @@
   perform(n);
 }
 
-void Sim::startnodes() {
+void Sim::start_nodes() {
   for (size_t i = 0; i < nodes.size(); i++)
     boot(i);
 }
@@ -227,7 +227,7 @@
 
 void Sim::wake(size_t n) {
   Node &d = nodes[n];
-  mp_Time t = mp_wake(d.M) - d.ahead;
+  mp_Time t = mp_next_tick(d.M) - d.ahead;
   uint64_t epoch = d.epoch;
   if (t == INT64_MAX - d.ahead || (d.woken > now && d.woken <= t))
     return;
@@ -266,15 +266,15 @@
   nodes[n].config = s.config_version;
   /* a hook may kill the node under way */
   while (nodes[n].epoch == epoch && !nodes[n].dead &&
-         mp_take(nodes[n].M, &fx)) {
+         mp_next_effect(nodes[n].M, &fx)) {
     switch (fx.kind) {
     case MP_FX_SEND:
       send(n, fx.u.send.to, fx.u.send.msg);
       break;
-    case MP_FX_XCALL:
+    case MP_FX_ENDPOINT_CALL:
       xcall(n, fx.u.xcall);
       break;
-    case MP_FX_XABORT:
+    case MP_FX_ENDPOINT_ABORT:
       aborted_[{n, fx.u.xabort}] = true;
       for (auto &e : engines) {
         for (auto &w : e.works) {
@@ -287,14 +287,14 @@
       reply(n, fx.u.reply);
       break;
     case MP_FX_STORE:
-      storecall(n, fx.u.store);
+      handle_store_call(n, fx.u.store);
       break;
     case MP_FX_LOG:
       if (trace)
         printf("%9.3f n%zu %d %s%s\n", now / 1e6, n,
                static_cast<int>(fx.u.log.no), fx.u.log.text, fx.u.log.fields);
-      if (onlog)
-        onlog(n, fx.u.log);
+      if (on_log_event)
+        on_log_event(n, fx.u.log);
       break;
     case MP_FX_DRAINED:
       exits(n);
@@ -344,8 +344,8 @@
   });
 }
 
-void Sim::storereply(size_t n, uint64_t op, mp_StoreStatus st,
-                     const Object *o) {
+void Sim::send_store_reply(size_t n, uint64_t op, mp_StoreStatus st,
+                           const Object *o) {
   uint64_t epoch = nodes[n].epoch;
   auto value = std::make_shared<std::string>(o ? o->value : "");
   uint64_t version = o ? o->version : 0;
@@ -366,32 +366,32 @@
   });
 }
 
-void Sim::storecall(size_t n, const mp_StoreCall &s) {
+void Sim::handle_store_call(size_t n, const mp_StoreCall &s) {
   std::string key = s.key;
   std::string value(s.value ? s.value : "", s.len);
   mp_StoreOp what = s.what;
   uint64_t op = s.op, version = s.version, epoch = nodes[n].epoch;
   store_calls++;
   if (store_down || (cut && cut(nodes[n].dc, "platform"))) {
-    storereply(n, op, MP_STORE_DOWN, nullptr);
+    send_store_reply(n, op, MP_STORE_DOWN, nullptr);
     return;
   }
-  mp_Time t = now + 2 * ms + store_slow;
+  mp_Time t = now + 2 * ms + store_extra_delay;
   at(t, [=, this] {
     auto it = store.find(key);
     const Object *o = it == store.end() ? nullptr : &it->second;
     if (what == MP_ST_PUT) {
       store_writes++;
       if ((o ? o->version : 0) != version) {
-        storereply(n, op, MP_STORE_CONFLICT, nullptr);
+        send_store_reply(n, op, MP_STORE_CONFLICT, nullptr);
         return;
       }
       store[key] = {++store_version, value};
-      if (store_lose > 0) {
-        store_lose--;
-        storereply(n, op, MP_STORE_UNKNOWN, nullptr);
+      if (lost_store_replies > 0) {
+        lost_store_replies--;
+        send_store_reply(n, op, MP_STORE_UNKNOWN, nullptr);
       } else
-        storereply(n, op, MP_STORE_OK, &store[key]);
+        send_store_reply(n, op, MP_STORE_OK, &store[key]);
       return;
     }
     if (what == MP_ST_WATCH && o && o->version == version) {
@@ -401,11 +401,11 @@
           return;
         mp_StoreCall again = {op, what, key.c_str(), version, nullptr, 0};
         store_calls--;
-        storecall(n, again);
+        handle_store_call(n, again);
       });
       return;
     }
-    storereply(n, op, o ? MP_STORE_OK : MP_STORE_ABSENT, o);
+    send_store_reply(n, op, o ? MP_STORE_OK : MP_STORE_ABSENT, o);
   });
 }
 
@@ -478,7 +478,7 @@
   switch (r.what) {
   case MP_REPLY_HEAD:
     break;
-  case MP_REPLY_PIECE:
+  case MP_REPLY_CHUNK:
     if (c.first == 0)
       c.first = now;
     c.text.append(r.text, r.len);
@@ -505,7 +505,7 @@
 ** ===================================================================
 */
 
-Engine *Sim::engineof(mp_Addr a) {
+Engine *Sim::engine_at(mp_Addr a) {
   for (auto &e : engines) {
     if (e.addr == a)
       return &e;
@@ -525,7 +525,7 @@
 
 void Sim::ran(Engine &e, const mp_Token &t, uint32_t attempt,
               const std::string &op) {
-  ledger.push_back({tokentext(t), attempt, op, e.dc, e.name, now});
+  ledger.push_back({token_text(t), attempt, op, e.dc, e.name, now});
   if (op != "decode") /* that came with its import */
     arrived(e);
 }
@@ -552,14 +552,14 @@
       ev.text = copy->data();
       ev.len = copy->size();
       e.u.endpoint = ev;
-      if (onx)
-        onx(n, 0, ev);
+      if (on_endpoint_event)
+        on_endpoint_event(n, 0, ev);
       feed(n, e);
     });
   });
 }
 
-void Sim::fail(size_t n, uint64_t x, mp_EndpointFail f, mp_Time wait) {
+void Sim::fail(size_t n, uint64_t x, mp_EndpointFailure f, mp_Time wait) {
   mp_EndpointEvent ev;
   memset(&ev, 0, sizeof ev);
   ev.xcall = x;
@@ -568,22 +568,22 @@
   event(n, ev, "", wait);
 }
 
-void Sim::onengine(Engine &e, std::function<void()> f) {
+void Sim::run_on_engine(Engine &e, std::function<void()> f) {
   if (e.frozen)
     e.held.push_back(std::move(f));
   else
     f();
 }
 
-void Sim::xcall(size_t n, const mp_Xcall &x) {
-  Engine *e = engineof(x.endpoint);
+void Sim::xcall(size_t n, const mp_EndpointCall &x) {
+  Engine *e = engine_at(x.endpoint);
   std::string kv = x.kv ? x.kv : "", partial = x.partial ? x.partial : "";
   const Caller *c =
       x.call && callers.count(x.call) ? &callers[x.call] : nullptr;
   mp_Addr a = x.endpoint;
   uint64_t epoch = nodes[n].epoch;
   if (x.call)
-    calls[tokentext(x.token)] = x.call;
+    calls[token_text(x.token)] = x.call;
   if (onxcall)
     onxcall(n, x);
   if (nodes[n].epoch != epoch || nodes[n].dead)
@@ -594,21 +594,22 @@
   }
   if (cut && cut(nodes[n].dc, e->dc))
     return; /* no answer ever: the core must give up by itself */
-  mp_Xcall copy = x;
+  mp_EndpointCall copy = x;
   at(now + 1 * ms, [=, this] {
-    Engine *g = engineof(a);
+    Engine *g = engine_at(a);
     if (g->dead) {
       fail(n, copy.xcall, MP_EPF_BROKEN, 0);
       return;
     }
-    onengine(*g, [=, this] { begin(*engineof(a), n, copy, c, kv, partial); });
+    run_on_engine(
+        *g, [=, this] { begin(*engine_at(a), n, copy, c, kv, partial); });
   });
 }
 
 void Sim::prefilled(mp_Addr a, uint64_t serial) {
-  Engine &e = *engineof(a);
-  onengine(e, [=, this] {
-    Engine &g = *engineof(a);
+  Engine &e = *engine_at(a);
+  run_on_engine(e, [=, this] {
+    Engine &g = *engine_at(a);
     for (auto &w : g.works) {
       if (w->serial != serial || w->op != "prefill")
         continue;
@@ -619,11 +620,11 @@
       memset(&ev, 0, sizeof ev);
       ev.xcall = w->xcall;
       ev.what = MP_EP_DONE;
-      ev.life_ms = static_cast<uint32_t>(g.kvlife / ms);
+      ev.life_ms = static_cast<uint32_t>(g.kv_lifetime / ms);
       if (w->xcall)
         event(w->node, ev, name, g.late);
-      at(now + g.kvlife, [=, this] {
-        auto &ws = engineof(a)->works;
+      at(now + g.kv_lifetime, [=, this] {
+        auto &ws = engine_at(a)->works;
         for (size_t i = 0; i < ws.size(); i++) {
           if (ws[i]->serial == serial) {
             ws.erase(ws.begin() + static_cast<long>(i));
@@ -637,9 +638,9 @@
 }
 
 void Sim::tokens(mp_Addr a, uint64_t serial) {
-  Engine &e = *engineof(a);
-  onengine(e, [=, this] {
-    Engine &g = *engineof(a);
+  Engine &e = *engine_at(a);
+  run_on_engine(e, [=, this] {
+    Engine &g = *engine_at(a);
     for (size_t i = 0; i < g.works.size(); i++) {
       auto w = g.works[i];
       if (w->serial != serial || w->op != "decode")
@@ -650,11 +651,11 @@
         mp_EndpointEvent ev;
         memset(&ev, 0, sizeof ev);
         ev.xcall = w->xcall;
-        ev.what = MP_EP_PIECE;
+        ev.what = MP_EP_CHUNK;
         ev.index = w->sent;
         ev.tokens = 1;
         std::string text = answer(w->prompt, w->sent);
-        if (g.losepiece != w->sent + 1)
+        if (g.lost_piece != w->sent + 1)
           event(w->node, ev, text, g.late);
         if (g.dup) {
           event(w->node, ev, text, g.late + 3 * ms);
@@ -682,9 +683,9 @@
 
 void Sim::load(Engine &e, size_t n, uint64_t x) {
   uint64_t epoch = nodes[n].epoch;
-  auto holds = std::make_shared<std::vector<mp_HoldNews>>();
-  auto l = std::make_shared<mp_LoadAnswer>();
-  memset(l.get(), 0, sizeof(mp_LoadAnswer));
+  auto holds = std::make_shared<std::vector<mp_HoldReport>>();
+  auto l = std::make_shared<mp_LoadReport>();
+  memset(l.get(), 0, sizeof(mp_LoadReport));
   for (auto &w : e.works) {
     if (w->op != "plain")
       holds->push_back({w->token, w->attempt});
@@ -714,7 +715,7 @@
 }
 
 /* a call has reached the engine */
-void Sim::begin(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
+void Sim::begin(Engine &e, size_t n, const mp_EndpointCall &x, const Caller *c,
                 const std::string &kv, const std::string &partial) {
   mp_Addr a = e.addr;
   char id[64];
@@ -793,7 +794,7 @@
     e.busy_until = std::max(e.busy_until, now) + cost + 5 * ms;
     at(e.busy_until, [=, this] { prefilled(a, serial); });
   } else if (x.op == MP_X_IMPORT) {
-    Engine *src = engineof(x.kv_from);
+    Engine *src = engine_at(x.kv_from);
     std::string prompt;
     bool there = false;
     for (auto &k : src->works) {
@@ -819,8 +820,8 @@
     arrived(e);
     w->prompt = prompt;
     e.works.push_back(w);
-    if (e.stallimport > 0)
-      e.stallimport--;
+    if (e.stalled_imports > 0)
+      e.stalled_imports--;
     else
       event(n, ev, "", 10 * ms + e.late);
   } else if (x.op == MP_X_DECODE) {
@@ -847,7 +848,7 @@
     ev.what = MP_EP_HEAD;
     ev.status = 200;
     event(n, ev, "", 20 * ms + e.late);
-    ev.what = MP_EP_PIECE;
+    ev.what = MP_EP_CHUNK;
     event(n, ev, "plain:" + w->prompt, 21 * ms + e.late);
     ev.what = MP_EP_DONE;
     event(n, ev, "", 22 * ms + e.late);
@@ -934,7 +935,7 @@
   });
 }
 
-void Sim::killengine(size_t i) {
+void Sim::kill_engine(size_t i) {
   Engine &e = engines[i];
   e.dead = true;
   e.frozen = false;
@@ -946,7 +947,7 @@
   e.works.clear();
 }
 
-void Sim::reviveengine(size_t i) {
+void Sim::revive_engine(size_t i) {
   engines[i].dead = false;
   engines[i].cancelled.clear();
   engines[i].busy_until = now;
@@ -974,7 +975,7 @@
 ** ===================================================================
 */
 
-size_t Sim::keeperof(size_t node, mp_Addr endpoint) const {
+size_t Sim::keeper_index(size_t node, mp_Addr endpoint) const {
   mp_EndpointInfo e;
   for (unsigned i = 0; mp_endpoint(nodes[node].M, i, &e); i++) {
     if (e.addr == endpoint)
@@ -989,7 +990,7 @@
     for (auto &w : e.works) {
       if (w->op != "plain" && !e.dead)
         out.push_back(e.name + " holds " + w->op + " of " +
-                      tokentext(w->token));
+                      token_text(w->token));
     }
   }
   return out;
--- a/test/sim.h
+++ b/test/sim.h
@@ -42,7 +42,7 @@
 };
 
 /* one piece of work an engine began */
-struct Ran {
+struct RunRecord {
   std::string token; /* without the attempt */
   uint32_t attempt;
   std::string op, dc, engine;
@@ -66,14 +66,14 @@
   std::string name, dc, service;
   mp_Role role = MP_ROLE_PREFILL;
   uint32_t slots = 4, rate = 20000;
-  mp_Time pace = 20 * ms, kvlife = 4 * sec;
+  mp_Time pace = 20 * ms, kv_lifetime = 4 * sec;
   bool dead = false, frozen = false, leaving = false, fences = true;
-  bool dup = false;       /* pieces come twice, and some late */
-  uint32_t losepiece = 0; /* this piece (from 1) is lost */
-  int losecancel = 0;     /* cancels that are not heard */
-  int stallimport = 0;    /* imports that never end */
-  mp_Time late = 0;       /* answers come so much later */
-  mp_Time left_at = 0;    /* when it began to leave */
+  bool dup = false;        /* pieces come twice, and some late */
+  uint32_t lost_piece = 0; /* this piece (from 1) is lost */
+  int losecancel = 0;      /* cancels that are not heard */
+  int stalled_imports = 0; /* imports that never end */
+  mp_Time late = 0;        /* answers come so much later */
+  mp_Time left_at = 0;     /* when it began to leave */
   uint64_t fence = 0;
   std::vector<std::shared_ptr<Work>> works;
   std::set<std::string> cancelled;
@@ -106,11 +106,11 @@
   std::map<std::string, Object> store;
   uint64_t store_version = 0;
   bool store_down = false;
-  mp_Time store_slow = 0;
-  int store_lose = 0; /* writes whose reply is lost after the effect */
+  mp_Time store_extra_delay = 0;
+  int lost_store_replies = 0; /* writes whose reply is lost after the effect */
   uint64_t store_calls = 0, store_writes = 0;
   std::map<uint64_t, Caller> callers;
-  std::vector<Ran> ledger;
+  std::vector<RunRecord> ledger;
   std::map<std::string, uint64_t> calls; /* token -> call */
   std::vector<std::string> broken;       /* promises broken, as text */
   /* is the way from one data centre (or "platform") to another cut? */
@@ -118,10 +118,11 @@
   /* is this datagram lost? */
   std::function<bool(mp_Addr, mp_Addr, const mp_Msg &)> drop;
   /* called with every numbered event of every node */
-  std::function<void(size_t, const mp_Log &)> onlog;
+  std::function<void(size_t, const mp_Log &)> on_log_event;
   /* called before an engine's event reaches a node */
-  std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)> onx;
-  std::function<void(size_t, const mp_Xcall &)> onxcall;
+  std::function<void(size_t, uint64_t call, const mp_EndpointEvent &)>
+      on_endpoint_event;
+  std::function<void(size_t, const mp_EndpointCall &)> onxcall;
   bool trace = false;
 
   explicit Sim(uint64_t seed = 1);
@@ -129,17 +130,17 @@
   Sim(const Sim &) = delete;
   Sim &operator=(const Sim &) = delete;
 
-  size_t addnode(const std::string &dc);
-  size_t addengine(const std::string &dc, mp_Role role,
-                   const std::string &service);
+  size_t add_node(const std::string &dc);
+  size_t add_engine(const std::string &dc, mp_Role role,
+                    const std::string &service);
   /* nodes in these data centres, and engines in each of a, b and c */
   void build(const std::vector<const char *> &node_dcs,
              const std::vector<std::pair<mp_Role, const char *>> &engines);
   /* put the instance list and a configuration into the platform */
-  void publishlist();
+  void publish_instance_list();
   void publish(uint64_t version, const std::string &yaml);
   /* the same, without the platform's check of the version before */
-  void startnodes();
+  void start_nodes();
 
   /* a request; the class is "ask", "once", "plain" or "plainonce" */
   uint64_t request(size_t node, const std::string &cls, const std::string &key,
@@ -154,14 +155,14 @@
   void pause(size_t node);
   void resume(size_t node);
   void drain(size_t node);
-  void killengine(size_t e);
-  void reviveengine(size_t e);
+  void kill_engine(size_t e);
+  void revive_engine(size_t e);
   void freeze(size_t e);
   void thaw(size_t e);
 
   size_t nodeof(mp_Addr a) const; /* or nodes.size() */
-  Engine *engineof(mp_Addr a);
-  size_t keeperof(size_t node, mp_Addr endpoint) const;
+  Engine *engine_at(mp_Addr a);
+  size_t keeper_index(size_t node, mp_Addr endpoint) const;
   /* engine memory held now, as text */
   std::vector<std::string> held() const;
   /* check all promises; adds to 'broken' */
@@ -189,15 +190,16 @@
   void wake(size_t n);
   void send(size_t n, mp_Addr to, const mp_Msg &m);
   void reply(size_t n, const mp_Reply &r);
-  void storecall(size_t n, const mp_StoreCall &s);
-  void storereply(size_t n, uint64_t op, mp_StoreStatus st, const Object *o);
-  void xcall(size_t n, const mp_Xcall &x);
-  void onengine(Engine &e, std::function<void()> f);
-  void begin(Engine &e, size_t n, const mp_Xcall &x, const Caller *c,
+  void handle_store_call(size_t n, const mp_StoreCall &s);
+  void send_store_reply(size_t n, uint64_t op, mp_StoreStatus st,
+                        const Object *o);
+  void xcall(size_t n, const mp_EndpointCall &x);
+  void run_on_engine(Engine &e, std::function<void()> f);
+  void begin(Engine &e, size_t n, const mp_EndpointCall &x, const Caller *c,
              const std::string &kv, const std::string &partial);
   void event(size_t n, mp_EndpointEvent ev, const std::string &text,
              mp_Time wait);
-  void fail(size_t n, uint64_t xcall, mp_EndpointFail f, mp_Time wait);
+  void fail(size_t n, uint64_t xcall, mp_EndpointFailure f, mp_Time wait);
   void tokens(mp_Addr engine, uint64_t serial);
   void prefilled(mp_Addr engine, uint64_t serial);
   void arrived(const Engine &e);
--- a/test/test_accounts.cc
+++ b/test/test_accounts.cc
@@ -19,7 +19,7 @@
 
   void SetUp() override {
     world.clients = {{"first", {"key-1", "key-2"}}, {"second", {"key-3"}}};
-    world.populate();
+    world.add_default_endpoints();
     prove_configuration();
     world.key = "key-1";
   }
@@ -86,7 +86,7 @@
 
 TEST_F(AccountTest, WithoutAccountsNoKeyIsNeeded) {
   World open;
-  open.populate();
+  open.add_default_endpoints();
   open.request("/safe/x");
   EXPECT_EQ(open.dispatches.size(), 1u);
 }
--- a/test/test_config_proof.cc
+++ b/test/test_config_proof.cc
@@ -36,9 +36,9 @@
     config_proof_clear(&proof);
   }
   /* A heartbeat that was sent at this time of the local clock. */
-  mp_RelayBeat heartbeat(gint64 sent, guint32 proof_ms = 100,
-                         guint64 changed = 10, gint64 asked = 0) const {
-    mp_RelayBeat out = {};
+  mp_RelayHeartbeat heartbeat(gint64 sent, guint32 proof_ms = 100,
+                              guint64 changed = 10, gint64 asked = 0) const {
+    mp_RelayHeartbeat out = {};
     out.changed[STORE_CONFIGURATION] =
         at_revision(static_cast<gint64>(changed));
     out.sent_us = static_cast<guint64>(sent + relay_ahead);
@@ -46,7 +46,7 @@
     out.asked_us = static_cast<guint64>(asked);
     return out;
   }
-  void receive(const mp_RelayBeat &heard) {
+  void receive(const mp_RelayHeartbeat &heard) {
     config_proof_apply_heartbeat(&proof, relay, &heard, now);
   }
   /* Requests a heartbeat now and receives it after 2 ms. */
@@ -111,7 +111,7 @@
 TEST_F(ConfigProofTest, RelayOfAnotherEraProvesNothing) {
   exchange_to_bound_clock();
   gint64 before = proof.at;
-  mp_RelayBeat other = heartbeat(now, 0, 5);
+  mp_RelayHeartbeat other = heartbeat(now, 0, 5);
   now += 500 * ms;
   other.sent_us += 500 * ms;
   other.changed[STORE_CONFIGURATION].era = 1;
@@ -224,7 +224,7 @@
       world.store_up = !world.store_up;
       break;
     case 4:
-      world.forget_history();
+      world.compact_history();
       break;
     default:
       write();
--- a/test/test_connections.cc
+++ b/test/test_connections.cc
@@ -49,7 +49,7 @@
     fleet.pass(2 * second);
     fleet.demand = GetParam().demand;
     fleet.pass(10 * second);
-    for (const Plain &endpoint : fleet.endpoints) {
+    for (const PlainEndpoint &endpoint : fleet.endpoints) {
       EXPECT_EQ(endpoint.resets, 0u);
       EXPECT_LE(endpoint.connections_max, GetParam().most);
       EXPECT_GE(endpoint.connections_max, 0.9 * GetParam().most);
@@ -65,7 +65,7 @@
   fleet.pass(5 * second);
   fleet.demand = GetParam().demand;
   fleet.pass(5 * second);
-  for (const Plain &endpoint : fleet.endpoints)
+  for (const PlainEndpoint &endpoint : fleet.endpoints)
     EXPECT_EQ(endpoint.resets, 0u);
 }
 
@@ -93,7 +93,7 @@
   fleet.pass(5 * second);
   unsigned arrived = 0;
   unsigned resets = 0;
-  for (const Plain &endpoint : fleet.endpoints) {
+  for (const PlainEndpoint &endpoint : fleet.endpoints) {
     arrived += static_cast<unsigned>(endpoint.arrivals.size());
     resets += endpoint.resets;
   }
@@ -104,7 +104,7 @@
 TEST(ConnectionsAtRest, WithoutRoomCallersHearThatItIsBusy) {
   World world;
   world.max_connections = 20;
-  world.populate();
+  world.add_default_endpoints();
   for (const char *id : {"app-1", "app-2"})
     router_set_connections(world.router, id, 20, 0);
   guint64 number = world.request("/safe/x");
@@ -122,7 +122,7 @@
   World world;
   mp_LoadDigest digest = {};
   world.max_connections = 110;
-  world.populate();
+  world.add_default_endpoints();
   for (int i = 3; i <= 60; i++) {
     std::string id = "app-" + std::to_string(i);
     world.endpoint({id.c_str(), "app", "a", STAGE_NONE});
@@ -153,7 +153,7 @@
   World world;
   mp_LoadDigest digest = {};
   world.max_connections = 110;
-  world.populate();
+  world.add_default_endpoints();
   router_set_connections(world.router, "app-1", 1, 1);
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.n, 0u);
@@ -178,7 +178,7 @@
   fleet.pass(10 * second);
   unsigned arrived = 0;
   unsigned opened = 0;
-  for (const Plain &endpoint : fleet.endpoints) {
+  for (const PlainEndpoint &endpoint : fleet.endpoints) {
     arrived += static_cast<unsigned>(endpoint.arrivals.size());
     opened += endpoint.connections_max;
     EXPECT_EQ(endpoint.resets, 0u);
--- a/test/test_crashing_requests.cc
+++ b/test/test_crashing_requests.cc
@@ -38,7 +38,7 @@
   unsigned others_broken = 0;
 
   Endpoints() {
-    world.populate();
+    world.add_default_endpoints();
     world.endpoint({"dec-3", "llm", "a", STAGE_DECODE});
     world.endpoint({"dec-4", "llm", "a", STAGE_DECODE});
   }
@@ -49,21 +49,21 @@
 
   /* all that runs there breaks off */
   void crash(const std::string &endpoint) {
-    std::vector<Sent> open;
+    std::vector<SentDispatch> open;
     crashes.push_back(world.now);
     ended[endpoint] = world.now;
-    for (const Sent &sent : world.dispatches) {
+    for (const SentDispatch &sent : world.dispatches) {
       if (sent.endpoint == endpoint && sent.kind == DISPATCH_RUN &&
           !sent.cancelled && done.insert(sent.number).second)
         open.push_back(sent);
     }
-    for (const Sent &sent : open) {
+    for (const SentDispatch &sent : open) {
       others_broken += deadly.count(sent.request) == 0;
       world.outcome(sent.number, OUTCOME_BROKEN);
     }
   }
 
-  void meet(const Sent &sent) {
+  void meet(const SentDispatch &sent) {
     if (!is_up(sent.endpoint)) {
       done.insert(sent.number);
       world.outcome(sent.number, OUTCOME_UNREACHABLE);
@@ -76,16 +76,16 @@
   }
 
   void meet_checks() {
-    std::vector<Sent> checks;
+    std::vector<SentDispatch> checks;
     checks.swap(world.checks);
-    for (const Sent &sent : checks)
+    for (const SentDispatch &sent : checks)
       world.outcome(sent.number, is_up(sent.endpoint) ? OUTCOME_ANSWER
                                                       : OUTCOME_UNREACHABLE);
   }
 
   void crash_due() {
     std::set<std::string> due;
-    for (const Sent &sent : world.dispatches) {
+    for (const SentDispatch &sent : world.dispatches) {
       if (sent.kind == DISPATCH_RUN && deadly.count(sent.request) != 0 &&
           done.count(sent.number) == 0 &&
           started[sent.number] + fuse <= world.now)
@@ -115,7 +115,7 @@
     for (gint64 until = world.now + span; world.now < until;) {
       world.advance(10 * ms);
       for (; seen < world.dispatches.size(); seen++) {
-        Sent sent = world.dispatches[seen];
+        SentDispatch sent = world.dispatches[seen];
         started[sent.number] = world.now;
         meet(sent);
       }
--- a/test/test_endpoint_leaving.cc
+++ b/test/test_endpoint_leaving.cc
@@ -50,8 +50,8 @@
     fleet.pass(2 * second);
     fleet.endpoints[0].is_leaving = true;
     fleet.pass(8 * second);
-    ASSERT_FALSE(fleet.endpoints[0].leavings.empty());
-    EXPECT_EQ(fleet.after_leaving(0, delay_max, false), 0u);
+    ASSERT_FALSE(fleet.endpoints[0].leaving_answers.empty());
+    EXPECT_EQ(fleet.arrivals_after_leaving(0, delay_max, false), 0u);
   }
 }
 
@@ -68,7 +68,7 @@
     fleet.pass(second);
     gint64 all_informed_at = fleet.now;
     fleet.pass(3 * second);
-    ASSERT_FALSE(fleet.endpoints[0].leavings.empty());
+    ASSERT_FALSE(fleet.endpoints[0].leaving_answers.empty());
     EXPECT_EQ(fleet.arrived(0, all_informed_at, fleet.now), 0u);
     EXPECT_EQ(fleet.refused, 0u) << "the other endpoints serve all requests";
   }
@@ -82,7 +82,7 @@
     fleet.pass(500 * ms);
     fleet.list(0, true);
   }
-  EXPECT_EQ(fleet.after_leaving(0, delay_max, false), 0u);
+  EXPECT_EQ(fleet.arrivals_after_leaving(0, delay_max, false), 0u);
 }
 
 /*
@@ -96,15 +96,16 @@
 
   void SetUp() override {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
   }
   /* The endpoint announces with an answer that it leaves. */
   void announce_leaving(const char *id) {
     EndpointSignals said = routing::signals_leaving();
-    router_endpoint_signals(world.router, id, life_of(id), &said, world.now);
+    router_endpoint_signals(world.router, id, incarnation_hash_of(id), &said,
+                            world.now);
     ASSERT_EQ(router_leaving_endpoints(world.router), 1u);
   }
-  guint32 life_of(const char *id) {
+  guint32 incarnation_hash_of(const char *id) {
     EndpointRecord record = {};
     record.id = const_cast<char *>(id);
     record.started_unix_ms = world.started_unix_ms;
@@ -113,7 +114,7 @@
   /* Returns the number of dispatches of this kind to that endpoint. */
   unsigned dispatches_of(DispatchKind kind, const char *id) const {
     unsigned count = 0;
-    for (const Sent &one : world.dispatches)
+    for (const SentDispatch &one : world.dispatches)
       count += one.kind == kind && one.endpoint == id;
     return count;
   }
@@ -170,7 +171,7 @@
 
 /* An answer of the earlier incarnation says nothing of this one. */
 TEST_F(EndpointLeavingTest, AnnouncementOfAnEarlierIncarnationIsIgnored) {
-  guint32 earlier = life_of("app-1");
+  guint32 earlier = incarnation_hash_of("app-1");
   EndpointSignals said = routing::signals_leaving();
   world.started_unix_ms = 2000;
   world.endpoint({"app-1", "app", "a", STAGE_NONE});
@@ -181,7 +182,8 @@
 TEST_F(EndpointLeavingTest, CallerIsRefusedAtOnceWhenAllEndpointsLeave) {
   EndpointSignals said = routing::signals_leaving();
   for (const char *id : {"app-1", "app-2"})
-    router_endpoint_signals(world.router, id, life_of(id), &said, world.now);
+    router_endpoint_signals(world.router, id, incarnation_hash_of(id), &said,
+                            world.now);
   guint64 number = world.request("/safe/x");
   EXPECT_EQ(world.end(number).refusals, 1);
   EXPECT_EQ(world.end(number).refusal, REFUSAL_NO_ENDPOINT);
@@ -190,11 +192,12 @@
 
 TEST_F(EndpointLeavingTest, RunAvoidsAReservedEngineThatLeaves) {
   guint64 number = world.request("/stream/x");
-  Sent prompt = world.last();
+  SentDispatch prompt = world.last();
   ASSERT_EQ(prompt.kind, DISPATCH_PREFILL);
   ASSERT_FALSE(world.notes.empty());
   std::string reserved =
-      world.notes.back().endpoint == life_of("dec-1") ? "dec-1" : "dec-2";
+      world.notes.back().endpoint == incarnation_hash_of("dec-1") ? "dec-1"
+                                                                  : "dec-2";
   announce_leaving(reserved.c_str());
   world.prefilled(prompt.number);
   EXPECT_EQ(world.runs(number), 1u);
@@ -212,7 +215,7 @@
 TEST_F(EndpointLeavingTest, RunningStreamContinuesAtALeavingEngine) {
   guint64 number = world.request("/resume/x");
   world.prefilled(world.last().number);
-  Sent run = world.last();
+  SentDispatch run = world.last();
   world.outcome(run.number, OUTCOME_STREAM_HEAD);
   announce_leaving(run.endpoint.c_str());
   world.piece(run.number, "1");
@@ -225,7 +228,7 @@
 TEST_F(EndpointLeavingTest, EndOfALeavingEngineIsNotACrash) {
   world.request("/stream/x");
   world.prefilled(world.last().number);
-  Sent run = world.last();
+  SentDispatch run = world.last();
   announce_leaving(run.endpoint.c_str());
   world.outcome(run.number, OUTCOME_BROKEN);
   EXPECT_TRUE(world.checks.empty());
@@ -236,7 +239,7 @@
   announce_leaving("app-1");
   router_load_digest(world.router, &digest, world.now);
   ASSERT_EQ(digest.leaving_count, 1u);
-  EXPECT_EQ(digest.leaving[0], life_of("app-1"));
+  EXPECT_EQ(digest.leaving[0], incarnation_hash_of("app-1"));
   world.endpoint({"app-1", "app", "a", STAGE_NONE}, false);
   router_load_digest(world.router, &digest, world.now);
   EXPECT_EQ(digest.leaving_count, 0u);
@@ -244,19 +247,20 @@
 
 /* If a digest cannot hold them all, digests name them in turns. */
 TEST_F(EndpointLeavingTest, EachOfManyLeavingEndpointsIsReported) {
-  constexpr unsigned endpoint_count = 3 * MP_DIGEST_LEAVING + 1;
+  constexpr unsigned endpoint_count = 3 * MP_LOAD_DIGEST_LEAVING + 1;
   EndpointSignals said = routing::signals_leaving();
   std::set<guint32> reported;
   for (unsigned i = 0; i < endpoint_count; i++) {
     std::string id = "more-" + std::to_string(i);
     world.endpoint({id.c_str(), "app", "a", STAGE_NONE});
-    router_endpoint_signals(world.router, id.c_str(), life_of(id.c_str()),
-                            &said, world.now);
+    router_endpoint_signals(world.router, id.c_str(),
+                            incarnation_hash_of(id.c_str()), &said, world.now);
   }
   for (int i = 0; i < 5; i++) {
     mp_LoadDigest digest = {};
     router_load_digest(world.router, &digest, world.now);
-    ASSERT_LE(digest.leaving_count, static_cast<unsigned>(MP_DIGEST_LEAVING));
+    ASSERT_LE(digest.leaving_count,
+              static_cast<unsigned>(MP_LOAD_DIGEST_LEAVING));
     reported.insert(digest.leaving, digest.leaving + digest.leaving_count);
     world.advance(500 * ms);
   }
--- a/test/test_endpoint_rates.cc
+++ b/test/test_endpoint_rates.cc
@@ -52,10 +52,10 @@
   }
   void expect_kept(const Fleet &fleet, unsigned endpoint,
                    unsigned seed) const {
-    const Plain &plain = fleet.endpoints[endpoint];
-    ASSERT_NE(plain.named_at, 0);
-    EXPECT_LE(fleet.worst_excess(endpoint, plain.named_at + contact, fleet.now,
-                                 tolerance, false),
+    const PlainEndpoint &plain = fleet.endpoints[endpoint];
+    ASSERT_NE(plain.rate_named_at, 0);
+    EXPECT_LE(fleet.max_rate_excess(endpoint, plain.rate_named_at + contact,
+                                    fleet.now, tolerance, false),
               slack)
         << "seed " << seed;
   }
@@ -81,8 +81,9 @@
   fleet.pass(3 * second);
   fleet.name(0, GetParam().rate);
   fleet.pass(12 * second);
-  EXPECT_GT(fleet.worst_excess(0, fleet.endpoints[0].named_at + contact,
-                               fleet.now, tolerance, false),
+  EXPECT_GT(fleet.max_rate_excess(0,
+                                  fleet.endpoints[0].rate_named_at + contact,
+                                  fleet.now, tolerance, false),
             slack);
 }
 
@@ -217,8 +218,9 @@
   fleet.pass(5 * second);
   fleet.has_callers = true;
   fleet.pass(6 * second);
-  EXPECT_LE(fleet.worst_excess(0, fleet.endpoints[0].named_at + contact,
-                               fleet.now, tolerance, false),
+  EXPECT_LE(fleet.max_rate_excess(0,
+                                  fleet.endpoints[0].rate_named_at + contact,
+                                  fleet.now, tolerance, false),
             slack);
 }
 
@@ -231,7 +233,7 @@
     options.instances = 20;
     options.demand = 2000;
     options.at_first = 0;
-    options.news_delay = 50 * ms;
+    options.rate_news_delay = 50 * ms;
     Fleet fleet(options);
     fleet.pass(2 * second);
     fleet.name(0, 4.4);
@@ -240,8 +242,9 @@
     fleet.pass(2 * second);
     fleet.has_callers = true;
     fleet.pass(5 * second);
-    EXPECT_LE(fleet.worst_excess(0, fleet.endpoints[0].named_at + contact,
-                                 fleet.now, tolerance, false),
+    EXPECT_LE(fleet.max_rate_excess(0,
+                                    fleet.endpoints[0].rate_named_at + contact,
+                                    fleet.now, tolerance, false),
               slack)
         << "seed " << seed;
   }
@@ -315,9 +318,9 @@
         fleet.pass(static_cast<gint64>(200 + random() % 800) * ms);
         trouble(fleet, random, instances, rate, &frozen);
       }
-      EXPECT_LE(
-          fleet.worst_excess(0, named + contact, fleet.now, tolerance, false),
-          slack)
+      EXPECT_LE(fleet.max_rate_excess(0, named + contact, fleet.now, tolerance,
+                                      false),
+                slack)
           << "rate " << rate << " seed " << seed;
     }
   }
--- a/test/test_endpoint_rest.cc
+++ b/test/test_endpoint_rest.cc
@@ -51,7 +51,7 @@
     fleet.endpoints[0].rest = rest_time;
     fleet.pass(10 * second);
     ASSERT_FALSE(fleet.endpoints[0].rests.empty());
-    EXPECT_LE(fleet.most_in_a_rest(0), requests_in_rest_max);
+    EXPECT_LE(fleet.max_arrivals_in_rest(0), requests_in_rest_max);
   }
 }
 
@@ -61,12 +61,12 @@
     SCOPED_TRACE(instances);
     Fleet fleet(fleet_options(instances, 6));
     fleet.pass(2 * second);
-    for (Plain &endpoint : fleet.endpoints)
+    for (PlainEndpoint &endpoint : fleet.endpoints)
       endpoint.rest = rest_time;
     fleet.pass(10 * second);
     for (unsigned i = 0; i < fleet.endpoints.size(); i++) {
       ASSERT_FALSE(fleet.endpoints[i].rests.empty());
-      EXPECT_LE(fleet.most_in_a_rest(i), requests_in_rest_max);
+      EXPECT_LE(fleet.max_arrivals_in_rest(i), requests_in_rest_max);
     }
   }
 }
@@ -79,13 +79,13 @@
     FleetOptions slow = fleet_options(instances, 7);
     slow.work = 900 * ms;
     Fleet fleet(slow);
-    for (Plain &endpoint : fleet.endpoints) {
+    for (PlainEndpoint &endpoint : fleet.endpoints) {
       endpoint.rest = rest_time;
       endpoint.resting = 0.2;
     }
     fleet.pass(10 * second);
     for (unsigned i = 0; i < fleet.endpoints.size(); i++)
-      EXPECT_LE(fleet.most_in_a_rest(i), requests_in_rest_max);
+      EXPECT_LE(fleet.max_arrivals_in_rest(i), requests_in_rest_max);
   }
 }
 
@@ -100,7 +100,7 @@
 
   void SetUp() override {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
   }
   /* The endpoint rejects this dispatch as not run and asks for rest. */
   void reject_with_rest(guint64 dispatch, gint64 time) {
@@ -130,7 +130,7 @@
   }
   unsigned dispatches_to(const char *id) const {
     unsigned count = 0;
-    for (const Sent &one : world.dispatches)
+    for (const SentDispatch &one : world.dispatches)
       count += one.endpoint == id;
     return count;
   }
@@ -170,7 +170,7 @@
 
 TEST_F(EndpointRestTest, AnswerToAnEarlierRequestDoesNotEndTheRest) {
   world.request("/safe/x");
-  Sent slow = world.last();
+  SentDispatch slow = world.last();
   ask_for_rest(slow.endpoint.c_str(), 3 * second);
   world.signal(slow.number, routing::signals_served());
   world.outcome(slow.number, OUTCOME_ANSWER);
@@ -180,7 +180,7 @@
 /* A failed connection does not shorten the rest. */
 TEST_F(EndpointRestTest, FailedConnectionDoesNotEndTheRest) {
   world.request("/safe/x");
-  Sent failed = world.last();
+  SentDispatch failed = world.last();
   ask_for_rest(failed.endpoint.c_str(), 5 * second);
   world.outcome(failed.number, OUTCOME_UNREACHABLE);
   world.advance(4 * second);
@@ -220,7 +220,7 @@
   EXPECT_EQ(digest.row[0].failing, 100u);
   World other;
   other.started_unix_ms = 1000;
-  other.populate();
+  other.add_default_endpoints();
   router_set_instances(other.router, 2, 2);
   router_peer_load(other.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
                    other.now);
@@ -237,7 +237,7 @@
   ask_for_rest("app-2", 2 * second);
   for (int i = 0; i < 20; i++) {
     guint64 number = world.request("/safe/x");
-    const routing::Ended &end = world.end(number);
+    const routing::CallerResult &end = world.end(number);
     ASSERT_EQ(end.refusals, 1);
     EXPECT_EQ(end.refusal, REFUSAL_REST);
     EXPECT_GE(end.retry_after_ms, 2000);
@@ -253,7 +253,7 @@
 ** time after which to retry. */
 TEST_F(EndpointRestTest, UnknownOutcomeCarriesNoRetryAfter) {
   guint64 number = world.request("/safe/x");
-  Sent first = world.last();
+  SentDispatch first = world.last();
   ask_for_rest("app-1", 3 * second);
   ask_for_rest("app-2", 3 * second);
   world.outcome(first.number, OUTCOME_BROKEN);
@@ -263,7 +263,7 @@
 
 TEST_F(EndpointRestTest, RejectedRunGoesToAnotherEndpoint) {
   guint64 number = world.request("/unsafe/x");
-  Sent first = world.last();
+  SentDispatch first = world.last();
   reject_with_rest(first.number, 3 * second);
   EXPECT_EQ(world.runs(number), 2u);
   EXPECT_NE(world.last().endpoint, first.endpoint);
@@ -281,7 +281,7 @@
 
 TEST_F(EndpointRestTest, RunAvoidsAReservedEngineThatRests) {
   guint64 number = world.request("/stream/x");
-  Sent prompt = world.last();
+  SentDispatch prompt = world.last();
   ask_for_rest("dec-1", 3 * second);
   world.prefilled(prompt.number);
   EXPECT_EQ(world.runs(number), 1u);
@@ -333,7 +333,7 @@
     ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
   }
   std::vector<guint64> prompts;
-  for (const Sent &one : world.dispatches)
+  for (const SentDispatch &one : world.dispatches)
     prompts.push_back(one.number);
   /* no decode engine takes a run, so the handles are kept until the hangups */
   ask_for_rest("dec-1", 10 * second);
@@ -344,7 +344,7 @@
   for (guint64 caller : callers)
     world.hangup(caller);
   unsigned releases = 0;
-  for (const Sent &one : world.dispatches)
+  for (const SentDispatch &one : world.dispatches)
     releases += one.kind == DISPATCH_RELEASE;
   EXPECT_EQ(releases, 1u);
 }
--- a/test/test_far_numbers.cc
+++ b/test/test_far_numbers.cc
@@ -153,14 +153,14 @@
 }
 
 /* a heartbeat with one byte of its body replaced */
-RpcTaken beat_with(size_t place, unsigned char byte) {
+RpcDecoded beat_with(size_t place, unsigned char byte) {
   const size_t head = 40; /* of a call without credentials */
   mp_Msg message = {};
   mp_Msg read;
-  char bytes[MP_MAXDGRAM];
-  char answer[MP_MAXDGRAM];
+  char bytes[MP_DATAGRAM_MAX];
+  char answer[MP_DATAGRAM_MAX];
   size_t answer_size = 0;
-  message.kind = MP_MSG_RELAY_BEAT;
+  message.kind = MP_MSG_RELAY_HEARTBEAT;
   size_t size = rpc_encode(&message, bytes, sizeof bytes);
   bytes[head + place] = static_cast<char>(byte);
   return rpc_decode(bytes, size, nullptr, nullptr, &read, answer,
@@ -175,8 +175,8 @@
   for (size_t place : {changed, sent, asked}) {
     EXPECT_EQ(beat_with(place, 0x00), RPC_CALL) << place;
     EXPECT_EQ(beat_with(place, 0x0f), RPC_CALL) << place;
-    EXPECT_EQ(beat_with(place, 0x80), RPC_ANSWER) << place;
-    EXPECT_EQ(beat_with(place, 0xff), RPC_ANSWER) << place;
+    EXPECT_EQ(beat_with(place, 0x80), RPC_ERROR_REPLY) << place;
+    EXPECT_EQ(beat_with(place, 0xff), RPC_ERROR_REPLY) << place;
   }
 }
 
--- a/test/test_gate.cc
+++ b/test/test_gate.cc
@@ -89,7 +89,7 @@
 public:
   Scenario() : world(100, 10.0, 3 * second) {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
   }
   /* Applies the steps up to the first forbidden dispatch. Returns what is
   ** wrong with that dispatch; empty: there was none. */
@@ -105,7 +105,7 @@
   unsigned dispatch_count = 0;
 
 private:
-  guint32 life_of(unsigned i, gint64 started_unix_ms) const {
+  guint32 incarnation_hash_of(unsigned i, gint64 started_unix_ms) const {
     EndpointRecord record = {};
     record.id = const_cast<char *>(endpoint_places[i].id);
     record.started_unix_ms = started_unix_ms;
@@ -124,7 +124,8 @@
                               : how % 2 == 0 ? signals_served()
                                              : signals_rest(rests[how % 6]);
     bool is_present =
-        models[i].is_listed && life == life_of(i, models[i].started_unix_ms);
+        models[i].is_listed &&
+        life == incarnation_hash_of(i, models[i].started_unix_ms);
     router_endpoint_signals(world.router, endpoint_places[i].id, life,
                             &signals, world.now);
     if (!is_present)
@@ -146,16 +147,16 @@
     }
     return endpoint_count;
   }
-  Sent *open_dispatch(unsigned which) {
-    std::vector<Sent *> open;
-    for (Sent &one : world.dispatches) {
+  SentDispatch *open_dispatch(unsigned which) {
+    std::vector<SentDispatch *> open;
+    for (SentDispatch &one : world.dispatches) {
       if (!one.ended && !one.cancelled)
         open.push_back(&one);
     }
     return open.empty() ? nullptr : open[which % open.size()];
   }
   void end_dispatch(unsigned which, unsigned how) {
-    Sent *one = open_dispatch(which);
+    SentDispatch *one = open_dispatch(which);
     if (one == nullptr)
       return;
     guint64 number = one->number;
@@ -188,7 +189,7 @@
     gint64 started_unix_ms = how % 2 == 0 ? models[i].started_unix_ms
                                           : models[i].started_unix_ms - 1;
     digest.leaving_count = 1;
-    digest.leaving[0] = life_of(i, started_unix_ms);
+    digest.leaving[0] = incarnation_hash_of(i, started_unix_ms);
     router_peer_load(world.router, mp_addr_parse("10.0.0.9:1"), ++sequence,
                      &digest, world.now);
     if (how % 2 == 0 && models[i].is_listed)
@@ -210,11 +211,12 @@
       end_dispatch(one.which, one.how);
       break;
     case ACT_SIGNAL:
-      if (const Sent *open = open_dispatch(one.which))
+      if (const SentDispatch *open = open_dispatch(one.which))
         send_signals(index_of_endpoint(open->endpoint), open->life, one.how);
       break;
     case ACT_PROBE:
-      send_signals(i, life_of(i, models[i].started_unix_ms), one.how);
+      send_signals(i, incarnation_hash_of(i, models[i].started_unix_ms),
+                   one.how);
       break;
     case ACT_LIST:
       models[i].is_ready = one.how % 5 != 0;
@@ -253,7 +255,7 @@
     for (; checked_dispatches < world.dispatches.size(); checked_dispatches++)
       check_dispatch(world.dispatches[checked_dispatches]);
   }
-  void check_dispatch(const Sent &one) {
+  void check_dispatch(const SentDispatch &one) {
     unsigned i = index_of_endpoint(one.endpoint);
     EndpointModel &known = models[i];
     bool rests = world.now < known.rest_until;
--- a/test/test_held.cc
+++ b/test/test_held.cc
@@ -15,12 +15,12 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
     world.content = 77;
   }
   /* other instances tell of so many ends under the request with this digest */
   void hear_ends(unsigned count, guint64 content = 77) {
-    mp_CrashNews news = {};
+    mp_CrashUpdate news = {};
     news.n = 1;
     news.row[0].request = content;
     news.row[0].n = count;
@@ -62,7 +62,7 @@
 
 TEST_F(Held, OneWhosePromptWasReadMeanwhileIsNotRun) {
   guint64 request = world.request("/stream/x");
-  Sent prefill = world.last();
+  SentDispatch prefill = world.last();
   ASSERT_EQ(prefill.kind, DISPATCH_PREFILL);
   hear_ends(3);
   EXPECT_EQ(world.end(request).ends(), 0);
@@ -89,9 +89,9 @@
   for (int end = 0; end < 3; end++) {
     world.request("/unsafe/x");
     world.outcome(world.last().number, OUTCOME_BROKEN);
-    std::vector<Sent> checks;
+    std::vector<SentDispatch> checks;
     checks.swap(world.checks);
-    for (const Sent &check : checks)
+    for (const SentDispatch &check : checks)
       world.outcome(check.number, OUTCOME_UNREACHABLE);
     world.advance(5 * second);
     world.started_unix_ms += 1000;
--- a/test/test_large_configuration.cc
+++ b/test/test_large_configuration.cc
@@ -52,7 +52,7 @@
       }
       world.run(20 * ms);
       for (; !due.empty() && due.front().first <= world.now; due.pop_front())
-        late += world.oldest_of_all("main") < due.front().second;
+        late += world.oldest_known_configuration("main") < due.front().second;
     }
     return late;
   }
@@ -144,11 +144,11 @@
   Fleet fleet(3, 58, many_routes);
   EXPECT_EQ(fleet.change(3 * second), 0u);
   guint64 calls = fleet.world.store_calls;
-  guint64 told = fleet.world.told_bytes;
+  guint64 told = fleet.world.configuration_bytes_sent;
   EXPECT_EQ(fleet.change(10 * second), 0u);
   /* 20 changes; six relays, and watches that wait in vain besides */
   EXPECT_LE(fleet.world.store_calls - calls, 20 * 6 + 6 * 40u);
-  EXPECT_LE(fleet.world.told_bytes - told, 20u * 58 * 600);
+  EXPECT_LE(fleet.world.configuration_bytes_sent - told, 20u * 58 * 600);
 }
 
 /* a relay's one failure leaves an instance to a store that is silent */
@@ -171,7 +171,7 @@
 TEST(Relays, OneThatLacksWhatItHearsOfIsNotFreshByIt) {
   RelayTiming times = {watch_wait, bound};
   RelayGroup *group = relay_group_new(7, 0, &times, 0);
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   gint64 now = 10 * second;
   relay_group_advance_held(group, STORE_CONFIGURATION, at_revision(100), now);
   relay_group_advance_held(group, STORE_ENDPOINTS, at_revision(100), now);
@@ -254,7 +254,7 @@
     if (g_rand_double(random) < 0.02)
       disturb(one);
     if (g_rand_double(random) < 0.0005)
-      world.forget_history();
+      world.compact_history();
     /* the first one is never kept from the store */
     Instance &first = *world.all[0];
     if (!reaches_store(first) && first.alive)
--- a/test/test_late_news.cc
+++ b/test/test_late_news.cc
@@ -64,7 +64,8 @@
     }
     world.run(10 * ms);
     while (!due.empty() && due.front().first <= world.now) {
-      EXPECT_GE(world.oldest_configuration("main"), due.front().second);
+      EXPECT_GE(world.oldest_configuration_with_store("main"),
+                due.front().second);
       due.pop_front();
     }
   }
@@ -172,7 +173,9 @@
     relay->cut_from_store = true;
     world->write(STORE_CONFIGURATION, "main", "200");
     world->run(1 * second);
-    EXPECT_EQ(world->knowing(STORE_CONFIGURATION, "main", "200"), 12u) << seed;
+    EXPECT_EQ(world->instances_knowing(STORE_CONFIGURATION, "main", "200"),
+              12u)
+        << seed;
   }
 }
 
@@ -187,11 +190,12 @@
     Instance *relay = relays_of(*world)[0];
     world->kill(*relay);
     world->remove(STORE_ENDPOINTS, "e2");
-    world->staleness = 0; /* its first list is up to date */
+    world->list_staleness = 0; /* its first list is up to date */
     world->run(100 * ms + seed * 20 * ms);
     world->start(*relay);
     world->run(propagation_bound);
-    EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "1"), 0u) << seed;
+    EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "1"), 0u)
+        << seed;
   }
 }
 
--- a/test/test_lives.cc
+++ b/test/test_lives.cc
@@ -208,7 +208,7 @@
     size_t i = random() % names.size();
     world.request(round % 2 == 0 ? "/stream/x" : "/resume/x");
     for (; handled < world.dispatches.size(); handled++) {
-      Sent sent = world.dispatches[handled];
+      SentDispatch sent = world.dispatches[handled];
       if (sent.cancelled)
         continue;
       if (sent.kind == DISPATCH_PREFILL)
@@ -223,7 +223,7 @@
   }
   world.checks.clear();
   for (size_t k = 0; k < world.dispatches.size(); k++) {
-    Sent sent = world.dispatches[k];
+    SentDispatch sent = world.dispatches[k];
     if (sent.kind == DISPATCH_RUN && !sent.cancelled)
       world.outcome(sent.number, OUTCOME_STREAM_END);
     else if (sent.kind == DISPATCH_PREFILL && !sent.cancelled)
@@ -309,8 +309,9 @@
   list_incarnation(plain, 1000);
   EndpointSignals says = {};
   says.leaving = SIGNAL_GIVEN;
-  router_endpoint_signals(world.router, plain.id, life_of(plain.id, 1000),
-                          &says, world.now);
+  router_endpoint_signals(world.router, plain.id,
+                          incarnation_hash_of(plain.id, 1000), &says,
+                          world.now);
   world.endpoint(plain, true, true);
   list_incarnation(plain, 1000);
   EXPECT_EQ(world.runs(world.request("/unsafe/x")), 0u);
--- a/test/test_lost_prompts.cc
+++ b/test/test_lost_prompts.cc
@@ -42,7 +42,7 @@
   std::vector<gint64> extras;
 
   explicit Engines(Loss loss_) : loss(loss_) {
-    world.populate();
+    world.add_default_endpoints();
     world.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
     world.advance(window + second); /* it has its share of the slack */
   }
@@ -50,7 +50,7 @@
   /* no prompt is read; every run is answered */
   void meet() {
     for (; seen < world.dispatches.size(); seen++) {
-      Sent sent = world.dispatches[seen];
+      SentDispatch sent = world.dispatches[seen];
       if (sent.kind != DISPATCH_PREFILL && sent.kind != DISPATCH_RUN)
         continue;
       if (arrivals[sent.request]++ > 0)
--- a/test/test_matrix.cc
+++ b/test/test_matrix.cc
@@ -43,7 +43,7 @@
   int step = std::get<0>(GetParam());
   int first = std::get<1>(GetParam());
   for (int second = 0; second < FAULTS; second++) {
-    if (second == first || (first * 31 + second) % STEPS != step)
+    if (second == first || (first * 31 + second) % STEP_COUNT != step)
       continue;
     expect({static_cast<Kind>((first + second) % KINDS),
             static_cast<Step>(step), static_cast<Fault>(first),
@@ -52,12 +52,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Every, Matrix,
-                         ::testing::Combine(::testing::Range(0, (int)STEPS),
+                         ::testing::Combine(::testing::Range(0,
+                                                             (int)STEP_COUNT),
                                             ::testing::Range(0, (int)FAULTS)));
 
 /* the step must be reached, else a cell shows nothing */
 TEST(MatrixSense, EveryStepIsStruck) {
-  for (int step = 0; step < STEPS; step++) {
+  for (int step = 0; step < STEP_COUNT; step++) {
     Outcome o = play(
         {KIND_ONCE, static_cast<Step>(step), FAULT_TWICE, FAULTS, 0, 1, 0});
     EXPECT_TRUE(o.struck) << step_names[step];
--- a/test/test_metrics.cc
+++ b/test/test_metrics.cc
@@ -22,10 +22,10 @@
   AdapterCounts carriers = {7, 11, 2, {}, 1, 2, 3, "relay", 250 * ms, TRUE, 5,
                             4, 6,  3, 2,  1, 9, 8, {},      {},       3};
   carriers.news_lag[STORE_CONFIGURATION] = 1500 * ms;
-  carriers.held_at[STORE_ENDPOINTS] = store_position(2, 31);
+  carriers.known_positions[STORE_ENDPOINTS] = store_position(2, 31);
   carriers.bad_objects[STORE_ENDPOINTS][RECORD_SLOTS] = 4;
   carriers.bad_objects[STORE_ENDPOINTS][RECORD_NAME] = 2;
-  world.populate();
+  world.add_default_endpoints();
   world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_ANSWER);
   GString *text = metrics_text(world.router, &carriers);
--- a/test/test_news_source.cc
+++ b/test/test_news_source.cc
@@ -65,7 +65,7 @@
     store_reply_clear(&reply);
   }
   void receive_heartbeat(guint64 revision) {
-    mp_RelayBeat told = {};
+    mp_RelayHeartbeat told = {};
     told.changed[STORE_CONFIGURATION] =
         store_position(0, static_cast<gint64>(revision));
     relay_group_receive_heartbeat(group, relay, &told, now);
--- a/test/test_orders.cc
+++ b/test/test_orders.cc
@@ -21,29 +21,29 @@
 
   void SetUp() override {
     for (const char *dc : {"a", "a", "a", "b"})
-      s.addnode(dc);
+      s.add_node(dc);
     for (const char *dc : {"a", "b"}) {
-      s.addengine(dc, MP_ROLE_PREFILL, "llm");
+      s.add_engine(dc, MP_ROLE_PREFILL, "llm");
       for (int i = 0; i < 3; i++)
-        s.addengine(dc, MP_ROLE_DECODE, "llm");
+        s.add_engine(dc, MP_ROLE_DECODE, "llm");
     }
-    s.publishlist();
+    s.publish_instance_list();
     std::string c = config();
     c.replace(c.find("role_orders: false"), 18, "role_orders: true ");
     c.replace(c.find("refuse_early: true"), 18, "refuse_early: false");
     s.publish(1, c);
-    s.onxcall = [this](size_t n, const mp_Xcall &x) {
+    s.onxcall = [this](size_t n, const mp_EndpointCall &x) {
       if (x.op != MP_X_ORDER)
         return;
       sent++;
       fences.push_back(x.fence);
       holder = n;
     };
-    s.onlog = [this](size_t n, const mp_Log &l) {
+    s.on_log_event = [this](size_t n, const mp_Log &l) {
       if (l.no == MP_LOG_LEASE_HELD && s.nodes[n].dc == "a")
         holder = n;
     };
-    s.startnodes();
+    s.start_nodes();
     s.run(s.now + 10 * sec);
   }
 
@@ -114,7 +114,7 @@
 }
 
 TEST_F(Orders, LostLeaseReplyCountsAsLost) {
-  s.store_lose = 4;
+  s.lost_store_replies = 4;
   press(60);
   for (size_t i = 1; i < fences.size(); i++)
     EXPECT_GE(fences[i], fences[i - 1]);
--- a/test/test_overload.cc
+++ b/test/test_overload.cc
@@ -23,7 +23,7 @@
 
 using routing::ms;
 using routing::second;
-using routing::Sent;
+using routing::SentDispatch;
 using routing::World;
 
 namespace {
@@ -159,7 +159,7 @@
   void start_dispatched_work(Instance &one) {
     for (; one.handled_dispatches < one.world->dispatches.size();
          one.handled_dispatches++) {
-      const Sent &sent = one.world->dispatches[one.handled_dispatches];
+      const SentDispatch &sent = one.world->dispatches[one.handled_dispatches];
       auto index = static_cast<size_t>(&one - all.data());
       if (sent.kind == DISPATCH_PREFILL)
         runs.push_back({index, sent.number, now + prompt_time, true});
@@ -169,7 +169,7 @@
     one.world->checks.clear();
   }
 
-  void start_run(Instance &one, size_t index, const Sent &sent) {
+  void start_run(Instance &one, size_t index, const SentDispatch &sent) {
     auto length =
         run_time_min +
         static_cast<gint64>(random_fraction() *
--- a/test/test_path.cc
+++ b/test/test_path.cc
@@ -45,7 +45,7 @@
 TEST_F(Path, OnlyFreeEngineIsForbidden) {
   for (size_t i = 0; i < s.engines.size(); i++) {
     if (s.engines[i].dc != "c")
-      s.killengine(i);
+      s.kill_engine(i);
   }
   s.run(s.now + 3 * sec);
   auto a = s.request(4, "ask", "", "hello"); /* at an instance in c */
@@ -88,7 +88,7 @@
 }
 
 TEST_F(Path, LostReplyToAClaimIsSettledByReadingBack) {
-  s.store_lose = 1;
+  s.lost_store_replies = 1;
   auto a = s.request(0, "plainonce", "k", "claim");
   s.run(s.now + 10 * sec);
   EXPECT_TRUE(done(a).ended) << mp_error_name(done(a).error);
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -620,7 +620,7 @@
 */
 
 std::string digest_of(const char *key) {
-  char out[MP_DIGEST + 1];
+  char out[MP_SHA256_HEX + 1];
   mp_digest(key, strlen(key), out);
   return out;
 }
--- a/test/test_promises.cc
+++ b/test/test_promises.cc
@@ -140,7 +140,7 @@
 
 TEST_F(World, LostLastPieceIsNoCleanEnd) {
   for (auto &e : s.engines)
-    e.losepiece = length("hello", 8);
+    e.lost_piece = length("hello", 8);
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 30 * sec);
   EXPECT_FALSE(at(a).ended);
@@ -150,11 +150,11 @@
 
 TEST_F(World, LostPieceIsResumed) {
   for (auto &e : s.engines)
-    e.losepiece = 3;
+    e.lost_piece = 3;
   auto a = s.request(0, "ask", "", "hello");
   s.run(s.now + 100 * ms);
   for (auto &e : s.engines)
-    e.losepiece = 0;
+    e.lost_piece = 0;
   s.run(s.now + 10 * sec);
   EXPECT_TRUE(at(a).ended);
 }
@@ -162,8 +162,8 @@
 TEST_F(World, FrozenStreamMovesToAnotherEngine) {
   mp_Time begun = s.now;
   bool struck = false;
-  s.onx = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
-    if (e.what != MP_EP_PIECE || e.index != 2 || struck)
+  s.on_endpoint_event = [&](size_t, uint64_t, const mp_EndpointEvent &e) {
+    if (e.what != MP_EP_CHUNK || e.index != 2 || struck)
       return;
     struck = true;
     for (size_t i = 0; i < s.engines.size(); i++) {
@@ -226,14 +226,14 @@
 
 TEST_F(World, RefusedClaimCanComeBackWithTheSameId) {
   for (size_t i = 0; i < s.engines.size(); i++)
-    s.killengine(i);
+    s.kill_engine(i);
   s.run(s.now + 2 * sec);
   auto a = s.request(0, "plainonce", "k", "claim");
   s.run(s.now + 10 * sec);
   EXPECT_TRUE(at(a).failed);
   EXPECT_EQ(at(a).ran, MP_RAN_NO);
   for (size_t i = 0; i < s.engines.size(); i++)
-    s.reviveengine(i);
+    s.revive_engine(i);
   s.run(s.now + 35 * sec);
   auto b = s.request(2, "plainonce", "k", "claim");
   s.run(s.now + 5 * sec);
@@ -422,18 +422,18 @@
   e.u.msg.from = 0xc0a80001ULL << 16 | 7000; /* 192.168.0.1 */
   e.u.msg.msg = &m;
   mp_Effect fx;
-  while (mp_take(s.nodes[0].M, &fx))
+  while (mp_next_effect(s.nodes[0].M, &fx))
     ;
   mp_feed(s.nodes[0].M, s.now, &e);
   EXPECT_EQ(mp_counter(s.nodes[0].M, MP_C_STRANGERS), 1u);
-  while (mp_take(s.nodes[0].M, &fx))
+  while (mp_next_effect(s.nodes[0].M, &fx))
     EXPECT_NE(fx.kind, MP_FX_SEND);
 }
 
 /* a long upload has the prefill engine; a lookup is sent there at once */
 TEST_F(World, ShortPromptDoesNotWaitBehindALongOne) {
   std::map<uint32_t, mp_Time> begun;
-  s.onxcall = [&](size_t, const mp_Xcall &x) {
+  s.onxcall = [&](size_t, const mp_EndpointCall &x) {
     if (x.op == MP_X_PREFILL)
       begun[x.token.seq] = s.now;
   };
--- a/test/test_quarantine.cc
+++ b/test/test_quarantine.cc
@@ -171,7 +171,7 @@
 }
 
 TEST_F(QuarantineTest, MessageHoldsTheRequestsWithMostStrikesFirst) {
-  mp_CrashNews news;
+  mp_CrashUpdate news;
   for (guint64 content = 100; content < 200; content++)
     add_strike(content, 1);
   add_strike(150, 2);
@@ -185,7 +185,7 @@
 }
 
 TEST_F(QuarantineTest, OwnStrikesAreReportedForSecondsAndOthersOnRequest) {
-  mp_CrashNews news;
+  mp_CrashUpdate news;
   add_strike(7, 1);
   merge_report(8, {1, 2});
   quarantine_write_news(table, FALSE, &news, now);
@@ -274,7 +274,7 @@
       quarantine_add_strike(tables[random() % 5], &one, crash, now);
     }
     for (int round = 0; round < 200; round++) {
-      mp_CrashNews news;
+      mp_CrashUpdate news;
       quarantine_write_news(tables[random() % 5], TRUE, &news, now);
       Quarantine *to = tables[random() % 5];
       for (unsigned i = 0; i < news.n; i++) {
--- a/test/test_random.cc
+++ b/test/test_random.cc
@@ -39,7 +39,7 @@
 class Trial {
 public:
   explicit Trial(unsigned seed) : random(seed) {
-    world.populate();
+    world.add_default_endpoints();
     world.endpoint({"dec-3", "llm", "b", STAGE_DECODE});
     world.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
     world.now += 20 * second;
@@ -93,7 +93,7 @@
   }
 
   /* the endpoint of an open dispatch does something */
-  void act(const Sent &sent) {
+  void act(const SentDispatch &sent) {
     Lived &life = lived[sent.number];
     if (life.over || sent.cancelled)
       return;
@@ -105,7 +105,8 @@
       act_plain(sent, life);
   }
 
-  void end(const Sent &sent, Lived &life, OutcomeKind kind, int status = 200) {
+  void end(const SentDispatch &sent, Lived &life, OutcomeKind kind,
+           int status = 200) {
     life.over = true;
     if (kind != OUTCOME_UNREACHABLE && kind != OUTCOME_NOT_RUN)
       life.may_have_run = true;
@@ -114,7 +115,7 @@
   }
 
   /* what any dispatch may meet; FALSE: nothing of that this time */
-  bool act_badly(const Sent &sent, Lived &life) {
+  bool act_badly(const SentDispatch &sent, Lived &life) {
     switch (draw(6)) {
     case 0:
       end(sent, life, OUTCOME_UNREACHABLE);
@@ -130,7 +131,7 @@
     }
   }
 
-  void act_prefill(const Sent &sent, Lived &life) {
+  void act_prefill(const SentDispatch &sent, Lived &life) {
     if (act_badly(sent, life))
       return;
     std::string handle = "h" + std::to_string(sent.number);
@@ -139,12 +140,12 @@
     world.prefilled(sent.number, handle.c_str());
   }
 
-  void act_plain(const Sent &sent, Lived &life) {
+  void act_plain(const SentDispatch &sent, Lived &life) {
     if (!act_badly(sent, life))
       end(sent, life, OUTCOME_ANSWER, draw(3) == 0 ? 500 : 200);
   }
 
-  void act_stream(const Sent &sent, Lived &life) {
+  void act_stream(const SentDispatch &sent, Lived &life) {
     if (!life.may_have_run) {
       if (draw(3) == 0) {
         act_plain(sent, life);
@@ -168,7 +169,7 @@
   void act_check() {
     if (world.checks.empty())
       return;
-    Sent sent = world.checks.back();
+    SentDispatch sent = world.checks.back();
     world.checks.pop_back();
     if (draw(3) != 0)
       world.outcome(sent.number,
@@ -212,7 +213,7 @@
       if (!world.dispatches.empty()) {
         size_t back = draw(12);
         size_t at = world.dispatches.size();
-        Sent sent = world.dispatches[at - 1 - std::min(back, at - 1)];
+        SentDispatch sent = world.dispatches[at - 1 - std::min(back, at - 1)];
         act(sent);
       }
       world.advance(draw(30) * ms);
@@ -222,7 +223,7 @@
   /* runs of a request that may have run; those left open count too */
   unsigned may_have_run(guint64 request) {
     unsigned count = 0;
-    for (const Sent &sent : world.dispatches) {
+    for (const SentDispatch &sent : world.dispatches) {
       if (sent.kind != DISPATCH_RUN || sent.request != request)
         continue;
       const Lived &life = lived[sent.number];
@@ -232,7 +233,7 @@
   }
 
   void check_ends(guint64 request, const Asked &one) {
-    const Ended &end = world.end(request);
+    const CallerResult &end = world.end(request);
     EXPECT_LE(end.ends(), 1) << "ended twice: " << request;
     if (!one.left) {
       EXPECT_EQ(end.ends(), 1) << "never ended: " << request;
@@ -267,7 +268,7 @@
       check_runs(request, one);
       check_events(request);
     }
-    for (const Sent &sent : world.dispatches) {
+    for (const SentDispatch &sent : world.dispatches) {
       if (sent.kind == DISPATCH_RUN && !sent.handle.empty()) {
         EXPECT_EQ(handle_owner[sent.handle], sent.request);
       }
--- a/test/test_rate_limits.cc
+++ b/test/test_rate_limits.cc
@@ -32,17 +32,18 @@
   }
   void receive_news(double rate, guint32 age_ms, guint32 sent = 0,
                     guint32 zone = 0, mp_Addr from = peer) {
-    mp_RateNews news = {};
+    mp_RateUpdate news = {};
     news.zone = zone;
     news.relay = from;
     news.n = 1;
     news.row[0] = {endpoint,
-                   rate < 0 ? MP_RATE_ANY : static_cast<guint32>(rate * 1000),
+                   rate < 0 ? MP_RATE_UNLIMITED
+                            : static_cast<guint32>(rate * 1000),
                    age_ms, sent};
     rate_limits_receive(limits, from, &news, &alone, now);
   }
   mp_RateRow reported_row(bool sums = false) {
-    mp_RateNews news = {};
+    mp_RateUpdate news = {};
     if (sums)
       rate_limits_write_summary(limits, &news, now);
     else
@@ -121,7 +122,7 @@
   EXPECT_EQ(reported_row().rate, 4000u);
   now += second;
   rate_limits_set(limits, endpoint, RATE_UNLIMITED, now);
-  EXPECT_EQ(reported_row().rate, MP_RATE_ANY);
+  EXPECT_EQ(reported_row().rate, MP_RATE_UNLIMITED);
   EXPECT_EQ(reported_row().endpoint, endpoint);
   now += 6 * second;
   EXPECT_EQ(reported_row().endpoint, 0u);
@@ -221,7 +222,7 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
   }
   /* The answer to the last dispatch names this rate; below 0: none. */
   void signal_rate(double rate) {
@@ -286,7 +287,7 @@
 
 TEST_F(RouterRateLimitTest, LaterIncarnationHasNoLimit) {
   world.started_unix_ms = 1000;
-  world.populate();
+  world.add_default_endpoints();
   std::string limited = serve_request("/safe/x", 1);
   EXPECT_EQ(router_limited_endpoints(world.router), 1u);
   world.started_unix_ms = 2000;
@@ -311,17 +312,17 @@
   serve_request("/stream/x", 50);
   serve_request("/stream/x", 50);
   world.advance(5 * second);
-  mp_RateNews before = {};
+  mp_RateUpdate before = {};
   router_report_rates(world.router, FALSE, &before, world.now);
   world.request("/stream/x");
   ASSERT_EQ(world.last().kind, DISPATCH_PREFILL);
-  mp_RateNews reserved = {};
+  mp_RateUpdate reserved = {};
   router_report_rates(world.router, FALSE, &reserved, world.now);
   world.prefilled(world.last().number);
   ASSERT_EQ(world.last().kind, DISPATCH_RUN);
-  mp_RateNews sent = {};
+  mp_RateUpdate sent = {};
   router_report_rates(world.router, FALSE, &sent, world.now);
-  auto sum = [](const mp_RateNews &news) {
+  auto sum = [](const mp_RateUpdate &news) {
     guint32 all = 0;
     for (unsigned i = 0; i < news.n; i++)
       all += news.row[i].sent;
--- a/test/test_relays.cc
+++ b/test/test_relays.cc
@@ -29,8 +29,8 @@
   }
 
   static void expect_known(World &world, const char *text) {
-    EXPECT_EQ(world.knowing(STORE_CONFIGURATION, "main", text),
-              world.living());
+    EXPECT_EQ(world.instances_knowing(STORE_CONFIGURATION, "main", text),
+              world.live_instances());
   }
 
   /* the relays of one data centre, or of all */
@@ -66,13 +66,13 @@
   world->write(STORE_CONFIGURATION, "main", "2");
   world->start_all();
   world->run(10 * ms); /* relays have the change from their watch already */
-  EXPECT_EQ(world->knowing(STORE_CONFIGURATION, "main", "1") +
-                world->knowing(STORE_CONFIGURATION, "main", "2"),
+  EXPECT_EQ(world->instances_knowing(STORE_CONFIGURATION, "main", "1") +
+                world->instances_knowing(STORE_CONFIGURATION, "main", "2"),
             GetParam());
   world->run(700 * ms);
   expect_known(*world, "2");
   EXPECT_LE(world->store_calls, 2 * zones * 6u);
-  EXPECT_LE(world->stale_calls, 3 * GetParam());
+  EXPECT_LE(world->stale_list_calls, 3 * GetParam());
 }
 
 TEST_P(Sizes, AChangeIsEverywhereWithinTenthsOfASecond) {
@@ -81,7 +81,7 @@
     std::string text = std::to_string(i);
     world->write(STORE_CONFIGURATION, "main", text);
     world->run(3 * second);
-    EXPECT_LE(world->slowest("main", text), 800 * ms) << i;
+    EXPECT_LE(world->slowest_delay("main", text), 800 * ms) << i;
   }
 }
 
@@ -91,8 +91,8 @@
   world->run(2 * second);
   world->remove(STORE_ENDPOINTS, "e2");
   world->run(2 * second);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "1"), 0u);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "1"), GetParam());
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "1"), 0u);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "1"), GetParam());
 }
 
 TEST_P(Sizes, AllRelaysOfADataCentreKilledAtOnce) {
@@ -102,7 +102,7 @@
   world->write(STORE_CONFIGURATION, "main", "2");
   world->run(apply_bound);
   expect_known(*world, "2");
-  EXPECT_LT(world->slowest("main", "2"), apply_bound);
+  EXPECT_LT(world->slowest_delay("main", "2"), apply_bound);
 }
 
 TEST_P(Sizes, RelaysCutFromTheStoreHearTheNewsFromOtherDataCentres) {
@@ -112,7 +112,7 @@
   world->run(100 * ms);
   world->write(STORE_CONFIGURATION, "main", "2");
   world->run(apply_bound);
-  EXPECT_LT(world->slowest("main", "2"), apply_bound);
+  EXPECT_LT(world->slowest_delay("main", "2"), apply_bound);
 }
 
 TEST_P(Sizes, AllRelaysCutFromTheStoreAreReplaced) {
@@ -122,7 +122,7 @@
   world->run(100 * ms);
   world->write(STORE_CONFIGURATION, "main", "2");
   world->run(apply_bound);
-  EXPECT_LT(world->slowest("main", "2"), apply_bound);
+  EXPECT_LT(world->slowest_delay("main", "2"), apply_bound);
 }
 
 TEST_P(Sizes, AStoreThatIsAwayIsAskedByFew) {
@@ -137,7 +137,7 @@
   world->store_up = true;
   world->write(STORE_CONFIGURATION, "main", "2");
   world->run(apply_bound);
-  EXPECT_LT(world->slowest("main", "2"), apply_bound);
+  EXPECT_LT(world->slowest_delay("main", "2"), apply_bound);
   world->run(3 * second);
   EXPECT_LE(world->with_role(RELAY_ROLE_RELAY), 2 * zones);
 }
@@ -153,7 +153,7 @@
   world->store_up = true;
   world->write(STORE_CONFIGURATION, "main", "2");
   world->run(apply_bound);
-  EXPECT_LT(world->slowest("main", "2"), apply_bound);
+  EXPECT_LT(world->slowest_delay("main", "2"), apply_bound);
 }
 
 /* new instances: one of two relays of a data centre, and all of another */
@@ -164,21 +164,21 @@
     relay->is_listed = false;
   world->write(STORE_CONFIGURATION, "main", "2");
   world->run(apply_bound);
-  EXPECT_LT(world->slowest("main", "2"), apply_bound);
+  EXPECT_LT(world->slowest_delay("main", "2"), apply_bound);
 }
 
 TEST_P(Sizes, HistoryThatIsForgottenBringsNothingOldBack) {
   auto world = begin();
   world->write(STORE_CONFIGURATION, "main", "2");
-  world->forget_history();
+  world->compact_history();
   world->run(50 * ms);
   world->write(STORE_CONFIGURATION, "main", "3");
   world->remove(STORE_ENDPOINTS, "e1");
   world->run(3 * second);
   expect_known(*world, "3");
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "1"), 0u);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "1"), 0u);
   for (auto &one : world->all)
-    EXPECT_EQ(one->backwards, 0u);
+    EXPECT_EQ(one->older_texts_taken, 0u);
 }
 
 TEST_P(Sizes, AllKilledAtOnceKnowAllAgainAtOnce) {
@@ -212,7 +212,8 @@
   world->start_all();
   world->run(10 * ms);
   expect_known(*world, "1");
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "1"), world->living());
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "1"),
+            world->live_instances());
   spoil(700 * ms);
   guint64 before = world->store_calls;
   spoil(10 * second);
@@ -223,7 +224,7 @@
   spoil(apply_bound);
   expect_known(*world, "2");
   for (auto &one : world->all)
-    EXPECT_EQ(one->backwards, 0u);
+    EXPECT_EQ(one->older_texts_taken, 0u);
 }
 
 TEST_P(Sizes, RandomLossesOfRelaysNeverLeaveAnybodyBehind) {
@@ -237,7 +238,7 @@
     }
     world->write(STORE_CONFIGURATION, "main", std::to_string(100 + version++));
     world->run(apply_bound);
-    EXPECT_LT(world->slowest("main", std::to_string(99 + version)),
+    EXPECT_LT(world->slowest_delay("main", std::to_string(99 + version)),
               apply_bound)
         << round;
     for (auto &one : world->all) {
@@ -247,7 +248,7 @@
     world->run(g_rand_int_range(random, 200, 1500) * ms);
   }
   for (auto &one : world->all)
-    EXPECT_EQ(one->backwards, 0u);
+    EXPECT_EQ(one->older_texts_taken, 0u);
   g_rand_free(random);
 }
 
@@ -359,7 +360,7 @@
   world.start_all();
   world.run(3 * second);
   EXPECT_EQ(world.with_role(RELAY_ROLE_ALONE), 9u);
-  EXPECT_EQ(world.knowing(STORE_CONFIGURATION, "main", "1"), 9u);
+  EXPECT_EQ(world.instances_knowing(STORE_CONFIGURATION, "main", "1"), 9u);
 }
 
 /* it may be of an earlier release, and names no change of the new era */
@@ -374,7 +375,7 @@
     g_array_append_val(near, one);
   }
   relay_group_set_members(group, near, far, now);
-  mp_RelayBeat told = {};
+  mp_RelayHeartbeat told = {};
   told.age_ms = 50;
   told.changed[STORE_CONFIGURATION] = store_position(1, 900);
   for (mp_Addr i = 1; i < 10; i++)
--- a/test/test_router.cc
+++ b/test/test_router.cc
@@ -19,7 +19,7 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
   }
 
   /* Starts a stream, completes its prefill and returns the request's number;
@@ -66,7 +66,7 @@
 
 TEST_F(RouterTest, UnreachableEndpointSpendsNoRetryBudget) {
   World no_retries(0, 0.0); /* the retry budget is empty */
-  no_retries.populate();
+  no_retries.add_default_endpoints();
   guint64 request = no_retries.request("/unsafe/x");
   std::string first = no_retries.last().endpoint;
   no_retries.outcome(no_retries.last().number, OUTCOME_UNREACHABLE);
@@ -301,7 +301,7 @@
   const char *const engines[] = {"dec-1", "dec-2"};
   for (const char *engine : engines) {
     mp_LoadRow &row = digest.row[digest.n++];
-    row.endpoint = life_of(engine);
+    row.endpoint = incarnation_hash_of(engine);
     row.tokens = tokens;
     row.open = tokens > 0 ? 3 : 0;
   }
@@ -341,7 +341,7 @@
 
 TEST(PrefillRetryBudget, WaitingRequestIsNotPrefilledAgainWithoutBudget) {
   World no_retries(0, 0.0);
-  no_retries.populate();
+  no_retries.add_default_endpoints();
   guint64 request = no_retries.request("/stream/x");
   report_decode_load(no_retries, 1, 9500);
   no_retries.prefilled(no_retries.last().number, "h7");
@@ -384,7 +384,7 @@
 TEST_F(RouterTest, LostPrefillIsRefusedWithoutBudget) {
   for (OutcomeKind kind : {OUTCOME_BROKEN, OUTCOME_NOT_RUN}) {
     World no_retries(0, 0.0);
-    no_retries.populate();
+    no_retries.add_default_endpoints();
     no_retries.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
     guint64 request = no_retries.request("/stream/x");
     size_t sent = no_retries.dispatches.size();
@@ -398,7 +398,7 @@
 /* Without budget for another prefill, cancelling a slow one gains nothing. */
 TEST_F(RouterTest, SlowPrefillIsAwaitedWithoutBudget) {
   World no_retries(0, 0.0);
-  no_retries.populate();
+  no_retries.add_default_endpoints();
   no_retries.endpoint({"pre-2", "llm", "a", STAGE_PREFILL});
   guint64 request = no_retries.request("/stream/x");
   guint64 prefill = no_retries.last().number;
@@ -412,7 +412,7 @@
 
 TEST_F(RouterTest, PrefillTriesOtherPrefillEnginesBeforeADecodeEngine) {
   World many_retries(0, 10.0);
-  many_retries.populate();
+  many_retries.add_default_endpoints();
   many_retries.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
   many_retries.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
   guint64 request = many_retries.request("/stream/x");
@@ -433,7 +433,7 @@
 
 TEST_F(RouterTest, UnreachablePrefillEngineSpendsNoRetryBudget) {
   World no_retries(0, 0.0);
-  no_retries.populate();
+  no_retries.add_default_endpoints();
   no_retries.endpoint({"pre-2", "llm", "b", STAGE_PREFILL});
   no_retries.request("/stream/x");
   std::string first = no_retries.last().endpoint;
@@ -545,9 +545,9 @@
   world.endpoint({"pre-3", "llm", "b", STAGE_PREFILL});
   world.endpoint({"dec-3", "llm", "a", STAGE_DECODE});
   for (guint64 session = 1; session <= 9; session++) {
-    guint64 first = world.resumption("/resume/x", session);
+    guint64 first = world.request_resumption("/resume/x", session);
     std::string home = world.last().endpoint;
-    guint64 second = world.resumption("/resume/x", session);
+    guint64 second = world.request_resumption("/resume/x", session);
     EXPECT_EQ(world.last().kind, DISPATCH_PREFILL);
     EXPECT_EQ(world.last().endpoint, home) << session;
     world.hangup(first);
@@ -579,7 +579,7 @@
 
 TEST(PrefillRetryBudget, SecondPrefillNeedsBudget) {
   World one_retry(0, 1.5); /* pays for one extra arrival, the second run */
-  one_retry.populate();
+  one_retry.add_default_endpoints();
   guint64 request = one_retry.request("/resume/x");
   one_retry.prefilled(one_retry.last().number);
   one_retry.outcome(one_retry.last().number, OUTCOME_STREAM_HEAD);
@@ -592,7 +592,7 @@
 
 TEST(StreamRetryBudget, SilentStreamThatCannotBeRetriedIsKept) {
   World no_retries(0, 0.0);
-  no_retries.populate();
+  no_retries.add_default_endpoints();
   guint64 request = no_retries.request("/resume/x");
   no_retries.prefilled(no_retries.last().number);
   guint64 run = no_retries.last().number;
@@ -733,7 +733,7 @@
 TEST_F(RouterTest, OpenRequestsOfPeersUseCapacity) {
   mp_LoadDigest own;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/stream/x", 10000, 9000);
   other.request("/stream/x", 10000, 9000);
   router_load_digest(other.router, &own, other.now);
@@ -768,7 +768,7 @@
 TEST_F(RouterTest, SilentEngineIsAvoidedHereAndByPeers) {
   mp_LoadDigest digest;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   start_prefilled_stream("/stream/x");
   std::string silent = world.last().endpoint;
   world.advance(600 * ms);
@@ -788,7 +788,7 @@
 TEST_F(RouterTest, UnreachableEndpointIsAvoidedByPeers) {
   mp_LoadDigest digest;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   world.request("/unsafe/x");
   std::string dead = world.last().endpoint;
   world.outcome(world.last().number, OUTCOME_UNREACHABLE);
@@ -818,7 +818,7 @@
   std::set<std::string> endpoints_used;
   for (const char *full : {"dec-1", "dec-2"}) {
     World one;
-    one.populate();
+    one.add_default_endpoints();
     one.request("/stream/x", 10000, 4000);
     mp_LoadDigest digest = digest_with_load_at(full, 9000);
     router_peer_load(one.router, mp_addr_parse("10.0.0.9:1"), 1, &digest,
@@ -835,7 +835,7 @@
   const mp_Addr peer = mp_addr_parse("10.0.0.9:1");
   mp_LoadDigest digest;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   router_load_digest(other.router, &digest, other.now);
   router_peer_load(world.router, peer, 7, &digest, world.now);
   other.request("/stream/x", 10000, 9000);
@@ -862,7 +862,7 @@
   mp_LoadDigest full;
   mp_LoadDigest empty = {};
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/stream/x", 10000, 9000);
   other.request("/stream/x", 10000, 9000);
   router_load_digest(other.router, &full, other.now);
@@ -877,7 +877,7 @@
 TEST_F(RouterTest, LoadOfASilentPeerExpires) {
   mp_LoadDigest full;
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/stream/x", 10000, 9000);
   other.request("/stream/x", 10000, 9000);
   router_load_digest(other.router, &full, other.now);
@@ -906,7 +906,7 @@
 
 TEST(RetryBudget, NewInstanceHasNoShareOfTheSlack) {
   World world(100, 0.0);
-  world.populate();
+  world.add_default_endpoints();
   guint64 request = world.request("/unsafe/x");
   world.outcome(world.last().number, OUTCOME_NOT_RUN, 503);
   EXPECT_EQ(world.runs(request), 1u);
@@ -915,7 +915,7 @@
 
 TEST(RetryBudget, SlackIsDividedAmongInstances) {
   World world(100, 0.0);
-  world.populate();
+  world.add_default_endpoints();
   router_set_instances(world.router, 10, 10);
   world.now += 20 * second;
   unsigned again = 0;
@@ -936,7 +936,7 @@
   explicit Instances(unsigned count, guint32 slack, double ratio) {
     for (unsigned i = 0; i < count; i++) {
       all.push_back(std::make_unique<World>(slack, ratio));
-      all.back()->populate();
+      all.back()->add_default_endpoints();
       router_set_instances(all.back()->router, count, count);
     }
   }
@@ -1041,7 +1041,7 @@
 TEST(RetryBudget, RestartedPeerIsCountedFromZero) {
   World world(100, 0.0);
   mp_LoadDigest digest = {};
-  world.populate();
+  world.add_default_endpoints();
   router_set_instances(world.router, 2, 2);
   world.request("/unsafe/x"); /* makes the service known to the router */
   world.now += 20 * second;
@@ -1060,7 +1060,7 @@
 
 TEST(RetryBudget, HoldsInEverySlidingWindow) {
   World world(0, 0.2);
-  world.populate();
+  world.add_default_endpoints();
   std::vector<gint64> requests;
   std::vector<gint64> extras;
   for (int i = 0; i < 2000; i++) {
@@ -1092,7 +1092,7 @@
   static constexpr gint64 objective = 120 * ms;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
     world.configure(2, 800 * ms, objective);
   }
   /* Returns the highest failure rate, in percent, in the digest to peers. */
--- a/test/test_stages.cc
+++ b/test/test_stages.cc
@@ -124,8 +124,8 @@
       world.advance(110 * ms);
     }
   }
-  std::vector<Sent> dispatches_of(DispatchKind kind) const {
-    std::vector<Sent> found;
+  std::vector<SentDispatch> dispatches_of(DispatchKind kind) const {
+    std::vector<SentDispatch> found;
     for (const auto &one : world.dispatches) {
       if (one.kind == kind)
         found.push_back(one);
@@ -147,7 +147,7 @@
   }
   /* Takes the lease; returns the dispatches that ask the chosen engines for
   ** their state. */
-  std::vector<Sent> reports_after_lease() {
+  std::vector<SentDispatch> reports_after_lease() {
     load_and_take_lease();
     world.advance(500 * ms);
     return dispatches_of(DISPATCH_REPORT);
@@ -285,7 +285,7 @@
   for (const auto &name : names)
     world.endpoint({name.c_str(), "llm", "a", STAGE_PREFILL});
   auto reports = reports_after_lease();
-  EXPECT_LE(reports.size(), static_cast<size_t>(MP_DIGEST_CHANGING));
+  EXPECT_LE(reports.size(), static_cast<size_t>(MP_LOAD_DIGEST_CHANGING));
   for (const auto &report : reports) {
     world.reported(report.number, STAGE_PREFILL, 0);
     world.outcome(dispatches_of(DISPATCH_ORDER).back().number, OUTCOME_ANSWER,
--- a/test/test_store_restored.cc
+++ b/test/test_store_restored.cc
@@ -51,7 +51,7 @@
     world->store_up = true;
   }
   void expect_newest(const char *when) {
-    EXPECT_EQ(world->oldest_of_all("main"), version) << when;
+    EXPECT_EQ(world->oldest_known_configuration("main"), version) << when;
   }
 };
 
@@ -71,10 +71,11 @@
   world->write(STORE_ENDPOINTS, "e1", "leaving");
   world->remove(STORE_ENDPOINTS, "e2");
   world->run(bound);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "leaving"), world->living());
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "leaving"),
+            world->live_instances());
   /* one that went before the first list may be only not written again */
   world->run(missing_bound - bound);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
 }
 
 TEST_P(Restored, AnEndpointThatGoesOnceItWasListedIsHeardOfInTime) {
@@ -83,7 +84,7 @@
   world->run(1500 * ms);
   world->remove(STORE_ENDPOINTS, "e2");
   world->run(bound);
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e2", "ready"), 0u);
 }
 
 /* the store has counted past the old revision before anybody asks */
@@ -99,7 +100,8 @@
   world->store_up = true;
   world->run(bound);
   expect_newest("past the old count");
-  EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e1", "leaving"), world->living());
+  EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e1", "leaving"),
+            world->live_instances());
 }
 
 TEST_P(Restored, NoInstanceTakesAnOlderConfigurationOrAShortList) {
@@ -110,7 +112,8 @@
   for (int i = 0; i < 40; i++) {
     world->run(50 * ms);
     expect_newest("after the return");
-    EXPECT_EQ(world->knowing(STORE_ENDPOINTS, "e3", "ready"), world->living());
+    EXPECT_EQ(world->instances_knowing(STORE_ENDPOINTS, "e3", "ready"),
+              world->live_instances());
   }
 }
 
@@ -145,7 +148,8 @@
 /* who knows what now; -1: some do not */
 gint64 time_until_known(World &world, const std::string &text, gint64 most) {
   for (gint64 time = 0; time <= most; time += 10 * ms) {
-    if (world.knowing(STORE_CONFIGURATION, "main", text) == world.living())
+    if (world.instances_knowing(STORE_CONFIGURATION, "main", text) ==
+        world.live_instances())
       return time;
     world.run(10 * ms);
   }
--- a/test/test_summaries.cc
+++ b/test/test_summaries.cc
@@ -19,7 +19,7 @@
 constexpr mp_Addr relay_two = 0x0a01000000020001;
 
 guint32 hash_of(const char *endpoint) {
-  return life_of(endpoint);
+  return incarnation_hash_of(endpoint);
 }
 
 mp_LoadSummary full_engines(mp_Addr relay, guint32 tokens) {
@@ -40,7 +40,7 @@
   World world;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
   }
   bool has_room() {
     size_t before = world.dispatches.size();
@@ -54,11 +54,11 @@
 TEST_F(Summaries, WhatAnotherDataCentreHasOpenTakesRoom) {
   mp_LoadSummary full = full_engines(relay_one, 9000);
   mp_LoadSummary empty = full_engines(relay_one, 0);
-  router_zone_load(world.router, 100, &full, world.now);
+  router_receive_summary(world.router, 100, &full, world.now);
   EXPECT_FALSE(has_room());
-  router_zone_load(world.router, 99, &empty, world.now); /* overtaken */
+  router_receive_summary(world.router, 99, &empty, world.now); /* overtaken */
   EXPECT_FALSE(has_room());
-  router_zone_load(world.router, 101, &empty, world.now);
+  router_receive_summary(world.router, 101, &empty, world.now);
   EXPECT_TRUE(has_room());
 }
 
@@ -86,14 +86,14 @@
 TEST_F(Summaries, OfOneDataCentreTheRelayHeardLastCounts) {
   mp_LoadSummary full = full_engines(relay_one, 9000);
   mp_LoadSummary empty = full_engines(relay_two, 0);
-  router_zone_load(world.router, 100, &full, world.now);
-  router_zone_load(world.router, 5, &empty, world.now);
+  router_receive_summary(world.router, 100, &full, world.now);
+  router_receive_summary(world.router, 5, &empty, world.now);
   EXPECT_TRUE(has_room());
 }
 
 TEST_F(Summaries, ASilentDataCentreHasNothingOpen) {
   mp_LoadSummary full = full_engines(relay_one, 9000);
-  router_zone_load(world.router, 100, &full, world.now);
+  router_receive_summary(world.router, 100, &full, world.now);
   world.now += 2 * second;
   router_tick(world.router, world.now);
   EXPECT_TRUE(has_room());
@@ -105,7 +105,7 @@
   mp_LoadSummary out;
   near.waiting = 2;
   near.in_time = 1;
-  router_zone_load(world.router, 100, &far, world.now);
+  router_receive_summary(world.router, 100, &far, world.now);
   router_peer_load(world.router, 0x0a00000000010001, 4, &near, world.now);
   router_peer_load(world.router, 0x0a00000000020001, 4, &near, world.now);
   router_load_summary(world.router, &out, world.now);
@@ -121,13 +121,13 @@
   mp_LoadSummary out;
   for (guint32 peer = 0; peer < 4; peer++) {
     mp_LoadDigest digest = {};
-    for (digest.n = 0; digest.n < MP_DIGEST_ROWS; digest.n++)
+    for (digest.n = 0; digest.n < MP_LOAD_DIGEST_ROWS; digest.n++)
       digest.row[digest.n] = {1000 * peer + digest.n, 500, 1, 0};
     router_peer_load(world.router, 0x0a00000000010001 + peer, 1, &digest,
                      world.now);
   }
   router_load_summary(world.router, &out, world.now);
-  EXPECT_EQ(out.loads.n, unsigned(MP_DIGEST_ROWS));
+  EXPECT_EQ(out.loads.n, unsigned(MP_LOAD_DIGEST_ROWS));
 }
 
 /* data centres whose instances hear each other each 100 ms, and of the other
@@ -169,7 +169,8 @@
       summary.zone = zone + 1;
       for (unsigned to = 0; to < all.size(); to++) {
         if (to / each != zone)
-          router_zone_load(all[to]->router, sequence, &summary, all[to]->now);
+          router_receive_summary(all[to]->router, sequence, &summary,
+                                 all[to]->now);
       }
     }
   }
@@ -228,7 +229,7 @@
 mp_LoadSummary totals(mp_Addr relay, guint32 requests, guint32 extras) {
   mp_LoadSummary summary = {};
   World other;
-  other.populate();
+  other.add_default_endpoints();
   other.request("/unsafe/x");
   router_load_digest(other.router, &summary.loads, other.now);
   EXPECT_EQ(summary.loads.retry_count, 1u);
@@ -246,14 +247,14 @@
   guint32 sequence = 0;
 
   void SetUp() override {
-    world.populate();
+    world.add_default_endpoints();
     router_set_instances(world.router, 2, 1);
     world.request("/unsafe/x"); /* the service is known */
     world.now += 20 * second;
   }
   void tell(mp_Addr relay, guint32 extras) {
     mp_LoadSummary summary = totals(relay, 1000, extras);
-    router_zone_load(world.router, ++sequence, &summary, world.now);
+    router_receive_summary(world.router, ++sequence, &summary, world.now);
   }
   bool retries() {
     guint64 request = world.request("/unsafe/x");
@@ -272,7 +273,7 @@
 /* the kind of the first dispatch of a request for an engine */
 DispatchKind first_dispatch(unsigned near, gint64 age) {
   World one(0, 0.0); /* no extra arrival is left */
-  one.populate();
+  one.add_default_endpoints();
   router_set_instances(one.router, 60, near);
   one.now += age;
   one.request("/stream/x");
--- a/test/test_suspicions.cc
+++ b/test/test_suspicions.cc
@@ -19,11 +19,11 @@
 
 struct SuspicionWorld : ::testing::Test {
   World world;
-  std::vector<Sent> broken;
+  std::vector<SentDispatch> broken;
 
   void SetUp() override {
     world.started_unix_ms = 1000;
-    world.populate();
+    world.add_default_endpoints();
     for (const char *id : {"app-3", "app-4", "app-5"})
       world.endpoint({id, "app", "a", STAGE_NONE});
     world.content = 5;
@@ -109,22 +109,22 @@
 /* bytes that were on their way when the endpoint ended prove nothing */
 TEST_F(SuspicionWorld, AnAnswerThatWasOnItsWayTakesNoneAway) {
   world.content = 9;
-  std::vector<Sent> open;
+  std::vector<SentDispatch> open;
   for (int i = 0; i < 5; i++) {
     world.request("/safe/x");
     open.push_back(world.last());
   }
   world.content = 5;
   break_off(3);
-  for (const Sent &one : open)
+  for (const SentDispatch &one : open)
     world.outcome(one.number, OUTCOME_ANSWER);
   EXPECT_TRUE(is_deferred());
 }
 
 /* what others suspect counts as well, by its age */
 TEST_F(SuspicionWorld, OtherInstancesTellTheirs) {
-  mp_CrashNews news = {};
-  mp_CrashNews own = {};
+  mp_CrashUpdate news = {};
+  mp_CrashUpdate own = {};
   break_off(2);
   world.advance(300 * ms);
   router_report_crashes(world.router, FALSE, &own, world.now);
@@ -147,7 +147,7 @@
   for (int i = 0; i < 3; i++) {
     world.content = 5;
     world.request("/unsafe/x");
-    Sent run = world.last();
+    SentDispatch run = world.last();
     world.signal(run.number, signals_leaving());
     world.outcome(run.number, OUTCOME_BROKEN);
   }
--- a/test/test_wire.cc
+++ b/test/test_wire.cc
@@ -27,14 +27,14 @@
 }
 
 struct Taken {
-  RpcTaken how;
+  RpcDecoded how;
   mp_Msg m;
   std::string answer;
 };
 
 Taken decode(const std::string &s) {
   Taken t;
-  char out[MP_MAXDGRAM];
+  char out[MP_DATAGRAM_MAX];
   size_t n = 0;
   t.how = rpc_decode(s.data(), s.size(), kindof, nullptr, &t.m, out,
                      sizeof out, &n);
@@ -43,26 +43,26 @@
 }
 
 std::string encode(const mp_Msg &m) {
-  char out[MP_MAXDGRAM];
+  char out[MP_DATAGRAM_MAX];
   size_t n = rpc_encode(&m, out, sizeof out);
   return std::string(out, n);
 }
 
 /* the fullest message of each kind */
 void fill(mp_LoadDigest *digest) {
-  digest->n = MP_DIGEST_ROWS;
+  digest->n = MP_LOAD_DIGEST_ROWS;
   digest->waiting = 3;
   digest->in_time = 2;
   digest->oldest_ms = 400;
-  digest->row[MP_DIGEST_ROWS - 1].tokens = 99;
-  digest->row[MP_DIGEST_ROWS - 1].open = 3;
-  digest->row[MP_DIGEST_ROWS - 1].failing = 40;
-  digest->changing_count = MP_DIGEST_CHANGING;
-  digest->changing[MP_DIGEST_CHANGING - 1] = 7;
-  digest->leaving_count = MP_DIGEST_LEAVING;
-  digest->leaving[MP_DIGEST_LEAVING - 1] = 9;
-  digest->retry_count = MP_DIGEST_SERVICES;
-  digest->retry[MP_DIGEST_SERVICES - 1] = {8, 90, 10};
+  digest->row[MP_LOAD_DIGEST_ROWS - 1].tokens = 99;
+  digest->row[MP_LOAD_DIGEST_ROWS - 1].open = 3;
+  digest->row[MP_LOAD_DIGEST_ROWS - 1].failing = 40;
+  digest->changing_count = MP_LOAD_DIGEST_CHANGING;
+  digest->changing[MP_LOAD_DIGEST_CHANGING - 1] = 7;
+  digest->leaving_count = MP_LOAD_DIGEST_LEAVING;
+  digest->leaving[MP_LOAD_DIGEST_LEAVING - 1] = 9;
+  digest->retry_count = MP_LOAD_DIGEST_SERVICES;
+  digest->retry[MP_LOAD_DIGEST_SERVICES - 1] = {8, 90, 10};
 }
 
 mp_Msg full(mp_MsgKind k) {
@@ -88,9 +88,9 @@
     m.u.renew.row[MP_RENEW_BATCH - 1].tokens = 99;
     break;
   case MP_MSG_FETCH:
-    memset(m.u.fetch.digest, 'a', MP_DIGEST);
-    m.u.fetch.n = MP_CHUNK;
-    m.u.fetch.data[MP_CHUNK - 1] = 'z';
+    memset(m.u.fetch.digest, 'a', MP_SHA256_HEX);
+    m.u.fetch.n = MP_CHUNK_SIZE;
+    m.u.fetch.data[MP_CHUNK_SIZE - 1] = 'z';
     break;
   case MP_MSG_LOAD_DIGEST:
     fill(&m.u.digest);
@@ -107,8 +107,8 @@
     m.u.crashes.suspected[MP_SUSPECT_ROWS - 1] = {1ULL << 63, UINT32_MAX, 9};
     for (unsigned i = 0; i < MP_CRASH_ROWS; i++) {
       m.u.crashes.row[i].request = (1ULL << 63) + i;
-      m.u.crashes.row[i].n = MP_CRASHES_EACH;
-      m.u.crashes.row[i].crash[MP_CRASHES_EACH - 1] = UINT32_MAX;
+      m.u.crashes.row[i].n = MP_CRASHES_PER_ROW;
+      m.u.crashes.row[i].crash[MP_CRASHES_PER_ROW - 1] = UINT32_MAX;
     }
     break;
   case MP_MSG_RATES:
@@ -116,19 +116,19 @@
     m.u.rates.zone = 77;
     m.u.rates.n = MP_RATE_ROWS;
     for (unsigned i = 0; i < MP_RATE_ROWS; i++)
-      m.u.rates.row[i] = {i + 1, MP_RATE_ANY, 1u << 20, UINT32_MAX - i};
+      m.u.rates.row[i] = {i + 1, MP_RATE_UNLIMITED, 1u << 20, UINT32_MAX - i};
     break;
   case MP_MSG_LOAD_NOTE:
     m.u.note = {17, 4, 3200};
     break;
-  case MP_MSG_RELAY_BEAT:
+  case MP_MSG_RELAY_HEARTBEAT:
     m.u.beat = {{{3, 1LL << 40}, {2, 7}, {0, 0}, {1ULL << 41, 1}},
                 350,
                 1ULL << 41,
                 212,
                 1ULL << 42};
     break;
-  case MP_MSG_RELAY_ASK:
+  case MP_MSG_HEARTBEAT_REQUEST:
     m.u.ask.asked_us = 1ULL << 43;
     break;
   default:
@@ -159,11 +159,11 @@
 
 /* where a message of an earlier release ends; 0: where it ends now */
 size_t earlier_end(mp_MsgKind kind, size_t size) {
-  return kind == MP_MSG_RELAY_BEAT ? size - 8 * MP_RELAY_KINDS : 0;
+  return kind == MP_MSG_RELAY_HEARTBEAT ? size - 8 * MP_RELAY_KINDS : 0;
 }
 
 TEST(Wire, AHeartbeatOfAnEarlierReleaseNamesNoEra) {
-  mp_Msg m = full(MP_MSG_RELAY_BEAT);
+  mp_Msg m = full(MP_MSG_RELAY_HEARTBEAT);
   std::string s = encode(m);
   Taken t = decode(s.substr(0, earlier_end(m.kind, s.size())));
   ASSERT_EQ(t.how, RPC_CALL);
@@ -183,7 +183,7 @@
       continue;
     EXPECT_NE(t.how, RPC_CALL) << n;
     if (n >= 40) { /* the header was whole */
-      EXPECT_EQ(t.how, RPC_ANSWER) << n;
+      EXPECT_EQ(t.how, RPC_ERROR_REPLY) << n;
     }
   }
 }
@@ -228,18 +228,18 @@
 TEST(Wire, WrongCallsAreAnsweredAsTheStandardSays) {
   Taken t =
       decode(words({9, 0, 3, MP_RPC_PROGRAM, MP_RPC_VERSION, 1, 0, 0, 0, 0}));
-  ASSERT_EQ(t.how, RPC_ANSWER); /* RPC version: denied, 2 to 2 */
+  ASSERT_EQ(t.how, RPC_ERROR_REPLY); /* RPC version: denied, 2 to 2 */
   EXPECT_EQ(t.answer, words({9, 1, 1, 0, 2, 2}));
   t = decode(words({9, 0, 2, 1, MP_RPC_VERSION, 1, 0, 0, 0, 0}));
-  ASSERT_EQ(t.how, RPC_ANSWER);
+  ASSERT_EQ(t.how, RPC_ERROR_REPLY);
   EXPECT_EQ(word(t.answer, 5), 1u); /* PROG_UNAVAIL */
   t = decode(words({9, 0, 2, MP_RPC_PROGRAM, 9, 1, 0, 0, 0, 0}));
-  ASSERT_EQ(t.how, RPC_ANSWER);
+  ASSERT_EQ(t.how, RPC_ERROR_REPLY);
   EXPECT_EQ(word(t.answer, 5), 2u); /* PROG_MISMATCH, from one to the same */
   EXPECT_EQ(word(t.answer, 6), MP_RPC_VERSION);
   EXPECT_EQ(word(t.answer, 7), MP_RPC_VERSION);
   t = decode(words({9, 0, 2, MP_RPC_PROGRAM, MP_RPC_VERSION, 99, 0, 0, 0, 0}));
-  ASSERT_EQ(t.how, RPC_ANSWER);
+  ASSERT_EQ(t.how, RPC_ERROR_REPLY);
   EXPECT_EQ(word(t.answer, 5), 3u); /* PROC_UNAVAIL */
 }
 
@@ -248,7 +248,7 @@
   std::string s = encode(m);
   size_t at = 40 + 8 + 4; /* the count, behind owner and start */
   s[at + 3] = static_cast<char>(MP_RENEW_BATCH + 1);
-  EXPECT_EQ(decode(s).how, RPC_ANSWER);
+  EXPECT_EQ(decode(s).how, RPC_ERROR_REPLY);
 }
 
 /*
@@ -320,7 +320,7 @@
     e.u.msg.msg = &t.m;
     now += 1000;
     mp_feed(M, now, &e);
-    while (mp_take(M, &fx)) {
+    while (mp_next_effect(M, &fx)) {
       if (fx.kind == MP_FX_SEND) {
         EXPECT_GT(encode(fx.u.send.msg).size(), 0u);
       }
@@ -348,7 +348,7 @@
     GError *err = nullptr;
     mp_Manifest m;
     std::string s = mutate(g, list);
-    mp_List *l = mp_list_read(s.data(), s.size(), &err);
+    mp_InstanceList *l = mp_list_read(s.data(), s.size(), &err);
     EXPECT_NE(l != nullptr, err != nullptr);
     if (l != nullptr)
       mp_list_free(l);
--- a/test/tools/matrix_table.cc
+++ b/test/tools/matrix_table.cc
@@ -21,7 +21,7 @@
 std::vector<Cell> cells(bool pairs) {
   std::vector<Cell> out;
   for (int k = 0; k < KINDS; k++) {
-    for (int s = 0; s < STEPS; s++) {
+    for (int s = 0; s < STEP_COUNT; s++) {
       for (int f = 0; f < FAULTS; f++) {
         auto kind = static_cast<Kind>(k);
         auto step = static_cast<Step>(s);
@@ -39,7 +39,7 @@
 }
 
 std::vector<const char *> names() {
-  return std::vector<const char *>(step_names, step_names + STEPS);
+  return std::vector<const char *>(step_names, step_names + STEP_COUNT);
 }
 
 /* one letter for how the struck request ended */
@@ -90,11 +90,11 @@
     for (const char *s : names())
       printf(" %s |", s);
     printf("\n| --- |");
-    for (int s = 0; s < STEPS; s++)
+    for (int s = 0; s < STEP_COUNT; s++)
       printf(" --- |");
     for (int f = 0; f < FAULTS; f++) {
       printf("\n| %s |", fault_names[f]);
-      for (int s = 0; s < STEPS; s++)
+      for (int s = 0; s < STEP_COUNT; s++)
         printf(" %s |", table[std::to_string(k) + "/" + std::to_string(s) +
                               "/" + std::to_string(f)]
                             .c_str());
--- a/wire/rpc.c
+++ b/wire/rpc.c
@@ -45,7 +45,7 @@
   return u64(x, &t->owner) && u32(x, &t->start) && u32(x, &t->seq);
 }
 
-static bool_t memberrow(XDR *x, mp_MemberNews *m) {
+static bool_t memberrow(XDR *x, mp_MemberUpdate *m) {
   return u64(x, &m->addr) && u32(x, &m->start) && u32(x, &m->incarnation) &&
          u32(x, &m->dc) && u8(x, &m->state);
 }
@@ -60,7 +60,7 @@
   return TRUE;
 }
 
-static bool_t loadrow(XDR *x, mp_LoadNews *l) {
+static bool_t loadrow(XDR *x, mp_LoadUpdate *l) {
   uint16_t what = (uint16_t)(l->flags << 8 | l->role);
   if (!u64(x, &l->addr) || !u32(x, &l->stamp) ||
       !pair(x, &l->slots, &l->used) || !u32(x, &l->wait) ||
@@ -154,15 +154,15 @@
 static bool_t fetch(XDR *x, mp_Fetch *f) {
   char *digest = f->digest;
   if (!u8(x, &f->doc) || !u64(x, &f->version) ||
-      !xdr_string(x, &digest, MP_DIGEST) || !u32(x, &f->offset) ||
-      !u32(x, &f->total) || !count(x, &f->n, MP_CHUNK))
+      !xdr_string(x, &digest, MP_SHA256_HEX) || !u32(x, &f->offset) ||
+      !u32(x, &f->total) || !count(x, &f->n, MP_CHUNK_SIZE))
     return FALSE;
   return xdr_opaque(x, f->data, f->n);
 }
 
 static bool_t retries(XDR *x, mp_LoadDigest *d) {
   unsigned i;
-  if (!count(x, &d->retry_count, MP_DIGEST_SERVICES))
+  if (!count(x, &d->retry_count, MP_LOAD_DIGEST_SERVICES))
     return FALSE;
   for (i = 0; i < d->retry_count; i++) {
     mp_RetryRow *row = &d->retry[i];
@@ -175,7 +175,7 @@
 
 static bool_t accounts(XDR *x, mp_LoadDigest *d) {
   unsigned i;
-  if (!count(x, &d->account_count, MP_DIGEST_ACCOUNTS))
+  if (!count(x, &d->account_count, MP_LOAD_DIGEST_ACCOUNTS))
     return FALSE;
   for (i = 0; i < d->account_count; i++) {
     mp_AccountRow *row = &d->account[i];
@@ -223,16 +223,16 @@
 static bool_t digest(XDR *x, mp_LoadDigest *d) {
   unsigned i;
   if (!u32(x, &d->waiting) || !u32(x, &d->in_time) || !u32(x, &d->oldest_ms) ||
-      !count(x, &d->n, MP_DIGEST_ROWS))
+      !count(x, &d->n, MP_LOAD_DIGEST_ROWS))
     return FALSE;
   for (i = 0; i < d->n; i++) {
     mp_LoadRow *row = &d->row[i];
     if (!u32(x, &row->endpoint) || !packedload(x, row))
       return FALSE;
   }
-  return hashes(x, &d->changing_count, d->changing, MP_DIGEST_CHANGING) &&
+  return hashes(x, &d->changing_count, d->changing, MP_LOAD_DIGEST_CHANGING) &&
          retries(x, d) && accounts(x, d) &&
-         hashes(x, &d->leaving_count, d->leaving, MP_DIGEST_LEAVING);
+         hashes(x, &d->leaving_count, d->leaving, MP_LOAD_DIGEST_LEAVING);
 }
 
 static bool_t summary(XDR *x, mp_LoadSummary *s) {
@@ -240,7 +240,7 @@
          digest(x, &s->loads);
 }
 
-static bool_t suspected(XDR *x, mp_CrashNews *c) {
+static bool_t suspected(XDR *x, mp_CrashUpdate *c) {
   unsigned i;
   if (!count(x, &c->suspected_n, MP_SUSPECT_ROWS))
     return FALSE;
@@ -253,14 +253,14 @@
   return TRUE;
 }
 
-static bool_t crashes(XDR *x, mp_CrashNews *c) {
+static bool_t crashes(XDR *x, mp_CrashUpdate *c) {
   unsigned i;
   unsigned k;
   if (!count(x, &c->n, MP_CRASH_ROWS))
     return FALSE;
   for (i = 0; i < c->n; i++) {
     mp_CrashRow *row = &c->row[i];
-    if (!u64(x, &row->request) || !count(x, &row->n, MP_CRASHES_EACH))
+    if (!u64(x, &row->request) || !count(x, &row->n, MP_CRASHES_PER_ROW))
       return FALSE;
     for (k = 0; k < row->n; k++) {
       if (!u32(x, &row->crash[k]))
@@ -270,7 +270,7 @@
   return suspected(x, c);
 }
 
-static bool_t rates(XDR *x, mp_RateNews *r) {
+static bool_t rates(XDR *x, mp_RateUpdate *r) {
   unsigned i;
   if (!u64(x, &r->relay) || !u32(x, &r->zone) ||
       !count(x, &r->n, MP_RATE_ROWS))
@@ -300,7 +300,7 @@
 
 /* behind all else: an instance of an earlier release ends before them, and
 ** does not read on */
-static bool_t eras(XDR *x, mp_RelayBeat *b) {
+static bool_t eras(XDR *x, mp_RelayHeartbeat *b) {
   bool_t lacks_them = x->x_op == XDR_DECODE && x->x_handy == 0;
   unsigned i;
   for (i = 0; i < MP_RELAY_KINDS; i++) {
@@ -312,7 +312,7 @@
   return TRUE;
 }
 
-static bool_t beat(XDR *x, mp_RelayBeat *b) {
+static bool_t beat(XDR *x, mp_RelayHeartbeat *b) {
   unsigned i;
   for (i = 0; i < MP_RELAY_KINDS; i++) {
     if (!revision(x, &b->changed[i].revision))
@@ -354,9 +354,9 @@
     return crashes(x, &m->u.crashes);
   case MP_MSG_RATES:
     return rates(x, &m->u.rates);
-  case MP_MSG_RELAY_BEAT:
+  case MP_MSG_RELAY_HEARTBEAT:
     return beat(x, &m->u.beat);
-  case MP_MSG_RELAY_ASK:
+  case MP_MSG_HEARTBEAT_REQUEST:
     return moment(x, &m->u.ask.asked_us);
   default:
     return FALSE;
@@ -424,8 +424,8 @@
 */
 
 /* an error reply; 'stat' is of an accepted or, with 'denied', refused call */
-static RpcTaken errorreply(uint32_t xid, enum accept_stat stat, int denied,
-                           char *out, size_t size, size_t *nout) {
+static RpcDecoded errorreply(uint32_t xid, enum accept_stat stat, int denied,
+                             char *out, size_t size, size_t *nout) {
   struct rpc_msg r;
   XDR x;
   memset(&r, 0, sizeof r);
@@ -445,7 +445,7 @@
   xdrmem_create(&x, out, (u_int)size, XDR_ENCODE);
   *nout = xdr_replymsg(&x, &r) ? xdr_getpos(&x) : 0;
   xdr_destroy(&x);
-  return *nout > 0 ? RPC_ANSWER : RPC_JUNK;
+  return *nout > 0 ? RPC_ERROR_REPLY : RPC_INVALID;
 }
 
 /* the fields of a call that come before its credentials */
@@ -460,14 +460,14 @@
   return xdr_opaque_auth(x, &a);
 }
 
-static RpcTaken decodecall(XDR *x, const Head *h, mp_Msg *m, char *out,
-                           size_t size, size_t *nout) {
+static RpcDecoded decodecall(XDR *x, const Head *h, mp_Msg *m, char *out,
+                             size_t size, size_t *nout) {
   if (h->rpcvers != RPC_MSG_VERSION)
     return errorreply(h->xid, SUCCESS, 1, out, size, nout);
   if (!credentials(x)) /* of the caller */
-    return RPC_JUNK;
+    return RPC_INVALID;
   if (!credentials(x)) /* the verifier */
-    return RPC_JUNK;
+    return RPC_INVALID;
   if (h->prog != MP_RPC_PROGRAM)
     return errorreply(h->xid, PROG_UNAVAIL, 0, out, size, nout);
   if (h->vers != MP_RPC_VERSION)
@@ -480,31 +480,31 @@
   return RPC_CALL;
 }
 
-static RpcTaken decodereply(XDR *x, RpcKindOf kindof, void *ud, mp_Msg *m) {
+static RpcDecoded decodereply(XDR *x, RpcKindOf kindof, void *ud, mp_Msg *m) {
   uint32_t stat;
   uint32_t acc;
   m->reply = 1;
   m->kind = kindof(ud, m->seq);
   if (m->kind == 0)
-    return RPC_JUNK;
+    return RPC_INVALID;
   if (!u32(x, &stat) || stat != MSG_ACCEPTED || !credentials(x) ||
       !u32(x, &acc) || acc != SUCCESS || !body(x, m))
-    return RPC_JUNK;
+    return RPC_INVALID;
   return RPC_REPLY;
 }
 
-RpcTaken rpc_decode(const char *in, size_t n, RpcKindOf kindof, void *ud,
-                    mp_Msg *m, char *out, size_t size, size_t *nout) {
+RpcDecoded rpc_decode(const char *in, size_t n, RpcKindOf kindof, void *ud,
+                      mp_Msg *m, char *out, size_t size, size_t *nout) {
   union {
-    char b[MP_MAXDGRAM + 8];
+    char b[MP_DATAGRAM_MAX + 8];
     uint32_t align;
   } buf;
   XDR x;
   Head h = {0};
-  RpcTaken r = RPC_JUNK;
+  RpcDecoded r = RPC_INVALID;
   *nout = 0;
-  if (n > MP_MAXDGRAM)
-    return RPC_JUNK;
+  if (n > MP_DATAGRAM_MAX)
+    return RPC_INVALID;
   memset(m, 0, sizeof *m);
   memcpy(buf.b, in, n); /* XDR wants it aligned, and not constant */
   xdrmem_create(&x, buf.b, (u_int)n, XDR_DECODE);
