--- a/scripts/pages.sh
+++ b/scripts/pages.sh
@@ -51,6 +51,8 @@
 def word_known(word):
     if word in allowed or word in words or word in stems:
         return True
+    if word.startswith("_") and any(w.endswith(word) for w in words):
+        return True  # the end of names, such as _MAX
     metric = re.fullmatch(
         r"madderpier_(\w+?)(_total|_seconds|_seconds_bucket)", word)
     if metric and metric[1] in words:
