--- a/scripts/pages.sh
+++ b/scripts/pages.sh
@@ -53,6 +53,8 @@
         return True
     if word.startswith("_") and any(w.endswith(word) for w in words):
         return True  # the end of names, such as _MAX
+    if word.endswith("_") and any(w.startswith(word) for w in words):
+        return True  # the beginning of names, such as is_
     metric = re.fullmatch(
         r"madderpier_(\w+?)(_total|_seconds|_seconds_bucket)", word)
     if metric and metric[1] in words:
