--- a/scripts/pages.sh
+++ b/scripts/pages.sh
@@ -17,7 +17,8 @@
 files = []
 for folder, folders, names in os.walk("."):
     folders[:] = [d for d in folders
-                  if d not in (".git", "target", "build", "journal")]
+                  if d not in (".git", "target", "journal") and
+                  not d.startswith("build")]
     files += [os.path.relpath(os.path.join(folder, n), ".") for n in names]
 pages = [f for f in files if f == "README.md" or
          f.startswith("docs/") and f.endswith(".md")]
