--- a/dialect/dialect.h
+++ b/dialect/dialect.h
@@ -128,7 +128,7 @@
                          gsize size, StoreReply *out, GError **error);
   /* Returns the store's era that a response's head names; 0: it names none.
   ** The era is a number that grows each time the store is restored from a
-  ** backup (router/store_position.h). 'read_reply' then leaves the era of all
+  ** copy (router/store_position.h). 'read_reply' then leaves the era of all
   ** positions 0, and its caller sets it. NULL: the responses carry the era in
   ** their bodies, and 'read_reply' sets it. */
   guint64 (*read_era)(const HttpHead *head);
--- a/router/crash_watch.c
+++ b/router/crash_watch.c
@@ -31,7 +31,7 @@
 } Suspect;
 
 /* one life of an endpoint at which runs broke off */
-typedef struct WatchedLife {
+typedef struct WatchedIncarnation {
   char *endpoint;         /* its id */
   guint32 life;           /* Endpoint.hash */
   GArray *suspects;       /* Suspect, each content once */
@@ -39,11 +39,11 @@
   gint64 checked_at;      /* when the last check began; 0: never */
   guint64 check_dispatch; /* the dispatch that checks it; 0: none is open */
   const char *proof;      /* that this life has ended; NULL: not proved */
-} WatchedLife;
+} WatchedIncarnation;
 
 struct CrashWatch {
   CrashWatchHost host;
-  GPtrArray *all; /* WatchedLife */
+  GPtrArray *all; /* WatchedIncarnation */
 };
 
 static void suspect_clear(gpointer p) {
@@ -54,7 +54,7 @@
 }
 
 static void watched_free(gpointer p) {
-  WatchedLife *watched = p;
+  WatchedIncarnation *watched = p;
   g_array_free(watched->suspects, TRUE);
   g_free(watched->endpoint);
   g_free(watched);
@@ -72,23 +72,24 @@
   g_free(watch);
 }
 
-static WatchedLife *find_life(const CrashWatch *watch, const char *endpoint,
-                              guint32 life) {
+static WatchedIncarnation *
+find_incarnation(const CrashWatch *watch, const char *endpoint, guint32 life) {
   guint i;
   for (i = 0; i < watch->all->len; i++) {
-    WatchedLife *watched = watch->all->pdata[i];
+    WatchedIncarnation *watched = watch->all->pdata[i];
     if (watched->life == life && strcmp(watched->endpoint, endpoint) == 0)
       return watched;
   }
   return NULL;
 }
 
-static WatchedLife *get_or_add_life(CrashWatch *watch,
-                                    const Endpoint *endpoint) {
-  WatchedLife *watched = find_life(watch, endpoint->record.id, endpoint->hash);
+static WatchedIncarnation *get_or_add_incarnation(CrashWatch *watch,
+                                                  const Endpoint *endpoint) {
+  WatchedIncarnation *watched =
+      find_incarnation(watch, endpoint->record.id, endpoint->hash);
   if (watched != NULL)
     return watched;
-  watched = g_new0(WatchedLife, 1);
+  watched = g_new0(WatchedIncarnation, 1);
   watched->endpoint = g_strdup(endpoint->record.id);
   watched->life = endpoint->hash;
   watched->suspects = g_array_new(FALSE, FALSE, sizeof(Suspect));
@@ -97,7 +98,8 @@
   return watched;
 }
 
-static gboolean has_suspect(const WatchedLife *watched, guint64 content) {
+static gboolean has_suspect(const WatchedIncarnation *watched,
+                            guint64 content) {
   guint i;
   for (i = 0; i < watched->suspects->len; i++) {
     if (g_array_index(watched->suspects, Suspect, i).content == content)
@@ -106,7 +108,7 @@
   return FALSE;
 }
 
-static void add_suspect(WatchedLife *watched,
+static void add_suspect(WatchedIncarnation *watched,
                         const QuarantineSuspect *suspect) {
   Suspect copy = {suspect->content, g_strdup(suspect->request),
                   g_strdup(suspect->route), g_strdup(suspect->account)};
@@ -115,7 +117,7 @@
 
 /* Reports the suspects from index 'from' on to the host. */
 static void report_suspects(const CrashWatch *watch,
-                            const WatchedLife *watched, guint from,
+                            const WatchedIncarnation *watched, guint from,
                             gint64 now) {
   guint count = watched->suspects->len - from;
   QuarantineSuspect *reported = g_new(QuarantineSuspect, MAX(count, 1));
@@ -135,7 +137,7 @@
 }
 
 /* Starts a check, unless one is open or the last one began too recently. */
-static void check_if_due(const CrashWatch *watch, WatchedLife *watched,
+static void check_if_due(const CrashWatch *watch, WatchedIncarnation *watched,
                          const Endpoint *endpoint, gint64 now) {
   if (watched->check_dispatch != 0 ||
       (watched->checked_at != 0 &&
@@ -148,10 +150,10 @@
 
 void crash_watch_run_broken(CrashWatch *watch, const Endpoint *endpoint,
                             const QuarantineSuspect *suspect, gint64 now) {
-  WatchedLife *watched;
+  WatchedIncarnation *watched;
   if (endpoint_is_leaving(endpoint))
     return; /* the endpoint ends by plan, so no request is to blame */
-  watched = get_or_add_life(watch, endpoint);
+  watched = get_or_add_incarnation(watch, endpoint);
   watched->broken_at = now;
   if (watched->suspects->len >= SUSPECTS_MAX ||
       has_suspect(watched, suspect->content))
@@ -164,8 +166,8 @@
 }
 
 /* The life has ended: reports its suspects, unless an earlier proof did. */
-static void set_proof(CrashWatch *watch, WatchedLife *watched, const char *how,
-                      gint64 now) {
+static void set_proof(CrashWatch *watch, WatchedIncarnation *watched,
+                      const char *how, gint64 now) {
   if (watched->proof != NULL)
     return;
   watched->proof = how;
@@ -176,7 +178,7 @@
                              gint64 now) {
   guint i;
   for (i = 0; i < watch->all->len; i++) {
-    WatchedLife *watched = watch->all->pdata[i];
+    WatchedIncarnation *watched = watch->all->pdata[i];
     if (watched->check_dispatch == 0 ||
         watched->check_dispatch != outcome->dispatch)
       continue;
@@ -189,9 +191,9 @@
   return FALSE;
 }
 
-void crash_watch_life_ended(CrashWatch *watch, const char *endpoint,
-                            guint32 life, const char *how, gint64 now) {
-  WatchedLife *watched = find_life(watch, endpoint, life);
+void crash_watch_incarnation_ended(CrashWatch *watch, const char *endpoint,
+                                   guint32 life, const char *how, gint64 now) {
+  WatchedIncarnation *watched = find_incarnation(watch, endpoint, life);
   if (watched != NULL && now - watched->broken_at < CRASH_PROOF_TIMEOUT)
     set_proof(watch, watched, how, now);
 }
@@ -199,7 +201,7 @@
 void crash_watch_expire(CrashWatch *watch, gint64 now) {
   guint i = 0;
   while (i < watch->all->len) {
-    const WatchedLife *watched = watch->all->pdata[i];
+    const WatchedIncarnation *watched = watch->all->pdata[i];
     if (watched->check_dispatch == 0 &&
         now - watched->broken_at >= CRASH_PROOF_TIMEOUT)
       g_ptr_array_remove_index_fast(watch->all, i);
--- a/router/crash_watch.h
+++ b/router/crash_watch.h
@@ -42,7 +42,8 @@
   guint64 (*check)(void *data, const Endpoint *endpoint, gint64 timeout,
                    gint64 now);
   /* This life of the endpoint ended while it ran these requests. 'how' is the
-  ** proof, a static string: "refused" or the 'how' of crash_watch_life_ended.
+  ** proof, a static string: "refused" or the 'how' of
+  *crash_watch_incarnation_ended.
   ** 'suspects' is valid during the call only. */
   void (*ended)(void *data, const char *endpoint, guint32 life,
                 const QuarantineSuspect *suspects, guint count,
@@ -64,8 +65,8 @@
                              gint64 now);
 /* The platform's list says that this life has ended. 'how' must be a static
 ** string. */
-void crash_watch_life_ended(CrashWatch *watch, const char *endpoint,
-                            guint32 life, const char *how, gint64 now);
+void crash_watch_incarnation_ended(CrashWatch *watch, const char *endpoint,
+                                   guint32 life, const char *how, gint64 now);
 /* Forgets broken runs that are too old to be proved. */
 void crash_watch_expire(CrashWatch *watch, gint64 now);
 
--- a/router/follower.h
+++ b/router/follower.h
@@ -15,7 +15,7 @@
 ** hide objects (a partial list) removes none, and is read again until it is
 ** complete.
 **
-** A store that was restored from a backup names a larger era. What it lists
+** A store that was restored from a copy names a larger era. What it lists
 ** then may be older than what is known here, and may lack objects that merely
 ** have not been written again yet. So a watch that ends in a newer era is
 ** followed by a list. That list removes no object; a second one,
--- a/router/lease.h
+++ b/router/lease.h
@@ -13,7 +13,7 @@
 ** wanted again before that, its holder replaces the object again, which
 ** extends the lease.
 **
-** A store that was restored from a backup may have lost the object while its
+** A store that was restored from a copy may have lost the object while its
 ** holder relies on it. Each restore begins a new era of the store, a number
 ** that grows. So no lease is held across a change of the era, and an instance
 ** takes none within twice 'length' of the moment at which it hears of a newer
--- a/router/lives.c
+++ b/router/lives.c
@@ -104,7 +104,7 @@
     router->host.cancel(router->host.data, number);
     router_outcome(router, &outcome, now);
   }
-  crash_watch_life_ended(router->crashes, id, life, "restarted", now);
+  crash_watch_incarnation_ended(router->crashes, id, life, "restarted", now);
   g_free(id);
 }
 
@@ -119,7 +119,7 @@
   router_log(router, MP_LOG_EP_LEAVING, " endpoint=%s gone=1", id);
   endpoint_table_remove(router->endpoints, id, now);
   rates_endpoints_changed(router);
-  crash_watch_life_ended(router->crashes, id, life, "gone", now);
+  crash_watch_incarnation_ended(router->crashes, id, life, "gone", now);
   g_free(id);
 }
 
--- a/router/prefill.c
+++ b/router/prefill.c
@@ -175,8 +175,9 @@
 /* Keeps the handle of a prompt that was read. */
 static void store_handle(Request *request, const Outcome *outcome,
                          const Endpoint *endpoint, gint64 now) {
-  gint64 lifetime = outcome->handle_life > 0 ? outcome->handle_life
-                                             : request->service->handle_life;
+  gint64 lifetime = outcome->handle_lifetime > 0
+                        ? outcome->handle_lifetime
+                        : request->service->handle_lifetime;
   request->handle = g_strdup(outcome->handle);
   request->handle_endpoint = g_strdup(endpoint->record.id);
   g_free(request->read_by);
--- a/router/records.h
+++ b/router/records.h
@@ -29,7 +29,7 @@
   guint32 kv_tokens;        /* Engines: size of the KV cache in tokens. */
   guint32 tokens_per_event; /* Engines: tokens in one event of a stream. */
   /* Engines: us that a KV handle stays valid after its prefill. */
-  gint64 handle_life;
+  gint64 handle_lifetime;
   /*
   ** Engines: us that a change of the stage takes; 0: the stage can't change.
   */
--- a/router/router.h
+++ b/router/router.h
@@ -203,8 +203,8 @@
   const char *event;          /* STREAM_PIECE: id of its last event, or NULL */
   void *payload;              /* the host's own; passed on to 'answer' */
   const char *handle;         /* ANSWER of a prefill; NULL: none was given */
-  gint64 handle_life;         /* ANSWER of a prefill: for how long the handle
-                              ** is kept; 0: Service.handle_life */
+  gint64 handle_lifetime;     /* ANSWER of a prefill: for how long the handle
+                               ** is kept; 0: Service.handle_lifetime */
   const EngineReport *report; /* ANSWER of a report; NULL: unreadable */
 } Outcome;
 
--- a/router/store_position.h
+++ b/router/store_position.h
@@ -3,7 +3,7 @@
 ** A position in the store's history of changes
 **
 ** The store numbers its changes with revisions. When it is restored from a
-** backup, its counter goes back and the same revisions are assigned again. The
+** copy, its counter goes back and the same revisions are assigned again. The
 ** store's era, which grows by one at each restore, tells them apart: a
 ** position is a pair of an era and a revision.
 **
--- a/router/suspects.c
+++ b/router/suspects.c
@@ -111,7 +111,7 @@
 }
 
 void suspects_note_answer(Router *router, const Request *request, gint64 now) {
-  suspicions_clear_life(router->suspicions, request->open.life, now);
+  suspicions_clear_incarnation(router->suspicions, request->open.life, now);
 }
 
 void suspects_note_success(Router *router, const Request *request) {
--- a/router/suspicions.c
+++ b/router/suspicions.c
@@ -74,7 +74,8 @@
   return add_suspicion(suspicions, content, life, TRUE, now);
 }
 
-void suspicions_clear_life(Suspicions *suspicions, guint32 life, gint64 now) {
+void suspicions_clear_incarnation(Suspicions *suspicions, guint32 life,
+                                  gint64 now) {
   guint i = 0;
   while (i < suspicions->all->len) {
     const Suspicion *suspicion = suspicion_at(suspicions, i);
--- a/router/suspicions.h
+++ b/router/suspicions.h
@@ -44,7 +44,8 @@
 /* This life has answered something, so it has not ended: removes its
 ** suspicions, except for those so new that the answer may have been sent
 ** before an end. */
-void suspicions_clear_life(Suspicions *suspicions, guint32 life, gint64 now);
+void suspicions_clear_incarnation(Suspicions *suspicions, guint32 life,
+                                  gint64 now);
 /* Returns how many suspected ends stand against the request, without those for
 ** which 'is_proved' returns TRUE, because they are proved. Stores in '*until'
 ** when the last of them expires, or 0 if there are none. */
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -626,7 +626,7 @@
   'return strikes + suspected >= QUARANTINE_HOLD_STRIKES ? until : 0;' \
   'return 0;'
 m s-answered "suspicions: an answer takes them away" router/suspects.c \
-  '  suspicions_clear_life(router->suspicions, request->open.life, now);' \
+  '  suspicions_clear_incarnation(router->suspicions, request->open.life, now);' \
   ''
 m s-told "suspicions: the others are told" router/suspicions.c \
   '    out->suspected_n++;' \
--- a/test/router_world.cc
+++ b/test/router_world.cc
@@ -149,7 +149,7 @@
   llm->is_engine = TRUE;
   llm->kv_tokens = 10000;
   llm->tokens_per_event = 10;
-  llm->handle_life = 500 * ms;
+  llm->handle_lifetime = 500 * ms;
   llm->switch_time = 6 * second;
   table->version = version;
   add_route(table, "/safe/", ROUTE_SAFE, false, 2, "app", timeout);
--- a/test/test_crash_watch.cc
+++ b/test/test_crash_watch.cc
@@ -108,12 +108,13 @@
   answer(OUTCOME_UNREACHABLE, 300 * ms);
   now += 3600 * ms;
   crash_watch_expire(watch, now);
-  crash_watch_life_ended(watch, "i-1", 78, "gone", now); /* another life */
+  crash_watch_incarnation_ended(watch, "i-1", 78, "gone",
+                                now); /* another life */
   EXPECT_TRUE(told.empty());
-  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
+  crash_watch_incarnation_ended(watch, "i-1", 77, "gone", now);
   ASSERT_EQ(told.size(), 1u);
   EXPECT_EQ(told[0].how, "gone");
-  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
+  crash_watch_incarnation_ended(watch, "i-1", 77, "gone", now);
   EXPECT_EQ(told.size(), 1u);
 }
 
@@ -121,7 +122,7 @@
   broken(1);
   answer(OUTCOME_ANSWER);
   now += 7 * MP_SEC;
-  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
+  crash_watch_incarnation_ended(watch, "i-1", 77, "gone", now);
   EXPECT_TRUE(told.empty());
 }
 
@@ -129,7 +130,7 @@
   endpoint.record.ready = FALSE;
   broken(1);
   EXPECT_EQ(checks, 0u);
-  crash_watch_life_ended(watch, "i-1", 77, "gone", now);
+  crash_watch_incarnation_ended(watch, "i-1", 77, "gone", now);
   EXPECT_TRUE(told.empty());
 }
 
--- a/test/test_far_numbers.cc
+++ b/test/test_far_numbers.cc
@@ -102,9 +102,9 @@
     RouteTable *table = configuration(number, "1");
     const Route *route = first_route(table);
     const Service *service = first_service(table);
-    for (gint64 time :
-         {route->timeout, route->objective, route->gap, service->handle_life,
-          service->switch_time, table->limits.head_timeout}) {
+    for (gint64 time : {route->timeout, route->objective, route->gap,
+                        service->handle_lifetime, service->switch_time,
+                        table->limits.head_timeout}) {
       EXPECT_GT(time, 3600 * MP_SEC) << number;
       EXPECT_LT(time, century) << number;
     }
@@ -112,7 +112,7 @@
   }
   RouteTable *table = configuration("-1e300", "1");
   EXPECT_EQ(first_route(table)->timeout, 0);
-  EXPECT_EQ(first_service(table)->handle_life, 0);
+  EXPECT_EQ(first_service(table)->handle_lifetime, 0);
   route_table_unref(table);
 }
 
--- a/test/test_platform.cc
+++ b/test/test_platform.cc
@@ -432,7 +432,7 @@
   ASSERT_NE(service, nullptr);
   EXPECT_TRUE(service->is_engine);
   EXPECT_EQ(service->tokens_per_event, 12u);
-  EXPECT_EQ(service->handle_life, 500 * MP_MS);
+  EXPECT_EQ(service->handle_lifetime, 500 * MP_MS);
   EXPECT_EQ(table->limits.max_body_bytes, 4194304u);
   route_table_unref(table);
 }
