--- a/router/admission.c
+++ b/router/admission.c
@@ -226,7 +226,9 @@
 }
 
 /* Returns how many waiting requests, here and at other instances, start before
-** this one. Since when late requests wait elsewhere is not known. */
+** this one. At other instances only one request each is counted, since the
+** digests tell no more: the most senior one in time if it is more senior, or
+** for a late request any. */
 static guint count_ahead(const Router *router, const Request *request,
                          gint64 now) {
   const PeerLoads *peers = router->endpoints->peers;
--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -29,14 +29,14 @@
 ** chosen. Their unit is one open dispatch at a service with few slots. */
 /* the endpoint is in another data centre than preferred */
 #define COST_OTHER_ZONE 1.5
-/* The same of an engine. 3, because moving a prompt's memory to another data
-** centre takes twice as long; 3 in place of 1.5 raised the worth (the score of
-** a simulated day) by 0.007 to 0.022 on three deployments of 7 to 9 instances
-** (20 days each, paired). */
+/* The same of an engine. 3, because moving a prompt's memory to another
+** data centre takes twice as long; 3 in place of 1.5 raised the worth of a
+** day in the fleetbench benchmark by 0.007 to 0.022 on three deployments of
+** 7 to 9 instances (20 days each, paired). */
 #define COST_OTHER_ZONE_ENGINE 3.0
 /* The same of a decode engine where loads in other data centres are known
 ** from summaries alone, some tenths of a second late, so that several
-** instances promise the same memory. 8 in place of 1.5 raised the worth by
+** instances promise the same memory. 8 in place of 1.5 raised that worth by
 ** 0.03 to 0.09 on three deployments of 58 to 68 instances (five days each,
 ** paired) and by 0.15 on a day of 295 instances; 16 gained no more. Where all
 ** loads are known at once, 8 lost 0.06 on the deployment with four engines in
@@ -200,7 +200,9 @@
 }
 
 /* Keeps what the incarnation has announced. That the list has lost it does not
-** prove that it ended, and its announcements hold if it is listed again. */
+** prove that it ended, and its announcements hold if it is listed again.
+** Nothing is kept if the table is full, or if it has announced nothing and its
+** position is unknown. */
 static void keep_unlisted(EndpointTable *table, const Endpoint *endpoint,
                           gint64 now) {
   gboolean is_silent = !has_announced(&endpoint->availability);
--- a/router/endpoint_table.h
+++ b/router/endpoint_table.h
@@ -48,7 +48,7 @@
   unsigned misses;       /* unreachable attempts in a row */
   Availability availability; /* what this incarnation has announced */
   EndpointStage changing_to; /* stage to which this instance changes it,
-                              ** or did last */
+                             ** or did last */
   gint64 changing_until;  /* the change counts as under way until then; 0: none
                           ** is */
   gint64 no_order_before; /* this instance orders no change before then */
@@ -57,7 +57,7 @@
 typedef struct EndpointTable {
   GHashTable *by_id;    /* record.id (borrowed) -> Endpoint (borrowed) */
   GHashTable *unlisted; /* id -> UnlistedIncarnation: incarnations that the
-                         ** list has lost; both owned */
+                        ** list has lost; both owned */
   GPtrArray *all;       /* Endpoint, in order of arrival; owned */
   char *zone;           /* the data centre of this instance; owned */
   PeerLoads *peers;     /* what the other instances have open; owned */
--- a/router/path.c
+++ b/router/path.c
@@ -7,7 +7,8 @@
 **   stated that it did not run it, or if no connection was made.
 ** - At most Route.attempts dispatches of a request may have run.
 ** - Every arrival (dispatch that reaches an endpoint) after the first is taken
-**   from the service's retry budget before it is sent.
+**   from the service's retry budget before it is sent; prefill.c says how
+**   prefills count.
 */
 
 #include <string.h>
@@ -269,7 +270,7 @@
   router_record_duration(router, request, DURATION_WAIT, now);
   prefill_reserve(router, request, decode);
   /* A second prefill is an extra arrival, for which path_run asks the
-   ** budget. */
+  ** budget. */
   if (request->prefills > 0 || !prefill_begin(router, request, now))
     path_run(router, request, now);
 }
--- a/router/router.h
+++ b/router/router.h
@@ -121,7 +121,7 @@
   REFUSAL_NO_ROUTE,          /* not run: no route matches */
   REFUSAL_NO_ENDPOINT,       /* not run: no endpoint is available */
   REFUSAL_BUSY,              /* not run: endpoints rejected it or have no
-                              ** room */
+                             ** room */
   REFUSAL_NOT_RUN,           /* not run: its time passed while it waited */
   REFUSAL_DRAINING,          /* not run: this instance is shutting down */
   REFUSAL_OUTCOME_UNKNOWN,   /* it may have run */
--- a/router/stage_plan.c
+++ b/router/stage_plan.c
@@ -11,8 +11,8 @@
 #define DECODE_FULL_SHARE 0.75
 /* Prefill engines kept beyond the load, as a multiple of its square root: a
 ** small group needs relatively more spare engines so that prompts do not
-** queue. 0.5, because over 18 simulated days of six deployments the mean worth
-** (the score of a simulated day) was 0.014 higher with it than with 0.1. */
+** queue. 0.5, because over 18 days of six deployments the mean worth of a
+** day in the fleetbench benchmark was 0.014 higher with it than with 0.1. */
 #define PREFILL_SPARE 0.5
 /* Decode engines are short only if more than this share of their memory is in
 ** use, or requests wait: below it more of them gain nothing. */
--- a/router/stages.c
+++ b/router/stages.c
@@ -55,8 +55,9 @@
 #define ORDER_MARGIN (600 * MP_MS)
 /* The lease must be held for this much longer when a round begins. */
 #define ROUND_MARGIN (1500 * MP_MS)
-/* A change counts as failed if the platform does not list the new stage after
-** SWITCH_TIMES_MAX times Service.switch_time plus SWITCH_GRACE. */
+/* A change counts as failed if the platform does not list the new stage within
+** SWITCH_TIMES_MAX times Service.switch_time plus SWITCH_GRACE after it was
+** named in the digests. */
 #define SWITCH_TIMES_MAX 2
 #define SWITCH_GRACE (5 * MP_SEC)
 
--- a/router/state.h
+++ b/router/state.h
@@ -70,9 +70,9 @@
   RetryBudget budget;  /* for extra arrivals of its requests at endpoints */
   double mean_prompt;  /* moving mean of prompts, in tokens; 0: none came */
   double mean_output;  /* moving mean of what streams generated, in tokens; 0:
-                        ** none ended */
+                       ** none ended */
   double prefill_pace; /* prompt tokens read in a ms, queueing included; 0: not
-                        ** known */
+                       ** known */
 } ServiceState;
 
 /* The dispatch whose outcome a request waits for. */
@@ -111,43 +111,42 @@
   gboolean repeatable;    /* it may run more than once (route_repeatable) */
   unsigned runs;          /* RUN dispatches that ended and may have run */
   unsigned arrivals;      /* RUN dispatches that ended and had reached an
-                           ** endpoint, rejected ones too */
+                          ** endpoint, rejected ones too */
   unsigned prefills;      /* PREFILL dispatches that succeeded */
   unsigned prefills_sent; /* all PREFILL dispatches */
   unsigned unreachable;   /* RUN dispatches that reached no endpoint */
   gboolean was_rejected; /* an endpoint rejected it or had no room, or no retry
-                          ** was left for its prompt */
+                         ** was left for its prompt */
   gboolean has_shortage; /* endpoints could run it but for their rests and
-                          ** rates (shortage.c) */
+                         ** rates (shortage.c) */
   RefusalKind shortage_reason; /* has_shortage: REST or RATE */
-  gint64
-      start_at; /* PHASE_WAIT: when it starts if there is room; 0: not set */
+  gint64 start_at;   /* PHASE_WAIT: start then if there is room; 0: not set */
   gboolean returned; /* it is taken for its caller's retry (patience.h) */
   gint64 first_attempt_at; /* when its caller tried first, estimated */
   gboolean resumes;        /* of CallerRequest */
   gint64 come_back;     /* when refused: the caller may retry after this, us;
-                         ** 0: after finish_default_retry_ms */
+                        ** 0: after finish_default_retry_ms */
   gboolean head_sent;   /* the head of a stream was passed on */
   char *last_event;     /* id of the last one passed on; NULL: none */
   guint32 made;         /* tokens generated so far, computed from event ids */
   gint64 last_piece;    /* when the last piece came; 0: none yet */
   gint64 longest_pause; /* longest time between two pieces so far */
   char *decode;         /* id of the decode engine whose memory is reserved;
-                         ** NULL: none */
+                        ** NULL: none */
   guint32 decode_incarnation; /* its Endpoint.hash */
   guint64 decode_tokens;      /* reserved there, until the run is sent */
   gboolean is_decode_counted; /* the run was counted in that engine's rate
-                               ** when the memory was reserved */
+                              ** when the memory was reserved */
   char *handle;               /* of its prefilled prompt, not used yet; NULL:
-                               ** none */
+                              ** none */
   mp_Addr handle_address;     /* of the engine that holds it */
   char *handle_endpoint;      /* id of that engine */
   gint64 handle_until;        /* when it expires, with a margin */
   char *read_by; /* id of the engine that prefilled the prompt last, or NULL */
   gint64 suspect_at; /* the endpoint is suspected if the run is silent until
-                      ** then; 0: not set */
+                     ** then; 0: not set */
   gint64 stall_at; /* PHASE_WAIT: time of the next review; else: when the open
-                    ** dispatch counts as stalled; 0: never */
+                   ** dispatch counts as stalled; 0: never */
   char *excluded[EXCLUDED_ENDPOINTS_MAX]; /* ids of endpoints that failed it */
   guint excluded_count;
 } Request;
@@ -181,7 +180,7 @@
   RateLimits *rates; /* named by endpoints */
   RateView rates_view;
   gint64 shortage_recheck_at; /* when waiting requests are checked again
-                               ** because of rests and rates; 0: no need */
+                              ** because of rests and rates; 0: no need */
   CrashWatch *crashes;    /* endpoints that may have crashed under requests */
   Quarantine *quarantine; /* requests under which endpoints crashed */
   Suspicions *suspicions; /* crashes that are not certain yet */
@@ -193,7 +192,7 @@
   gboolean stopping;      /* router_stop_accepting was called */
   Stages *stages;         /* changes of engines' stages */
   GPtrArray *waiting;     /* Requests in PHASE_WAIT, those with a handle first;
-                           ** borrowed */
+                          ** borrowed */
   gint64 last_run_end;    /* when a stream last ended here; 0: never */
   double mean_end_interval; /* moving mean of the time between such ends, us */
   guint64 plain_version;    /* the same for what is open at plain endpoints */
@@ -292,7 +291,9 @@
 /* Excludes an endpoint from later choices for the request; ignored beyond
 ** EXCLUDED_ENDPOINTS_MAX of them. */
 void path_exclude(Request *request, const char *endpoint);
+/* Returns TRUE if the endpoint was excluded so. */
 gboolean path_is_excluded(const Request *request, const char *endpoint);
+
 /* }================================================================== */
 
 /*
