--- a/router/endpoint_table.c
+++ b/router/endpoint_table.c
@@ -25,35 +25,35 @@
 /* weight of the newest dispatch in the moving failure rate */
 #define FAILURE_STEP 0.3
 
-/* The costs below are added up to a score; the endpoint with the lowest one is
-** chosen. Their unit is one open dispatch at a service with few slots. */
-/* the endpoint is in another data centre than preferred */
+/* The costs of choosing an endpoint are added up, and the endpoint with the
+** lowest sum is chosen. At a plain service the sum begins with the number of
+** open dispatches at the endpoint, so one open dispatch costs 1. */
+/* cost of a plain endpoint in another data centre than preferred */
 #define COST_OTHER_ZONE 1.5
-/* The same of an engine. 3, because moving a prompt's memory to another
-** data centre takes twice as long; 3 in place of 1.5 raised the worth of a
-** day in the fleetbench benchmark by 0.007 to 0.022 on three deployments of
-** 7 to 9 instances (20 days each, paired). */
+/* Cost of an engine in another data centre than preferred. It is twice that of
+** a plain endpoint, because moving the KV memory of a prompt to another data
+** centre takes twice as long as within one. */
 #define COST_OTHER_ZONE_ENGINE 3.0
-/* The same of a decode engine where loads in other data centres are known
-** from summaries alone, some tenths of a second late, so that several
-** instances promise the same memory. 8 in place of 1.5 raised that worth by
-** 0.03 to 0.09 on three deployments of 58 to 68 instances (five days each,
-** paired) and by 0.15 on a day of 295 instances; 16 gained no more. Where all
-** loads are known at once, 8 lost 0.06 on the deployment with four engines in
-** a data centre. */
+/* Cost of a decode engine in another data centre when the loads there are
+** known from summaries alone. These arrive some tenths of a second late, so
+** several instances may promise the same memory; the high cost keeps requests
+** at home. A cost twice as high brings nothing more. Where all loads are
+** known at once, so high a cost does harm: a data centre with few engines,
+** such as four, must be able to use those of the others. */
 #define COST_OTHER_ZONE_LATE 8.0
-/* per unit of the failure rate that this instance saw */
+/* cost per unit of the failure rate that this instance saw */
 #define COST_FAILURES 12.0
-/* Per unit of the failure rates that the other instances saw, added up to a
-** sum of at most PEERS_FAILURES_MAX. It weighs less than an instance's own
-** view, because a single instance may have a bad network path of its own. */
+/* Cost per unit of the sum of the failure rates that the other instances saw;
+** the sum counts up to PEERS_FAILURES_MAX. They weigh less than an instance's
+** own view, because a single instance may have a bad network path. */
 #define COST_PEERS_FAILURES 6.0
 #define PEERS_FAILURES_MAX 4.0
-/* the endpoint is still warming up */
+/* cost of an endpoint that is still warming up */
 #define COST_COLD 3.0
-/* an engine whose memory is all in use; in proportion below that */
+/* Cost of an engine whose memory is planned in full, and in proportion for
+** less of it. It takes the place of the number of open dispatches. */
 #define COST_MEMORY 12.0
-/* share of an engine's memory up to which it is planned */
+/* share of an engine's memory up to which dispatches are planned there */
 #define PLANNED_MEMORY_SHARE 1.0
 /* Engines whose cost is at most this much above the lowest count as equal and
 ** are chosen at random, because many instances choose at the same moment from
@@ -71,9 +71,12 @@
 ** if fewer than half of this are in the table, so that it leaves room for
 ** those that have. */
 #define UNLISTED_MAX 1024
-/* An endpoint that had been removed and that a restored store lists again is
-** avoided for this long: whoever removed it does so again within this time. */
-#define RETURN_DOUBT_TIME (2500 * MP_MS)
+/* A store that was restored from a copy may list an endpoint again that was
+** removed after the copy was made. Such an endpoint rests for this long.
+** Whoever removed it is expected to remove it again in this time; it is as
+** long as alive endpoints get to register again (RECONCILE_DELAY in
+** follower.c). */
+#define RELISTED_REST_TIME (2500 * MP_MS)
 
 /* an incarnation that is not listed now */
 typedef struct UnlistedIncarnation {
@@ -200,10 +203,11 @@
          UNLISTED_KEEP_TIME;
 }
 
-/* Keeps what the incarnation has announced. That the list has lost it does not
-** prove that it ended, and its announcements hold if it is listed again.
-** Nothing is kept if the table is full, or if it has announced nothing and its
-** position is unknown. */
+/* Keeps what the incarnation has announced. An endpoint that is no longer
+** listed has not necessarily ended, and its announcements hold if it is listed
+** again. Nothing is kept if the table of unlisted incarnations is too full, or
+** if the endpoint has announced nothing and its position in the store is
+** unknown. */
 static void keep_unlisted(EndpointTable *table, const Endpoint *endpoint,
                           gint64 now) {
   gboolean is_silent = !has_announced(&endpoint->availability);
@@ -223,15 +227,16 @@
   g_hash_table_insert(table->unlisted, g_strdup(endpoint->record.id), lost);
 }
 
-/* Handles an endpoint that a restored store lists from a time before it was
-** removed. It is used again after RETURN_DOUBT_TIME if nobody has removed it
-** by then, unless its last record said that it was leaving. */
-static void doubt_return(Endpoint *endpoint, const UnlistedIncarnation *lost,
-                         gint64 now) {
+/* Handles an endpoint that had been removed and that a restored store lists
+** again, because the copy it was restored from was made before the removal. It
+** is used again after RELISTED_REST_TIME if it is still listed then, unless
+** its last record before the removal said that it was leaving. */
+static void pause_relisted(Endpoint *endpoint, const UnlistedIncarnation *lost,
+                           gint64 now) {
   if (!lost->ready)
     availability_set_leaving(&endpoint->availability, now);
   else
-    availability_extend_rest(&endpoint->availability, RETURN_DOUBT_TIME, now);
+    availability_extend_rest(&endpoint->availability, RELISTED_REST_TIME, now);
 }
 
 /* Gives a listed endpoint back what its incarnation had announced before the
@@ -245,7 +250,7 @@
        lost->started_unix_ms == 0 || record->started_unix_ms == 0)) {
     endpoint->availability = lost->availability;
     if (record->position.era > lost->position.era)
-      doubt_return(endpoint, lost, now);
+      pause_relisted(endpoint, lost, now);
   }
   g_hash_table_remove(table->unlisted, record->id);
 }
@@ -277,6 +282,7 @@
   if (comparison == ENDPOINT_RESTARTED)
     drop_endpoint(table, endpoint);
   else if (comparison == ENDPOINT_SAME)
+    /* The key is borrowed from the known record, which record_copy frees. */
     g_hash_table_remove(table->by_id, record->id);
   if (comparison != ENDPOINT_SAME)
     endpoint = add_endpoint(table, record, now);
--- a/router/relay_group.c
+++ b/router/relay_group.c
@@ -26,30 +26,33 @@
 */
 #define GROUP_SIZE_MIN 4
 /*
-** The store's last answer to an instance is at most as old as its watch's wait
-** plus this, for the pause after changes (io/directory.c) and a slow answer.
+** While the store answers, its last answer to an instance is at most as old as
+** the longest wait of a watch plus this margin, which covers the pause after
+** changes (io/directory.c) and a slow answer.
 */
 #define ANSWER_AGE_MARGIN (700 * MP_MS)
 /*
-** Time in which a slow answer arrives: 50 times the usual 4 ms, and its way.
+** Time in which a slow answer of the store arrives: 200 ms in the store, 50
+** times the usual 4 ms, and 100 ms on the network.
 */
 #define SLOW_ANSWER_MAX (300 * MP_MS)
 /* A relay's watch waits at least this long, or it would be a poll. */
 #define WATCH_WAIT_MIN (200 * MP_MS)
 /*
-** Members that may take over one after the other within the bound: the store
-** may refuse the first one, too.
+** Number of members that may take over one after the other within
+** RelayTiming.propagation_max: like the lost relay, the first of them may get
+** no answer from the store.
 */
 #define TAKEOVERS_MAX 2
 /*
-** Time for a change to get from the store to all instances through the relay
-** that took over: the store's answer, a heartbeat that is lost and the next
-** one, and a request to the relay.
+** Time in which a change gets from the store to all instances through a relay
+** that has just taken over: the store's answer, a heartbeat that is lost, the
+** next heartbeat, and a member's request to the relay.
 */
 #define PROPAGATION_TIME (350 * MP_MS)
 /*
-** A relay is taken for lost after three heartbeat intervals and 50 ms without
-** a heartbeat.
+** A relay counts as lost after three heartbeat intervals and 50 ms without a
+** heartbeat.
 */
 #define HEARTBEAT_TIMEOUT (3 * RELAY_HEARTBEAT_INTERVAL + 50 * MP_MS)
 /*
@@ -62,13 +65,13 @@
 #define TAKEOVER_STEP (RELAY_HEARTBEAT_INTERVAL + 50 * MP_MS)
 #define TAKEOVER_WAIT_MAX (1000 * MP_MS)
 /*
-** Without the list of instances, the store is followed after this:
-** registering, waiting for other instances that start too, and a list take 0.6
-** s.
+** An instance that has no list of instances this long after its start follows
+** the store for itself. Usually the list is there after 0.6 s, which it takes
+** to register, to wait for other instances that start too, and to list them.
 */
 #define START_TIMEOUT (1500 * MP_MS)
 
-/* Capacities are distinguished up to CAPACITY_MAX. */
+/* Capacities above CAPACITY_MAX count as equal. */
 #define CAPACITY_BITS 16
 #define CAPACITY_SHIFT (64 - CAPACITY_BITS)
 #define CAPACITY_MAX ((1u << CAPACITY_BITS) - 1)
@@ -78,11 +81,11 @@
   guint64 order;
   gboolean is_near; /* belongs to this data centre */
   gint64 heard_at;  /* time of its last heartbeat */
-  /* it did not answer, and has sent no heartbeat since */
+  /* it did not answer a request, and has sent no heartbeat since */
   gboolean is_suspended;
   /*
-  ** Time of the store's latest answer to the relay, or to one that it hears,
-  ** for which all that the relay had then is known here.
+  ** This instance knows every change that the relay knew at this time, when
+  ** the store answered the relay or another relay that it hears.
   */
   gint64 synced_at;
   mp_RelayBeat beat;
@@ -90,7 +93,7 @@
 
 struct RelayGroup {
   mp_Addr self;
-  /* place of this instance in the order of the members */
+  /* sort key of this instance in the order of the members */
   guint64 order;
   gint64 watch_wait; /* longest wait of a watch, us */
   /*
@@ -105,7 +108,7 @@
   GArray *members;
   /* address -> order (guint64) of the other members */
   GHashTable *orders;
-  /* number of members that come before this instance */
+  /* place of this instance in the order: how many members come before it */
   guint place;
   /* mp_Addr of those that should be relays in other data centres */
   GArray *remote_relays;
@@ -203,7 +206,7 @@
   return relays_for_size(group->members->len + 1);
 }
 
-/* Orders by data centre, then as within one. */
+/* Orders members by data centre, and within one as compare_by_order. */
 static int compare_by_zone(const void *a, const void *b) {
   const RelayMember *first = a;
   const RelayMember *second = b;
@@ -212,7 +215,10 @@
   return compare_by_order(first, second);
 }
 
-/* Keeps the first RELAYS_WANTED of each other data centre. */
+/*
+** Sets the instances of other data centres that should be relays there: the
+** first RELAYS_WANTED members of each.
+*/
 static void set_remote_relays(RelayGroup *group, const GArray *far) {
   GArray *sorted = g_array_new(FALSE, FALSE, sizeof(RelayMember));
   guint32 zone = 0;
@@ -267,7 +273,10 @@
   group->start_deadline = 0;
 }
 
-/* A relay that is not listed here comes last. */
+/*
+** Returns the sort key of a relay; one that is not a member of this data
+** centre comes last.
+*/
 static guint64 relay_order(const RelayGroup *group, mp_Addr address) {
   const guint64 *order = g_hash_table_lookup(group->orders, &address);
   return order != NULL ? *order : G_MAXUINT64;
@@ -287,22 +296,32 @@
   return relay->heard_at - relay->beat.age_ms * MP_MS;
 }
 
-static gboolean has_all_changes(const RelayGroup *group, const Relay *relay,
-                                StoreKind kind) {
+/*
+** Returns TRUE when this instance knows every change of the kind that the
+** relay's last heartbeat announced. 'held' is the position up to which changes
+** are known here, 'changed' that of the last change the relay knows.
+*/
+static gboolean knows_changes_of(const RelayGroup *group, const Relay *relay,
+                                 StoreKind kind) {
   return !store_position_is_before(group->news[kind].held,
                                    relay->beat.changed[kind]);
 }
 
 /*
-** Returns TRUE when all that the relay has is known here. The instances and
-** the quarantine change rarely, and no request depends on the newest ones.
+** Returns TRUE when this instance knows all that the relay knows of the
+** configuration and the endpoints. The instances and the quarantine change
+** rarely, and no request depends on the newest ones.
 */
 static gboolean holds_all_news(const RelayGroup *group, const Relay *relay) {
-  return has_all_changes(group, relay, STORE_CONFIGURATION) &&
-         has_all_changes(group, relay, STORE_ENDPOINTS);
+  return knows_changes_of(group, relay, STORE_CONFIGURATION) &&
+         knows_changes_of(group, relay, STORE_ENDPOINTS);
 }
 
-/* Returns the latest time at which all that this relay had is known here. */
+/*
+** Returns the latest time for which this instance knows every change that the
+** relay knew then (Relay.synced_at, as the last heartbeat brings it up to
+** date).
+*/
 static gint64 newest_sync_time(const RelayGroup *group, const Relay *relay) {
   if (!holds_all_news(group, relay))
     return relay->synced_at;
@@ -412,7 +431,10 @@
   return now - last_answer_time(relay);
 }
 
-/* Returns how old what is known here may be, as far as this relay tells. */
+/*
+** Returns the us since the latest time for which this instance knows what the
+** relay knew: an upper bound of the age of its knowledge.
+*/
 static gint64 sync_age(const RelayGroup *group, const Relay *relay,
                        gint64 now) {
   return now - newest_sync_time(group, relay);
@@ -445,7 +467,8 @@
 }
 
 /*
-** Returns how long this instance waits for other relays before it becomes one.
+** Returns for how many us this instance waits, when fresh relays are missing,
+** for other members to become relays before it does so itself.
 */
 static gint64 takeover_wait(const RelayGroup *group, gint64 now) {
   guint wanted = relays_wanted(group);
@@ -550,8 +573,9 @@
 }
 
 /*
-** 'all': includes the relays of this data centre that come after this
-** instance.
+** Returns the us since the store answered this instance or a relay that it
+** hears. 'all' includes the relays of this data centre that come after this
+** instance in the order.
 */
 static gint64 news_age_from(const RelayGroup *group, gboolean all,
                             gint64 now) {
--- a/router/stage_plan.c
+++ b/router/stage_plan.c
@@ -9,10 +9,10 @@
 
 /* A decode engine counts as full when runs use this share of its memory. */
 #define DECODE_FULL_SHARE 0.75
-/* Prefill engines kept beyond the load, as a multiple of its square root: a
-** small group needs relatively more spare engines so that prompts do not
-** queue. 0.5, because over 18 days of six deployments the mean worth of a
-** day in the fleetbench benchmark was 0.014 higher with it than with 0.1. */
+/* For a load that keeps n prefill engines busy, n + PREFILL_SPARE * sqrt(n)
+** engines are planned. The spare ones keep prompts from queueing when several
+** arrive at once; a small group needs more of them in proportion. A factor of
+** 0.1 is too small for that. */
 #define PREFILL_SPARE 0.5
 /* Decode engines are short only if more than this share of their memory is in
 ** use, or requests wait: below it more of them gain nothing. */
@@ -20,20 +20,21 @@
 /* Decode engines may be taken away while less than this share of their memory
 ** is in use. */
 #define DECODE_SPARE_SHARE 0.7
-/* The measured mix means nothing while the runs use less memory than this, in
-** units of one engine's. */
+/* While the runs use less memory than this, in units of one engine's, there is
+** too little traffic to measure the mix of prompts and answers. */
 #define USED_ENGINES_MIN 0.5
 /* Prefill engines are short when there are more prompts than this for each. */
 #define PROMPTS_PER_ENGINE_MAX 2.0
-/* Engines change from prefill to decode only if at least one in each full
-** group of this many has to, and at least one in all; from decode to prefill
-** only if at least CHANGE_BACK_MIN have to. */
+/* Engines change from prefill to decode only if at least 1/ENGINES_PER_CHANGE
+** of all engines should, rounded down, but at least one engine; and from
+** decode to prefill only if at least CHANGE_BACK_MIN engines should. */
 #define ENGINES_PER_CHANGE 30
 #define CHANGE_BACK_MIN 2
 
-/* Returns the smallest number of prefill engines, of 'all' engines, that keeps
-** pace with the remaining engines as full decode engines. It is at least one
-** for each data centre; beyond that it leaves at least one decode engine. */
+/* Returns how many of 'all' engines should prefill: the smallest number that
+** can read the prompts for the remaining engines if these are full decode
+** engines. It is at least one for each data centre; beyond that it leaves at
+** least one decode engine. */
 static guint balanced_prefill(const StageUse *use, guint all) {
   double asked = DECODE_FULL_SHARE * use->prefill_busy / use->decode_used;
   guint prefill = MAX(use->zones, 1);
